--- /dev/null
+++ b/crates/core/tests/trace/mod.rs
@@ -0,0 +1,93 @@
+//! Recorded traces of decisions: the form in which actions are written down, and the comparison with a recording.
+//!
+//! The form names no type of the code, so that a recording made by one version can be compared with the actions of
+//! another. One line is one action:
+//!
+//! | line | action |
+//! | --- | --- |
+//! | `S id endpoint timeout source retention oldest flags` | an attempt; flags: `j` join, `u` update behind, `h` only what the source holds |
+//! | `R id retry_after` | rejected |
+//! | `F id` | failed |
+//! | `C id attempt` | an attempt is cancelled |
+//! | `W id attempt` | an attempt that waited for its connection may be written |
+//! | `T at id` | a timer is set |
+//! | `P` | discovery is asked |
+//! | `X endpoint` | an index is free again |
+//! | `L topic` | a log line |
+//!
+//! Set `RECORD_TRACES=1` to write recordings in place of the comparison.
+
+use meadowrill_core::interface::*;
+use std::fmt::Write;
+use std::path::PathBuf;
+
+/// Appends the line of an action.
+pub fn write_action(trace: &mut String, action: &Action) {
+    let written = match action {
+        Action::Send { id, peer, time_out, fill } => write_attempt(trace, *id, *peer, *time_out, *fill),
+        Action::Nack { id, come_back } => writeln!(trace, "R {id} {come_back}"),
+        Action::Fail { id } => writeln!(trace, "F {id}"),
+        Action::Cancel { id, send } => writeln!(trace, "C {id} {send}"),
+        Action::Write { id, send } => writeln!(trace, "W {id} {send}"),
+        Action::Ring { at, token } => writeln!(trace, "T {at} {token}"),
+        Action::Subscribe => writeln!(trace, "P"),
+        Action::Forget { peer } => writeln!(trace, "X {peer}"),
+        Action::Log(text) => writeln!(trace, "L {}", log_topic(text)),
+    };
+    written.expect("a string takes all");
+}
+
+fn write_attempt(
+    trace: &mut String,
+    id: u32,
+    endpoint: usize,
+    timeout: Micros,
+    fill: Option<Fill>,
+) -> std::fmt::Result {
+    let Some(fill) = fill else { return writeln!(trace, "S {id} {endpoint} {timeout} -") };
+    let flag = |set: bool, name: &'static str| if set { name } else { "" };
+    writeln!(
+        trace,
+        "S {id} {endpoint} {timeout} {} {} {} {}{}{}",
+        fill.source,
+        fill.keep,
+        fill.age,
+        flag(fill.join, "j"),
+        flag(fill.renew, "u"),
+        flag(fill.held_only, "h")
+    )
+}
+
+/// What a log line is about, with the figure it ends in.
+fn log_topic(text: &str) -> String {
+    let figure = text.rsplit(' ').next().unwrap_or_default();
+    match text {
+        _ if text.starts_with("gate of parent") => format!("parent_window {figure}"),
+        _ if text.starts_with("gate of") => format!("cache_window {figure}"),
+        _ if text.starts_with("fills jammed") => format!("fill_window {figure}"),
+        _ if text.starts_with("fetches jammed") => format!("fetch_window {figure}"),
+        _ if text.ends_with("unreached: held cold") => "unreachable".to_string(),
+        _ => panic!("a log line without a topic: {text}"),
+    }
+}
+
+/// Compares a trace with its recording, byte for byte; names the first line that differs.
+pub fn assert_recorded(name: &str, trace: &str) {
+    let path =
+        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recordings").join(format!("{name}.trace"));
+    if std::env::var_os("RECORD_TRACES").is_some() {
+        std::fs::create_dir_all(path.parent().expect("a folder")).expect("the folder of recordings");
+        std::fs::write(&path, trace).expect("a recording");
+        return;
+    }
+    let recorded = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
+    if recorded == trace {
+        return;
+    }
+    let lines = recorded.lines().zip(trace.lines()).enumerate();
+    let first = lines.clone().find(|(_, (recorded, now))| recorded != now);
+    match first {
+        Some((at, (recorded, now))) => panic!("{name}: line {}: recorded `{recorded}`, now `{now}`", at + 1),
+        None => panic!("{name}: {} lines recorded, {} now", recorded.lines().count(), trace.lines().count()),
+    }
+}
