--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -4,7 +4,7 @@
 //!
 //! Fills are not looked at: they wait for parents, the origin and links, which the decision module limits itself.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Target for the wait in the caches, as a part of the latency budget. Lookups are spread over caches by hash, so some
 /// caches have a queue while others idle: a shorter target lost a tenth and more of what three caches can do.
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -2,7 +2,7 @@
 //! the settings file.
 
 use ipnet::IpNet;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::ops::RangeInclusive;
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -21,7 +21,7 @@
 use crate::token_buckets::TokenBuckets;
 use completion_rate::CompletionRate;
 use lookup::Lookup;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Granularity of the timers.
 const TIMER_GRANULARITY: Micros = 2_000;
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -6,7 +6,7 @@
 use crate::fair_queue::DequeuedItem;
 use crate::identity::ClientIdentity;
 use crate::request::{Decision, LookupRequest, RejectReason, Ticket};
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// So many lookups of a flow may wait whatever is reserved: reservations must not leave places idle if nobody returns.
 const UNRESERVED_WAITING: u32 = 2;
--- a/crates/admission/src/controller/complete.rs
+++ b/crates/admission/src/controller/complete.rs
@@ -3,7 +3,7 @@
 use super::lookup::Lookup;
 use super::AdmissionController;
 use crate::request::{Completion, Ticket};
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 impl AdmissionController {
     /// A lookup that was admitted has ended.
--- a/crates/admission/src/controller/completion_rate.rs
+++ b/crates/admission/src/controller/completion_rate.rs
@@ -1,6 +1,6 @@
 //! The rate at which lookups end, which tells when places become free.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Time over which completions are counted.
 const WINDOW: Micros = 200_000;
--- a/crates/admission/src/controller/lookup.rs
+++ b/crates/admission/src/controller/lookup.rs
@@ -3,7 +3,7 @@
 use crate::fair_queue::QueuedLookup;
 use crate::identity::ClientIdentity;
 use crate::request::LookupRequest;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// A lookup that waits, is in flight, or has failed early.
 #[derive(Clone, Copy)]
--- a/crates/admission/src/controller/poll.rs
+++ b/crates/admission/src/controller/poll.rs
@@ -3,7 +3,7 @@
 use super::AdmissionController;
 use crate::fair_queue::DequeuedItem;
 use crate::request::{AdmissionEvent, RejectReason};
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 impl AdmissionController {
     /// Does all that is due, and appends to `events` what became of lookups that waited.
--- a/crates/admission/src/controller/reconfigure.rs
+++ b/crates/admission/src/controller/reconfigure.rs
@@ -5,7 +5,7 @@
 use crate::fair_queue::FairQueue;
 use crate::report::TenantCounters;
 use crate::token_buckets::TokenBuckets;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 fn place_of(tenants: &[Tenant], name: &str) -> Option<usize> {
     tenants.iter().position(|tenant| tenant.name == name)
--- a/crates/admission/src/controller/reject.rs
+++ b/crates/admission/src/controller/reject.rs
@@ -5,7 +5,7 @@
 use crate::identity::ClientIdentity;
 use crate::request::{AdmissionEvent, RejectReason, Rejection};
 use crate::reservations;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Fullness of the calendar from which on a flow may not have more than an even part of it.
 const CROWDED_FULLNESS: f64 = 0.5;
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -1,7 +1,7 @@
 //! The cost of a lookup: how long it occupies a place in the concurrency limit, and its bytes. Expected costs are
 //! learned by class; actual costs are taken when a lookup has ended.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// A class of lookups as the configuration describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -12,7 +12,7 @@
 use crate::config::AdmissionConfig;
 use crate::slab::NONE;
 use flow::*;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::cmp::Ordering;
 
 /// Least weight of a class, against the one of the greatest worth: none is starved.
--- a/crates/admission/src/fair_queue/classify.rs
+++ b/crates/admission/src/fair_queue/classify.rs
@@ -5,7 +5,7 @@
 use super::FairQueue;
 use crate::identity::ClientIdentity;
 use crate::slab::NONE;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Fewest guaranteed lookups of a client that gets a flow of its own, and its least part of all lookups of the tenant.
--- a/crates/admission/src/fair_queue/flow.rs
+++ b/crates/admission/src/fair_queue/flow.rs
@@ -2,7 +2,7 @@
 
 use crate::heavy_hitters::HeavyHitters;
 use crate::slab::NONE;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::net::IpAddr;
 
 /// Flows of a tenant that belong to one client each: its heaviest clients.
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -2,7 +2,7 @@
 //! "Efficient Computation of Frequent and Top-k Elements in Data Streams": Space-Saving). A count is never too low,
 //! and too high by no more than `error`; a key with more than one in [`COUNTERS`] of all records has a counter.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Number of keys that are counted at a time.
 pub const COUNTERS: usize = 32;
--- a/crates/admission/src/identity.rs
+++ b/crates/admission/src/identity.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{AdmissionConfig, ClientKey};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use meadowrill_core::door::stable;
+use meadowrill_routing::door::stable;
 use prefix_trie::PrefixMap;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,7 +1,7 @@
 //! The messages between a host and the admission controller.
 
 use crate::identity::ClientIdentity;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::fmt;
 
 /// A lookup that was read and asks for admission.
--- a/crates/admission/src/reservations.rs
+++ b/crates/admission/src/reservations.rs
@@ -6,7 +6,7 @@
 use crate::identity::ClientIdentity;
 use crate::slab::{Slab, NONE};
 use crate::timer_wheel::TimerWheel;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Most entries of the calendar.
 pub const CAPACITY: usize = 4_096;
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -2,7 +2,7 @@
 //! nothing behind (a heap with dead entries would grow with the rate of lookups).
 
 use crate::slab::NONE;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 /// Slots of the wheel. Timers further ahead than a whole turn share the slots of nearer ones.
 const SLOT_COUNT: usize = 512;
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -2,7 +2,7 @@
 //! A client's rate holds whether anybody else asks or not. The table is fixed: clients share a bucket by hash.
 
 use crate::identity::ClientIdentity;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 const BUCKET_COUNT: usize = 4_096;
 const MICROS_PER_SECOND: f64 = 1e6;
--- a/crates/measure/src/bin/counted.rs
+++ b/crates/benchmarks/src/bin/counted.rs
@@ -14,5 +14,5 @@
 }
 
 fn main() -> ExitCode {
-    meadowrill_front::main(Some(counts))
+    meadowrill_proxy::main(Some(counts))
 }
--- a/crates/measure/src/bin/scale.rs
+++ b/crates/benchmarks/src/bin/scale.rs
@@ -1,7 +1,7 @@
 //! `scale`: measures what costs grow with, with an allocator that counts.
 
 use clap::Parser;
-use meadowrill_measure::scale::{run, Options};
+use meadowrill_benchmarks::scale::{run, Options};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::process::ExitCode;
--- a/crates/measure/src/events.rs
+++ b/crates/benchmarks/src/events.rs
@@ -2,10 +2,10 @@
 //! scenario of faults at the largest size, and what a full window of purges takes.
 
 use crate::figures::{Figures, Goal};
-use meadowrill_rig::events::costs::Costs;
-use meadowrill_rig::events::outcome::Outcome;
-use meadowrill_rig::events::run::{play_run, Setup, DONE_WITHIN};
-use meadowrill_rig::events::scenario::{Length, Scenario, NAMES};
+use meadowrill_fault_injection::events::costs::Costs;
+use meadowrill_fault_injection::events::outcome::Outcome;
+use meadowrill_fault_injection::events::run::{play_run, Setup, DONE_WITHIN};
+use meadowrill_fault_injection::events::scenario::{Length, Scenario, NAMES};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
--- a/crates/measure/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -2,8 +2,8 @@
 //! `measure guard`.
 
 use clap::{Parser, Subcommand};
-use meadowrill_measure::figures::Figures;
-use meadowrill_measure::{events, fleet, guard, path, replica, turns};
+use meadowrill_benchmarks::figures::Figures;
+use meadowrill_benchmarks::{events, fleet, guard, path, replica, turns};
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
@@ -49,7 +49,7 @@
     /// Fails when a count of the ordinary path has risen by more than ten percent
     Guard {
         /// Accepted counts
-        #[arg(long, default_value = "crates/measure/counts.txt")]
+        #[arg(long, default_value = "crates/benchmarks/counts.txt")]
         file: PathBuf,
         /// Writes the file anew: for a rise that is meant
         #[arg(long)]
--- a/crates/measure/src/path.rs
+++ b/crates/benchmarks/src/path.rs
@@ -1,9 +1,9 @@
 //! The ordinary path: what a hit costs the front in allocations, system calls, copies, processor time and instructions.
 
 use crate::figures::{Figures, Goal};
-use meadowrill_standins::load::{Counts, Load, Manners, Running};
-use meadowrill_standins::service::{Directory, Service};
-use meadowrill_standins::{Journal, Program};
+use meadowrill_test_servers::load::{Counts, Load, Manners, Running};
+use meadowrill_test_servers::service::{Directory, Service};
+use meadowrill_test_servers::{Journal, Program};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -38,14 +38,14 @@
     let journal = Journal::start();
     let caches = [("s-a", cache.address)];
     let (parent, origin) = (origin.address, origin.address);
-    let site = meadowrill_standins::Site { caches: &caches, parent, origin, journal: journal.address };
+    let site = meadowrill_test_servers::Site { caches: &caches, parent, origin, journal: journal.address };
     let mut config = site.config();
     config["limits"]["sockets"] = 4096.into();
     if let Some(members) = config["known"]["entries"][0]["hosts"]["members"].as_array_mut() {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         let names = (0..further).map(|n| (format!("s-{n:08x}"), if n % 10 == 0 { "parent" } else { "std" }));
         members.extend(names.map(|(id, flavor)| {
-            let mut member = meadowrill_standins::member(&id, flavor, nowhere, "SERVING");
+            let mut member = meadowrill_test_servers::member(&id, flavor, nowhere, "SERVING");
             member["locality"] = "elsewhere".into();
             member
         }));
@@ -53,7 +53,7 @@
     let socket =
         std::env::temp_dir().join(format!("meadowrill-path-{}-{}", std::process::id(), cache.address.port()));
     let settings = format!("operators {{ socket: \"{}\" }}", socket.display());
-    let counted = meadowrill_standins::program::binary().with_file_name("counted");
+    let counted = meadowrill_test_servers::program::binary().with_file_name("counted");
     let mut command = match under {
         None => Command::new(&counted),
         Some([tool, more @ ..]) => {
--- a/crates/measure/src/replica.rs
+++ b/crates/benchmarks/src/replica.rs
@@ -2,14 +2,14 @@
 //! same build that shares nothing.
 
 use crate::figures::{Figures, Goal};
-use meadowrill_replica::kinds::Kind;
-use meadowrill_replica::plan::{Ledger, Plan, Unwritten};
-use meadowrill_replica::SEC;
-use meadowrill_rig::fleet::{self, Fleet};
-use meadowrill_rig::script::{play, Tools};
-use meadowrill_rig::serving::Clients;
-use meadowrill_rig::shared::{effects, Faults, Shared};
-use meadowrill_standins::ask;
+use meadowrill_replication::kinds::Kind;
+use meadowrill_replication::plan::{Ledger, Plan, Unwritten};
+use meadowrill_replication::SEC;
+use meadowrill_fault_injection::fleet::{self, Fleet};
+use meadowrill_fault_injection::script::{play, Tools};
+use meadowrill_fault_injection::serving::Clients;
+use meadowrill_fault_injection::shared::{effects, Faults, Shared};
+use meadowrill_test_servers::ask;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::AtomicU64;
@@ -197,7 +197,7 @@
         let begun = Instant::now();
         let got = stream
             .write_all(&ask(number, "map", &more, b""))
-            .and_then(|()| meadowrill_rig::serving::answer(&mut stream));
+            .and_then(|()| meadowrill_fault_injection::serving::answer(&mut stream));
         if got.is_err() {
             return NEVER;
         }
@@ -243,7 +243,7 @@
 fn donor(figures: &mut Figures, tools: &Tools) {
     let shared = "replica { period_ms: 200 entries_most: 60000 catch_up_bytes_per_s: 2000000 }";
     let Some(mut fleet) = started(shared, tools) else { return };
-    let now = meadowrill_standins::now_ms() as u64;
+    let now = meadowrill_test_servers::now_ms() as u64;
     for n in 0..RECORDS {
         fleet
             .tell(&serde_json::json!({"expire": {"name": format!("{:016x}", n + 1000), "stamp": now}}), true);
--- a/crates/measure/src/scale/decisions.rs
+++ b/crates/benchmarks/src/scale/decisions.rs
@@ -1,13 +1,13 @@
 //! Many decision modules in one process before one cache that starts anew, or that is dead: what the sum of all fronts
-//! sends there. The same closed model as `crates/core/tests/cold.rs`, with the traffic of the whole fleet as a parameter.
+//! sends there. The same closed model as `crates/routing/tests/cold.rs`, with the traffic of the whole fleet as a parameter.
 
 use super::fit::Point;
 use super::results::{Budget, Method, Role, Slope};
 use super::scenario::settings;
 use super::target;
 use fastrand::Rng;
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
--- a/crates/measure/src/scale/journal.rs
+++ b/crates/benchmarks/src/scale/journal.rs
@@ -6,7 +6,7 @@
 use super::process::{listed, Front, Setup};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
-use meadowrill_standins::journal::Speaking;
+use meadowrill_test_servers::journal::Speaking;
 use serde_json::{json, Value};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -34,7 +34,7 @@
 
 fn purge(n: u64) -> Value {
     let name = format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    json!({"expire": {"name": name, "stamp": meadowrill_standins::now_ms() as u64}, "pos": n})
+    json!({"expire": {"name": name, "stamp": meadowrill_test_servers::now_ms() as u64}, "pos": n})
 }
 
 fn line(event: &Value) -> String {
--- a/crates/measure/src/scale/module.rs
+++ b/crates/benchmarks/src/scale/module.rs
@@ -5,8 +5,8 @@
 use super::results::{Budget, Method, Role, Slope};
 use super::scenario::settings;
 use super::target;
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 
 /// Up to the bound of the module's memories, and beyond it.
 const WITHIN: [u64; 5] = [2_000, 5_000, 10_000, 20_000, 50_000];
--- a/crates/measure/src/scale/process.rs
+++ b/crates/benchmarks/src/scale/process.rs
@@ -1,10 +1,10 @@
 //! One front as a process of the program, with a list of so many caches that all stand for one stand-in.
 
-use meadowrill_standins::journal::Speaking;
-use meadowrill_standins::load::{Counts, Running};
-use meadowrill_standins::program::{binary, member, Site};
-use meadowrill_standins::service::{Directory, Service};
-use meadowrill_standins::Program;
+use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::load::{Counts, Running};
+use meadowrill_test_servers::program::{binary, member, Site};
+use meadowrill_test_servers::service::{Directory, Service};
+use meadowrill_test_servers::Program;
 use serde_json::Value;
 use std::fs;
 use std::io::{Read, Write};
--- a/crates/measure/src/scale/scenario.rs
+++ b/crates/benchmarks/src/scale/scenario.rs
@@ -1,8 +1,8 @@
 //! The settings of the decision module's own scenarios, for models that drive it directly.
 
-use meadowrill_core::interface::Settings;
+use meadowrill_routing::interface::Settings;
 
-const BASE: &str = include_str!("../../../core/tests/scenarios/base.txt");
+const BASE: &str = include_str!("../../../routing/tests/scenarios/base.txt");
 
 /// The base settings, with the size of the fleet in them.
 pub fn settings(fronts: usize) -> Settings {
--- a/crates/measure/src/scale/sockets.rs
+++ b/crates/benchmarks/src/scale/sockets.rs
@@ -4,7 +4,7 @@
 use super::process::{listed, Front, Setup};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
-use meadowrill_standins::load::{Load, Manners};
+use meadowrill_test_servers::load::{Load, Manners};
 use serde_json::Value;
 use std::fs;
 use std::thread::sleep;
--- a/crates/measure/src/turns.rs
+++ b/crates/benchmarks/src/turns.rs
@@ -6,9 +6,9 @@
 use meadowrill_admission::cost::LookupClass;
 use meadowrill_admission::identity::ClientIdentity;
 use meadowrill_admission::request::{AdmissionEvent, CapacityLimits, Completion, Decision, LookupRequest};
-use meadowrill_standins::load::{Counts, Load, Manners, Running};
-use meadowrill_standins::service::{Directory, Service};
-use meadowrill_standins::{config, Journal, Program};
+use meadowrill_test_servers::load::{Counts, Load, Manners, Running};
+use meadowrill_test_servers::service::{Directory, Service};
+use meadowrill_test_servers::{config, Journal, Program};
 use std::collections::VecDeque;
 use std::hint::black_box;
 use std::thread::sleep;
@@ -266,7 +266,7 @@
     let journal = Journal::start();
     let caches = [("s-a", cache.address)];
     let (parent, origin, journal) = (parent.address, origin.address, journal.address);
-    let site = meadowrill_standins::Site { caches: &caches, parent, origin, journal };
+    let site = meadowrill_test_servers::Site { caches: &caches, parent, origin, journal };
     let folder = std::env::temp_dir().join(format!("meadowrill-measure-{}", std::process::id()));
     let settings = format!("operators {{ socket: \"{}\" }} {}", folder.display(), settings("FAIR", 2));
     let program = Program::with_settings(&site.config(), &settings);
@@ -276,7 +276,7 @@
     let unknown = Load { objects: 1_000_000, ..load(2, 1, 60, Manners::Returns) }.start(program.address);
     sleep(SETTLE);
     let got = during(&[&known, &unknown], RUN);
-    let told = std::process::Command::new(meadowrill_standins::program::binary())
+    let told = std::process::Command::new(meadowrill_test_servers::program::binary())
         .arg("metrics")
         .arg(&folder)
         .output();
--- a/crates/measure/tests/fit.rs
+++ b/crates/benchmarks/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The fits behind docs/CAPACITY.md: known curves, with and without noise, and what they are extended to.
 
-use meadowrill_measure::scale::fit::{choose, Fit, Form, Point};
+use meadowrill_benchmarks::scale::fit::{choose, Fit, Form, Point};
 
 const SIZES: [f64; 6] = [16.0, 64.0, 128.0, 256.0, 512.0, 1024.0];
 const TARGET: f64 = 5000.0;
--- a/crates/measure/tests/results.rs
+++ b/crates/benchmarks/tests/results.rs
@@ -1,8 +1,8 @@
 //! What a measurement leaves behind: the columnar file and the plots.
 
-use meadowrill_measure::scale::fit::Point;
-use meadowrill_measure::scale::plot::draw;
-use meadowrill_measure::scale::results::{write, Budget, Method, Role, Slope};
+use meadowrill_benchmarks::scale::fit::Point;
+use meadowrill_benchmarks::scale::plot::draw;
+use meadowrill_benchmarks::scale::results::{write, Budget, Method, Role, Slope};
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 use std::fs::{self, File};
--- a/crates/events/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -178,7 +178,7 @@
 
     fn refuse(&mut self, heartbeat: &Heartbeat, address: SocketAddr, full: bool, out: &mut Vec<Output>) {
         self.counters.busy += 1;
-        let spread = meadowrill_members::rings::hash(&heartbeat.name, u64::from(heartbeat.request));
+        let spread = meadowrill_membership::rings::hash(&heartbeat.name, u64::from(heartbeat.request));
         let retry_ms = (RETRY_LEAST_MS + spread % RETRY_SPREAD_MS) as u32;
         self.send(address, Body::Busy(Busy { request: heartbeat.request, retry_ms, full }), out);
     }
--- a/crates/events/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -23,4 +23,4 @@
 /// A moment or a span, in whole microseconds. Moments are of the local clock, which only moves forward.
 pub type Micros = i64;
 
-pub use meadowrill_members::mutant;
+pub use meadowrill_membership::mutant;
--- a/crates/events/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -10,7 +10,7 @@
 use crate::purges::PurgeSet;
 use crate::wire::{self, Batch, Body, Busy, Grant, Heartbeat, SnapshotPart, SnapshotPlace};
 use crate::{mutant, Micros};
-use meadowrill_members::rings::hash;
+use meadowrill_membership::rings::hash;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
--- a/crates/events/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -1,5 +1,5 @@
 //! Messages between publisher, relays and subscribers: datagrams of at most [`DATAGRAM_MOST`] bytes, `ev`, a version, a
-//! checksum and a protobuf message (the envelope of `meadowrill_members`). Older builds drop what begins with `ev`.
+//! checksum and a protobuf message (the envelope of `meadowrill_membership`). Older builds drop what begins with `ev`.
 //!
 //! Events are packed: a number that holds the difference of stamps in milliseconds and the kind, then 8 bytes of an object
 //! or the number of a group. That makes 9 or 10 bytes for the purge of an object.
@@ -9,7 +9,7 @@
 use crate::plan::{MILLISECOND, TEXT_MOST};
 use crate::purges::Cursor;
 use crate::Micros;
-use meadowrill_members::envelope;
+use meadowrill_membership::envelope;
 use prost::encoding::{decode_varint, encode_varint};
 use prost::Message;
 
--- a/crates/events/tests/exploration/mod.rs
+++ b/crates/event-distribution/tests/exploration/mod.rs
@@ -2,13 +2,13 @@
 //! coarse time. Between two steps of time a purge is told, or one member crashes, is stopped or cut off (once each), or
 //! what is sent to one in a step is lost or held back (once each).
 
-use meadowrill_events::event::{Event, LogPosition, Purge, PurgeKey};
-use meadowrill_events::output::Output;
-use meadowrill_events::plan::{Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
-use meadowrill_events::publisher::Publisher;
-use meadowrill_events::relay::Relay;
-use meadowrill_events::subscriber::Subscriber;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::event::{Event, LogPosition, Purge, PurgeKey};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::plan::{Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::Micros;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/events/tests/regressions.rs
+++ b/crates/event-distribution/tests/regressions.rs
@@ -2,18 +2,18 @@
 
 mod simulation;
 
-use meadowrill_events::event::{Epoch, Event, LogPosition, Purge, PurgeKey};
-use meadowrill_events::log::{EventLog, Next};
-use meadowrill_events::output::{Output, Rejected};
-use meadowrill_events::plan::{Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
-use meadowrill_events::publisher::Publisher;
-use meadowrill_events::purges::PurgeSet;
-use meadowrill_events::relay::Relay;
-use meadowrill_events::subscriber::Subscriber;
-use meadowrill_events::wire::{
+use meadowrill_event_distribution::event::{Epoch, Event, LogPosition, Purge, PurgeKey};
+use meadowrill_event_distribution::log::{EventLog, Next};
+use meadowrill_event_distribution::output::{Output, Rejected};
+use meadowrill_event_distribution::plan::{Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::purges::PurgeSet;
+use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::wire::{
     self, Batch, Body, Busy, Grant, Heartbeat, Packer, Place, SnapshotPart, SnapshotPlace, EPOCH_MOST,
 };
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 use simulation::{address, Network, FLEET, START};
 
 const FRONT: usize = 9;
--- a/crates/events/tests/schedules.rs
+++ b/crates/event-distribution/tests/schedules.rs
@@ -3,8 +3,8 @@
 
 mod simulation;
 
-use meadowrill_events::plan::SECOND;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::plan::SECOND;
+use meadowrill_event_distribution::Micros;
 use simulation::schedule::{publish, schedule, Measured};
 use simulation::Network;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/events/tests/simulation/checks.rs
+++ b/crates/event-distribution/tests/simulation/checks.rs
@@ -1,7 +1,7 @@
 //! What was told, who knows it, and since when it is said to be in force.
 
-use meadowrill_events::event::{Purge, PurgeKey};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::event::{Purge, PurgeKey};
+use meadowrill_event_distribution::Micros;
 use std::collections::HashMap;
 
 /// A purge that was told to the service, and when the publisher said that it is in force everywhere.
--- a/crates/events/tests/simulation/node.rs
+++ b/crates/event-distribution/tests/simulation/node.rs
@@ -1,12 +1,12 @@
 //! One member of the simulated network, and what comes to it.
 
 use super::checks::Known;
-use meadowrill_events::event::LogPosition;
-use meadowrill_events::output::{Notice, Output};
-use meadowrill_events::publisher::Publisher;
-use meadowrill_events::relay::Relay;
-use meadowrill_events::subscriber::Subscriber;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::event::LogPosition;
+use meadowrill_event_distribution::output::{Notice, Output};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::Micros;
 use std::collections::VecDeque;
 
 /// Datagrams that wait for a member that is stopped or slow, as in the buffer of a socket. More are lost.
--- a/crates/events/tests/simulation/schedule.rs
+++ b/crates/event-distribution/tests/simulation/schedule.rs
@@ -1,8 +1,8 @@
 //! Schedules of faults that a seed draws, one after the other, while purges go on.
 
 use super::{Network, Setting};
-use meadowrill_events::plan::{RelayPlan, MILLISECOND, SECOND};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::plan::{RelayPlan, MILLISECOND, SECOND};
+use meadowrill_event_distribution::Micros;
 
 const FAULTS: usize = 6;
 const PURGES_PER_SECOND: i64 = 20;
--- a/crates/rig/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -1,10 +1,10 @@
 //! Plain protocols beside which the view is measured, on the same network.
 
 use crate::model::{address, Config, Peer};
-use meadowrill_members::claim::{refute, Claim, State};
-use meadowrill_members::view::{Act, Change, Why};
-use meadowrill_members::wire::{self, Packet, Ping, PingRequest, Record, Said, Seq};
-use meadowrill_members::Micros;
+use meadowrill_membership::claim::{refute, Claim, State};
+use meadowrill_membership::view::{Act, Change, Why};
+use meadowrill_membership::wire::{self, Packet, Ping, PingRequest, Record, Said, Seq};
+use meadowrill_membership::Micros;
 use std::collections::BTreeMap;
 
 /// Heartbeats to all: each tells each other once a period that it is there, and is dead after five missed ones.
--- a/crates/rig/src/effects.rs
+++ b/crates/fault-injection/src/effects.rs
@@ -2,7 +2,7 @@
 //! second and after six, whatever came of it. What ran is told by the stand-in origin, never by the fronts.
 
 use crate::serving::{answer, ANSWER};
-use meadowrill_standins::ask;
+use meadowrill_test_servers::ask;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::io::Write;
--- a/crates/rig/src/events/check.rs
+++ b/crates/fault-injection/src/events/check.rs
@@ -1,7 +1,7 @@
 //! What has to hold of every purge at every subscriber, judged from what was recorded, never from how it came about.
 
 use super::record::{Life, Span};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Buckets of one millisecond; the last one takes all that is later.
--- a/crates/rig/src/events/clock.rs
+++ b/crates/fault-injection/src/events/clock.rs
@@ -1,6 +1,6 @@
 //! One clock for all processes of a run.
 
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 use rustix::time::{clock_gettime, ClockId, Timespec};
 
 const NANOS_PER_MICRO: i64 = 1_000;
--- a/crates/rig/src/events/done.rs
+++ b/crates/fault-injection/src/events/done.rs
@@ -2,7 +2,7 @@
 
 use super::clock::SharedClock;
 use super::relays::told_done;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
--- a/crates/rig/src/events/groups.rs
+++ b/crates/fault-injection/src/events/groups.rs
@@ -2,7 +2,7 @@
 
 use super::check::{Findings, Timeline};
 use super::protocol::{Command as GroupCommand, GroupPlan, GroupReport, Reply, Return};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
--- a/crates/rig/src/events/hollow.rs
+++ b/crates/fault-injection/src/events/hollow.rs
@@ -5,11 +5,11 @@
 use super::numbering::number_of;
 use super::protocol::{Sabotage, Traffic};
 use super::record::Life;
-use meadowrill_events::event::{Event, PurgeKey};
-use meadowrill_events::output::{Counters, Output};
-use meadowrill_events::plan::{Identity, Plan, SECOND};
-use meadowrill_events::subscriber::Subscriber;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::event::{Event, PurgeKey};
+use meadowrill_event_distribution::output::{Counters, Output};
+use meadowrill_event_distribution::plan::{Identity, Plan, SECOND};
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::Micros;
 use mio::net::UdpSocket;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/rig/src/events/outcome.rs
+++ b/crates/fault-injection/src/events/outcome.rs
@@ -3,8 +3,8 @@
 use super::check::Findings;
 use super::costs::Costs;
 use super::protocol::{GroupReport, Return};
-use meadowrill_events::plan::SECOND;
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::plan::SECOND;
+use meadowrill_event_distribution::Micros;
 
 /// From when a purge was told until the publisher said that it is in force everywhere.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/rig/src/events/protocol.rs
+++ b/crates/fault-injection/src/events/protocol.rs
@@ -5,8 +5,8 @@
 use super::faults::RelaySet;
 use super::layout::{region_name, region_of, relay_name, zone_name, zone_of};
 use super::relays::PUBLISHER;
-use meadowrill_events::plan::{Plan, RelayAddress, MILLISECOND};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::plan::{Plan, RelayAddress, MILLISECOND};
+use meadowrill_event_distribution::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/rig/src/events/record.rs
+++ b/crates/fault-injection/src/events/record.rs
@@ -1,6 +1,6 @@
 //! What one hollow subscriber went through: which purge it applied when, and when it held a lease.
 
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::Micros;
 
 /// Stands for a purge that was not applied.
 const NEVER: u32 = u32::MAX;
--- a/crates/rig/src/events/relays.rs
+++ b/crates/fault-injection/src/events/relays.rs
@@ -3,7 +3,7 @@
 use super::layout::{region_name, region_of, relay_name, zone_name, zone_of};
 use crate::relay::Fault;
 use crate::relay::Relays as DatagramProxies;
-use meadowrill_standins::journal::Speaking;
+use meadowrill_test_servers::journal::Speaking;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::fmt::Write as _;
--- a/crates/rig/src/events/teller.rs
+++ b/crates/fault-injection/src/events/teller.rs
@@ -2,9 +2,9 @@
 
 use super::clock::SharedClock;
 use super::numbering::object_of;
-use meadowrill_events::plan::{MILLISECOND, SECOND};
-use meadowrill_events::Micros;
-use meadowrill_standins::journal::Speaking;
+use meadowrill_event_distribution::plan::{MILLISECOND, SECOND};
+use meadowrill_event_distribution::Micros;
+use meadowrill_test_servers::journal::Speaking;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
--- a/crates/rig/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -3,9 +3,9 @@
 use crate::events::relays::{events_settings, RelayAddress, RelayPlace, RelayProcess, FLEET, PUBLISHER};
 use crate::relay::{Relays, FRONTS};
 use crate::{name, unix};
-use meadowrill_standins::journal::Speaking;
-use meadowrill_standins::program::{member, Site};
-use meadowrill_standins::service::{Directory, Service};
+use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::program::{member, Site};
+use meadowrill_test_servers::service::{Directory, Service};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -329,7 +329,7 @@
 
     /// An object is purged now, as the first front alone is told; the relay that publishes alone, where there is one.
     pub fn purge(&self, item: &str, all: bool) {
-        let stamp = meadowrill_standins::now_ms();
+        let stamp = meadowrill_test_servers::now_ms();
         self.boxes.iter().for_each(|b| b.purged(item, stamp));
         let event = json!({"expire": {"name": item, "stamp": stamp as u64}});
         if self.event_relays.is_empty() {
--- a/crates/rig/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,12 +1,12 @@
 //! Plays scripts of faults against processes of the program.
 
 use clap::{Parser, Subcommand};
-use meadowrill_rig::events::protocol::Sabotage;
-use meadowrill_rig::events::run::{play_run, Setup};
-use meadowrill_rig::events::scenario::{Length, Scenario, NAMES};
-use meadowrill_rig::events::subscribers::hold_subscribers;
-use meadowrill_rig::script::{draw, play, shrink, Tools};
-use meadowrill_rig::shared::first_wrong;
+use meadowrill_fault_injection::events::protocol::Sabotage;
+use meadowrill_fault_injection::events::run::{play_run, Setup};
+use meadowrill_fault_injection::events::scenario::{Length, Scenario, NAMES};
+use meadowrill_fault_injection::events::subscribers::hold_subscribers;
+use meadowrill_fault_injection::script::{draw, play, shrink, Tools};
+use meadowrill_fault_injection::shared::first_wrong;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -38,7 +38,7 @@
     /// Play broken builds, each with the script that has to fail with it; needs a build with the feature `mutants`
     Mutants {
         /// Lines of a fault and a script beside the list
-        #[arg(default_value = "crates/rig/scripts/mutants.list")]
+        #[arg(default_value = "crates/fault-injection/scripts/mutants.list")]
         list: PathBuf,
     },
     /// Run the shared state in one process, by seeds: fails with the first thing that does not hold
--- a/crates/rig/src/model.rs
+++ b/crates/fault-injection/src/model.rs
@@ -2,10 +2,10 @@
 //! start again; by seed, on a clock of its own. What sockets cannot reach in size or in number of runs.
 
 use crate::name;
-use meadowrill_members::claim::State;
-use meadowrill_members::plan::{Plan, SEC};
-use meadowrill_members::view::{Act, Change, Me, View};
-use meadowrill_members::Micros;
+use meadowrill_membership::claim::State;
+use meadowrill_membership::plan::{Plan, SEC};
+use meadowrill_membership::view::{Act, Change, Me, View};
+use meadowrill_membership::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/rig/src/serving.rs
+++ b/crates/fault-injection/src/serving.rs
@@ -1,7 +1,7 @@
 //! Clients beside the faults: each asks one lookup after the other at some front, and goes to another where it gets no
 //! connection. What each asked and got is counted.
 
-use meadowrill_standins::{ask, frame};
+use meadowrill_test_servers::{ask, frame};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
--- a/crates/rig/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -3,12 +3,12 @@
 //! view of the fleet is played by what each could reach lately.
 
 use crate::name;
-use meadowrill_replica::kinds::Kind;
-use meadowrill_replica::ledger::{End, Terms, Word};
-use meadowrill_replica::map::Map;
-use meadowrill_replica::plan::Plan;
-use meadowrill_replica::replica::{Act, Peer, Replica};
-use meadowrill_replica::{Micros, SEC};
+use meadowrill_replication::kinds::Kind;
+use meadowrill_replication::ledger::{End, Terms, Word};
+use meadowrill_replication::map::Map;
+use meadowrill_replication::plan::Plan;
+use meadowrill_replication::replica::{Act, Peer, Replica};
+use meadowrill_replication::{Micros, SEC};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -403,7 +403,7 @@
 
 /// What the state says has to hold in one process, for broken builds: the first thing that does not.
 pub fn first_wrong(seeds: u64) -> Option<String> {
-    let plan = Plan { ledger: Some(meadowrill_replica::plan::Ledger::default()), ..Plan::default() };
+    let plan = Plan { ledger: Some(meadowrill_replication::plan::Ledger::default()), ..Plan::default() };
     for seed in 0..seeds {
         let mut shared = Shared::new(12, Plan::default(), seed);
         shared.start_all();
--- a/crates/rig/tests/events.rs
+++ b/crates/fault-injection/tests/events.rs
@@ -1,10 +1,10 @@
 //! Purges through relays, as processes of the program, to hollow subscribers: small sizes and short faults of every kind.
 //! The program has to be built before, which a test of the whole workspace does.
 
-use meadowrill_rig::events::outcome::Outcome;
-use meadowrill_rig::events::protocol::Sabotage;
-use meadowrill_rig::events::run::{play_run, Setup};
-use meadowrill_rig::events::scenario::{Length, Scenario};
+use meadowrill_fault_injection::events::outcome::Outcome;
+use meadowrill_fault_injection::events::protocol::Sabotage;
+use meadowrill_fault_injection::events::run::{play_run, Setup};
+use meadowrill_fault_injection::events::scenario::{Length, Scenario};
 use std::path::Path;
 
 const SUBSCRIBERS: usize = 60;
--- a/crates/rig/tests/processes.rs
+++ b/crates/fault-injection/tests/processes.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program, with faults between them: each script of `scripts` is played as it stands. The
 //! program has to be built before, which a test of the whole workspace does.
 
-use meadowrill_rig::script::{play, Tools};
+use meadowrill_fault_injection::script::{play, Tools};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -50,7 +50,7 @@
 /// Without `fleet { ... }` nothing is opened for other fronts.
 #[test]
 fn without_a_fleet_there_is_no_socket_for_one() {
-    use meadowrill_standins::{config, Journal, Program};
+    use meadowrill_test_servers::{config, Journal, Program};
     let journal = Journal::start();
     let nowhere: [(&str, std::net::SocketAddr); 0] = [];
     let open = |settings: &str| {
--- a/crates/rig/tests/records.rs
+++ b/crates/fault-injection/tests/records.rs
@@ -1,10 +1,10 @@
 //! The checks of what hollow subscribers recorded, and the parts they are made of.
 
-use meadowrill_events::Micros;
-use meadowrill_rig::events::check::{check_life, Findings, PurgeTimes, Timeline};
-use meadowrill_rig::events::faults::{DatagramFaults, RelaySet};
-use meadowrill_rig::events::numbering::{number_of, object_of};
-use meadowrill_rig::events::record::Life;
+use meadowrill_event_distribution::Micros;
+use meadowrill_fault_injection::events::check::{check_life, Findings, PurgeTimes, Timeline};
+use meadowrill_fault_injection::events::faults::{DatagramFaults, RelaySet};
+use meadowrill_fault_injection::events::numbering::{number_of, object_of};
+use meadowrill_fault_injection::events::record::Life;
 
 const SECOND: Micros = 1_000_000;
 const TOLD: Micros = 100 * SECOND;
--- a/crates/members/tests/claim.rs
+++ b/crates/membership/tests/claim.rs
@@ -1,6 +1,6 @@
 //! Which of two claims about one member stands, and how a wrong one is refuted.
 
-use meadowrill_members::claim::{refute, Claim, State};
+use meadowrill_membership::claim::{refute, Claim, State};
 
 #[test]
 fn a_later_start_stands_over_all_of_the_former_process() {
--- a/crates/members/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! The rules of suspicion, refutation, restart and forgetting for three members, explored whole to a depth: claims are
 //! told, lost, doubled and overtaken in every order. The rules themselves are those of `claim.rs`; broken ones are found.
 
-use meadowrill_members::claim::{past, refute, Claim, State};
+use meadowrill_membership::claim::{past, refute, Claim, State};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/members/tests/name_conflict.rs
+++ b/crates/membership/tests/name_conflict.rs
@@ -1,9 +1,9 @@
 //! Two processes of one name, and numbers at their limits, as they come over the wire.
 
-use meadowrill_members::plan::{Plan, SEC};
-use meadowrill_members::view::{Act, Change, Me, View};
-use meadowrill_members::wire::{write, Packet, Ping, RootDigest, Said, You};
-use meadowrill_members::Micros;
+use meadowrill_membership::plan::{Plan, SEC};
+use meadowrill_membership::view::{Act, Change, Me, View};
+use meadowrill_membership::wire::{write, Packet, Ping, RootDigest, Said, You};
+use meadowrill_membership::Micros;
 
 const NAME: &str = "front-2";
 const START: u64 = 50;
--- a/crates/members/tests/rings.rs
+++ b/crates/membership/tests/rings.rs
@@ -1,6 +1,6 @@
 //! Observers on the rings, and how few of them change with one member.
 
-use meadowrill_members::rings::Rings;
+use meadowrill_membership::rings::Rings;
 
 #[test]
 fn observers_are_many_and_change_little() {
--- a/crates/members/tests/rumors.rs
+++ b/crates/membership/tests/rumors.rs
@@ -1,6 +1,6 @@
 //! The order in which rumors are told, and how often.
 
-use meadowrill_members::rumors::Rumors;
+use meadowrill_membership::rumors::Rumors;
 
 #[test]
 fn newest_first_and_each_a_bounded_number_of_times() {
--- a/crates/front/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,6 +1,6 @@
 //! The program's clock.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time, moved on by the monotonic clock: a step of the system's time must not shift what is out.
--- a/crates/front/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,9 +2,9 @@
 
 use crate::{frame, ring};
 use meadowrill_admission::cost::LookupClass;
-use meadowrill_core::door;
-use meadowrill_core::interface::{Micros, Settings};
-use meadowrill_events::plan::TEXT_MOST;
+use meadowrill_routing::door;
+use meadowrill_routing::interface::{Micros, Settings};
+use meadowrill_event_distribution::plan::TEXT_MOST;
 use meadowrill_settings as own;
 use serde_json::Value;
 use slog::Level;
--- a/crates/front/src/front/actions.rs
+++ b/crates/proxy/src/front/actions.rs
@@ -6,8 +6,8 @@
 use crate::http;
 use crate::net::caches::Out;
 use crate::net::{Cause, Fault, Reach};
-use meadowrill_core::door::contained;
-use meadowrill_core::interface::*;
+use meadowrill_routing::door::contained;
+use meadowrill_routing::interface::*;
 use slog::{error, info};
 use std::cmp::Reverse;
 
--- a/crates/front/src/front/availability.rs
+++ b/crates/proxy/src/front/availability.rs
@@ -2,7 +2,7 @@
 //! is reported, by the readiness that it answers, a log line at each end and a metric; nothing is decided by it.
 
 use super::Front;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use slog::{info, warn};
 
 /// Lookups are refused for so long with no request taken by any machine, before that is an outage: longer than a
--- a/crates/front/src/front/events.rs
+++ b/crates/proxy/src/front/events.rs
@@ -3,10 +3,10 @@
 
 use super::Front;
 use crate::report::events::log_notice;
-use meadowrill_core::door::{contained, stable};
-use meadowrill_core::interface::{Action, Event, Micros};
-use meadowrill_events::event::{Event as Distributed, Purge, PurgeKey};
-use meadowrill_events::output::Output;
+use meadowrill_routing::door::{contained, stable};
+use meadowrill_routing::interface::{Action, Event, Micros};
+use meadowrill_event_distribution::event::{Event as Distributed, Purge, PurgeKey};
+use meadowrill_event_distribution::output::Output;
 use slog::error;
 
 impl Front {
--- a/crates/front/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -4,8 +4,8 @@
 use crate::net::journal::{self, Change, Journal, Member, News};
 use crate::net::Poll;
 use compact_str::CompactString;
-use meadowrill_core::door::stable;
-use meadowrill_core::interface::*;
+use meadowrill_routing::door::stable;
+use meadowrill_routing::interface::*;
 use slog::{info, warn};
 
 impl Front {
--- a/crates/front/src/front/lookups.rs
+++ b/crates/proxy/src/front/lookups.rs
@@ -5,7 +5,7 @@
 use crate::net::Cause;
 use meadowrill_admission::identity::RequestOrigin;
 use meadowrill_admission::request::{Completion, Decision, LookupRequest, Ticket};
-use meadowrill_core::interface::*;
+use meadowrill_routing::interface::*;
 use slog::debug;
 use smallvec::SmallVec;
 use std::net::IpAddr;
--- a/crates/front/src/front/outcomes.rs
+++ b/crates/proxy/src/front/outcomes.rs
@@ -5,8 +5,8 @@
 use crate::frame;
 use crate::net::caches::{ending, report, Ended};
 use meadowrill_admission::request::Completion;
-use meadowrill_core::door::remark;
-use meadowrill_core::interface::*;
+use meadowrill_routing::door::remark;
+use meadowrill_routing::interface::*;
 use slog::debug;
 
 impl Front {
--- a/crates/front/src/front/passage.rs
+++ b/crates/proxy/src/front/passage.rs
@@ -3,7 +3,7 @@
 use super::Front;
 use crate::frame;
 use meadowrill_admission::request::{AdmissionEvent, Rejection};
-use meadowrill_core::interface::*;
+use meadowrill_routing::interface::*;
 use slog::debug;
 
 use super::lookups::{Effect, Taken};
--- a/crates/front/src/front/tests.rs
+++ b/crates/proxy/src/front/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 use crate::clock::Clock;
-use meadowrill_events::output::Output;
-use meadowrill_events::plan::{Identity, Plan as EventsPlan, RelayAddress, RelayPlan};
-use meadowrill_events::publisher::Publisher;
-use meadowrill_standins::{ask, config, header, ok, Cache, Journal, Seen, HANG, OBJECT};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::plan::{Identity, Plan as EventsPlan, RelayAddress, RelayPlan};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_test_servers::{ask, config, header, ok, Cache, Journal, Seen, HANG, OBJECT};
 use slog::{o, Discard};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -74,7 +74,7 @@
         let (cache, journal) = (Cache::start(ok(b"fine")), Journal::start());
         let json = config(&[("s-a", cache.address)], journal.address);
         let mut config = Config::read(&json.to_string(), |_| None).unwrap();
-        let mut fleet = meadowrill_members::plan::Plan::new("127.0.0.1:0".parse().unwrap());
+        let mut fleet = meadowrill_membership::plan::Plan::new("127.0.0.1:0".parse().unwrap());
         fleet.fleet = "test".into();
         config.own.fleet = Some(fleet);
         config.own.events = Some(plan);
--- a/crates/front/src/front/timer.rs
+++ b/crates/proxy/src/front/timer.rs
@@ -1,6 +1,6 @@
 //! What the loop is set to ring for.
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
--- a/crates/front/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,7 +20,7 @@
 use cli::{Cli, Command};
 use config::Config;
 use logging::Log;
-use meadowrill_standins::demo;
+use meadowrill_test_servers::demo;
 use slog::{crit, error, info, o, Logger};
 use std::net::TcpListener;
 use std::path::PathBuf;
--- a/crates/front/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    meadowrill_front::main(None)
+    meadowrill_proxy::main(None)
 }
--- a/crates/front/src/net/caches.rs
+++ b/crates/proxy/src/net/caches.rs
@@ -5,7 +5,7 @@
 use crate::sorted::Sorted;
 use calloop::Readiness;
 use compact_str::CompactString;
-use meadowrill_core::interface::{Ending, Micros, PeerIx};
+use meadowrill_routing::interface::{Ending, Micros, PeerIx};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/front/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -4,7 +4,7 @@
 use super::{Key, Link, Poll};
 use crate::frame::{self, Frame, Request, Who};
 use calloop::Readiness;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::{IpAddr, TcpStream};
--- a/crates/front/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -2,7 +2,7 @@
 //! is counted.
 
 use super::{Key, Poll};
-use meadowrill_members::wire::MOST;
+use meadowrill_membership::wire::MOST;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
--- a/crates/front/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -1,10 +1,10 @@
 //! The subscription to events: datagrams and time go to it, and what it wants done is kept, in order, for the loop.
 
-use meadowrill_core::door::contained;
-use meadowrill_core::interface::Micros;
-use meadowrill_events::output::{Output, SubscriberStatus};
-use meadowrill_events::plan::{Identity, Plan};
-use meadowrill_events::subscriber::{CopyBound, Subscriber};
+use meadowrill_routing::door::contained;
+use meadowrill_routing::interface::Micros;
+use meadowrill_event_distribution::output::{Output, SubscriberStatus};
+use meadowrill_event_distribution::plan::{Identity, Plan};
+use meadowrill_event_distribution::subscriber::{CopyBound, Subscriber};
 
 pub struct Subscription {
     plan: Plan,
--- a/crates/front/src/net/journal.rs
+++ b/crates/proxy/src/net/journal.rs
@@ -2,7 +2,7 @@
 
 use super::{Key, Link, Poll};
 use calloop::Readiness;
-use meadowrill_core::interface::{Micros, Standing};
+use meadowrill_routing::interface::{Micros, Standing};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/front/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -15,7 +15,7 @@
 use crate::ring::{Ring, Tally};
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use meadowrill_core::interface::Ending;
+use meadowrill_routing::interface::Ending;
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll;
 use rustix::event::Timespec;
--- a/crates/front/src/net/tests.rs
+++ b/crates/proxy/src/net/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use meadowrill_core::door::contained;
+use meadowrill_routing::door::contained;
 
 #[test]
 fn panics_are_values() {
--- a/crates/front/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,5 +1,5 @@
 //! `meadowrill relay`: a process that hands on numbered events, or publishes them, over one socket for datagrams. It has
-//! no clients and no lookups. What it does is decided in `meadowrill_events`; here datagrams, time and the journal
+//! no clients and no lookups. What it does is decided in `meadowrill_event_distribution`; here datagrams, time and the journal
 //! service's words are only carried.
 
 mod feed;
@@ -16,9 +16,9 @@
 use crate::net::{Gathered, Key, Poll};
 use crate::report::{self, events::FeedReport};
 use calloop::EventLoop;
-use meadowrill_core::interface::Micros;
-use meadowrill_events::event::{Event, LogPosition, Purge, PurgeKey};
-use meadowrill_events::output::Output;
+use meadowrill_routing::interface::Micros;
+use meadowrill_event_distribution::event::{Event, LogPosition, Purge, PurgeKey};
+use meadowrill_event_distribution::output::Output;
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
 use slog::{crit, error, info, o, warn, Logger};
--- a/crates/front/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -1,13 +1,13 @@
 //! What feeds subscribers: a relay, or a publisher.
 
 use super::settings::RelaySettings;
-use meadowrill_core::door::stable;
-use meadowrill_core::interface::Micros;
-use meadowrill_events::event::{Event, LogPosition};
-use meadowrill_events::output::{FeedStatus, Output, SubscriberStatus};
-use meadowrill_events::plan::Identity;
-use meadowrill_events::publisher::Publisher;
-use meadowrill_events::relay::Relay;
+use meadowrill_routing::door::stable;
+use meadowrill_routing::interface::Micros;
+use meadowrill_event_distribution::event::{Event, LogPosition};
+use meadowrill_event_distribution::output::{FeedStatus, Output, SubscriberStatus};
+use meadowrill_event_distribution::plan::Identity;
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::relay::Relay;
 
 pub(super) enum Feed {
     Relay(Box<Relay>),
--- a/crates/front/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -11,7 +11,7 @@
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_admission::report::{AdmissionReport, ClientReport, TenantCounters, TenantReport};
 use meadowrill_admission::request::RejectReason;
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
@@ -76,7 +76,7 @@
             self.waits.clone(),
         );
         registry.register_collector(Box::new(AdmissionCollector(door.report())));
-        let mut own = Registry::with_prefix("meadowrill_front");
+        let mut own = Registry::with_prefix("meadowrill_proxy");
         own.register_collector(Box::new(availability::Seen::new(availability)));
         let mut registries = vec![registry, own];
         if let Some(fronts) = fronts {
--- a/crates/front/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -3,15 +3,15 @@
 
 use super::fleet::{Labels, Named, Seen};
 use crate::net::fronts::Fronts;
-use meadowrill_core::interface::Micros;
-use meadowrill_events::event::LogPosition;
-use meadowrill_events::output::{Counters, FedStatus, FeedStatus, Notice, Rejected, SubscriberStatus};
+use meadowrill_routing::interface::Micros;
+use meadowrill_event_distribution::event::LogPosition;
+use meadowrill_event_distribution::output::{Counters, FedStatus, FeedStatus, Notice, Rejected, SubscriberStatus};
 use serde_json::{json, Value};
 use slog::{error, info, warn, Logger};
 use std::fmt::Write;
 
 /// Of the names of metrics.
-pub const PREFIX: &str = "meadowrill_events";
+pub const PREFIX: &str = "meadowrill_event_distribution";
 /// The sides of a member, as metrics tell them apart.
 const SUBSCRIBERS: &str = "subscribers";
 const UPSTREAM: &str = "upstream";
--- a/crates/front/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -1,6 +1,6 @@
 //! Answers of caches in odd forms: faulty, in pieces, behind interim ones, or late behind another.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
 use std::sync::mpsc::channel;
--- a/crates/front/tests/availability.rs
+++ b/crates/proxy/tests/availability.rs
@@ -1,8 +1,8 @@
 //! A front that is up and serves nobody shows it: by its readiness, two log lines and a metric. Trouble that is short, or
 //! in which machines still take requests, shows nothing.
 
-use meadowrill_standins::journal::Speaking;
-use meadowrill_standins::*;
+use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::*;
 use serde_json::{json, Value};
 use std::io::BufRead;
 use std::net::{Shutdown, SocketAddr};
--- a/crates/front/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -1,7 +1,7 @@
 //! How the front closes: it says so, writes all, shuts its side and reads on to the peer's end, so that no byte that
 //! crosses the close becomes a reset that takes a written answer with it; and what it owes at its own end.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
--- a/crates/front/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -2,7 +2,7 @@
 //! answer, fail, break off, hang, answer twice or close; drains and returns; the program held still now and then; and in
 //! the end the signal to end with lookups open. What is checked holds in every order of events.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/front/tests/customers.rs
+++ b/crates/proxy/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Other customers' settings: the program starts with what it is told, whatever the names, and serves; what is faulty
 //! ends the start with the name of the key.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::{json, Value};
 
 type Change = fn(&mut Value);
--- a/crates/front/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The journal service: what it tells of the list and of purges, and its connection: silence, half a line, gaps, and a
 //! descriptor for it whatever else is open.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::time::Duration;
--- a/crates/front/tests/frames.rs
+++ b/crates/proxy/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames of clients that cannot be used: each is answered once, and hurts nobody else.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use std::io::Write;
 use std::thread;
 
--- a/crates/front/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Clients that leave: whoever has closed or cancelled has gone, and nothing is begun for them any more, wherever
 //! their lookup is just then. Crossings are forced by order: the peers are stepped by the test.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::net::Shutdown;
 use std::time::Duration;
--- a/crates/front/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The limits on descriptors and memory, with clients that are many, slow, silent or hold on.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::io::Write;
 use std::thread;
--- a/crates/front/tests/lookups.rs
+++ b/crates/proxy/tests/lookups.rs
@@ -1,6 +1,6 @@
 //! Lookups that are served: what a client asks for reaches the cache unchanged, and what the cache says the client.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/front/tests/pooled.rs
+++ b/crates/proxy/tests/pooled.rs
@@ -1,6 +1,6 @@
 //! Connections to caches: what comes, ends or changes while one is coming up, kept, or in the middle of an answer.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/front/tests/process.rs
+++ b/crates/proxy/tests/process.rs
@@ -1,7 +1,7 @@
 //! The program as a process: how it starts, follows one that was killed, logs and ends.
 
-use meadowrill_standins::program::own_address;
-use meadowrill_standins::*;
+use meadowrill_test_servers::program::own_address;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::io::Write;
 use std::time::{Duration, Instant};
--- a/crates/front/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -1,7 +1,7 @@
 //! A new configuration under way: what it changes takes effect, and nothing else is disturbed by it.
 
-use meadowrill_standins::journal::Speaking;
-use meadowrill_standins::*;
+use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::io::Write;
 use std::time::{Duration, Instant};
--- a/crates/front/tests/sends.rs
+++ b/crates/proxy/tests/sends.rs
@@ -1,6 +1,6 @@
 //! Sends that bring no service: what their end proves, and what the client is told then.
 
-use meadowrill_standins::*;
+use meadowrill_test_servers::*;
 use std::net::TcpListener;
 
 #[test]
--- a/crates/front/tests/shared.rs
+++ b/crates/proxy/tests/shared.rs
@@ -1,7 +1,7 @@
 //! What two fronts share, as operators and clients see it. What happens when things fail between them is the rig's.
 
-use meadowrill_standins::program::{operator, own_address};
-use meadowrill_standins::{ask, config, frame, ok, until, Cache, Client, Journal, Program, Seen};
+use meadowrill_test_servers::program::{operator, own_address};
+use meadowrill_test_servers::{ask, config, frame, ok, until, Cache, Client, Journal, Program, Seen};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/front/tests/turns.rs
+++ b/crates/proxy/tests/turns.rs
@@ -1,8 +1,8 @@
 //! The door from outside: the program on loopback sockets, with settings of its own.
 
-use meadowrill_standins::load::{later, Counts, Load, Manners};
-use meadowrill_standins::service::{Directory, Service};
-use meadowrill_standins::*;
+use meadowrill_test_servers::load::{later, Counts, Load, Manners};
+use meadowrill_test_servers::service::{Directory, Service};
+use meadowrill_test_servers::*;
 use serde_json::json;
 use std::io::{BufRead, Read, Write};
 use std::os::unix::net::UnixStream;
--- a/crates/replica/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod snapshot;
 pub mod wire;
 
-pub use meadowrill_members::{mutant, Micros};
+pub use meadowrill_membership::{mutant, Micros};
 
 /// One second.
 pub const SEC: Micros = 1_000_000;
--- a/crates/replica/src/replica/counts.rs
+++ b/crates/replication/src/replica/counts.rs
@@ -3,7 +3,7 @@
 use crate::kind::Kind;
 use crate::wire::MessageKind;
 use crate::Micros;
-use meadowrill_members::envelope::Dropped;
+use meadowrill_membership::envelope::Dropped;
 use std::collections::BTreeMap;
 
 /// What one replica has sent, received and merged since its start.
--- a/crates/replica/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -7,7 +7,7 @@
 use crate::record::{entry, hash, Entry, Key};
 use crate::wire::{self, Body, Delta, Packet, Record};
 use crate::Micros;
-use meadowrill_members::envelope::Dropped;
+use meadowrill_membership::envelope::Dropped;
 use std::collections::BTreeSet;
 
 /// Ages of records that are kept for the host to take.
--- a/crates/replica/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::record::{entry, record, Key};
 use crate::wire::Record;
 use crate::Micros;
-use meadowrill_members::envelope::{self, Dropped};
+use meadowrill_membership::envelope::{self, Dropped};
 use prost::Message;
 
 const MARK: [u8; 2] = *b"ms";
--- a/crates/replica/src/wire.rs
+++ b/crates/replication/src/wire.rs
@@ -1,7 +1,7 @@
 //! The messages between fronts about what they share, in the envelope that the membership view uses as well
 //! (`members::envelope`): marked `mp` in a datagram, and `mq` when packed for a stream.
 
-use meadowrill_members::envelope::{self, Dropped};
+use meadowrill_membership::envelope::{self, Dropped};
 use prost::Message;
 
 /// Marks a message in a datagram.
--- a/crates/replica/tests/map.rs
+++ b/crates/replication/tests/map.rs
@@ -1,8 +1,8 @@
 //! The bounds of the map: which records are evicted, and that nothing is left of those that expired.
 
-use meadowrill_replica::kinds::Kind;
-use meadowrill_replica::map::{Entry, Key, Map, Room, Took};
-use meadowrill_replica::{Micros, SEC};
+use meadowrill_replication::kinds::Kind;
+use meadowrill_replication::map::{Entry, Key, Map, Room, Took};
+use meadowrill_replication::{Micros, SEC};
 
 fn entry(rank: u64, until: Micros) -> Entry {
     Entry { rank: (rank, 0), value: vec![rank as u8; 4], until }
--- a/crates/replica/tests/opinion.rs
+++ b/crates/replication/tests/opinion.rs
@@ -1,7 +1,7 @@
 //! Opinions of several fronts' observations: one that lies moves them little, the young and the near count more.
 
-use meadowrill_replica::kinds::Sight;
-use meadowrill_replica::opinion::of;
+use meadowrill_replication::kinds::Sight;
+use meadowrill_replication::opinion::of;
 
 fn sight(writer: &str, number: f64) -> Sight {
     Sight { writer: writer.into(), zone: "east".into(), numbers: vec![number], at: 1_000_000 }
--- a/crates/core/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use common::{settings, Draws, Queue};
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
 const SEC: Micros = 1_000_000;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 pub use settings::settings;
 
-use meadowrill_core::interface::Micros;
+use meadowrill_routing::interface::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/core/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of the scenarios.
 
-use meadowrill_core::interface::Settings;
+use meadowrill_routing::interface::Settings;
 
 /// Those of the scenarios, with what differs.
 pub fn settings(more: &[(&str, String)]) -> Settings {
--- a/crates/core/tests/decision_trace/world.rs
+++ b/crates/routing/tests/decision_trace/world.rs
@@ -3,8 +3,8 @@
 
 use crate::random::Random;
 use crate::trace::write_action;
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MILLIS: Micros = 1_000;
--- a/crates/core/tests/jam.rs
+++ b/crates/routing/tests/jam.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::{settings, Draws, Queue};
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SEC: Micros = 1_000_000;
--- a/crates/core/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -20,8 +20,8 @@
 
 mod trace;
 
-use meadowrill_core::control::Front;
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Default)]
--- a/crates/core/tests/trace/mod.rs
+++ b/crates/routing/tests/trace/mod.rs
@@ -17,7 +17,7 @@
 //!
 //! Set `RECORD_TRACES=1` to write recordings in place of the comparison.
 
-use meadowrill_core::interface::*;
+use meadowrill_routing::interface::*;
 use std::fmt::Write;
 use std::path::PathBuf;
 
--- a/crates/settings/src/events.rs
+++ b/crates/settings/src/events.rs
@@ -1,9 +1,9 @@
 //! `fleet { region events { ... } relay { ... } }`: how events come from relays, and what a relay does.
 
 use super::{address, fault, Faulty, Fleet, Node};
-use meadowrill_events::plan::{Faulty as PlanFaulty, Plan, RelayAddress, RelayPlan, TEXT_MOST};
-use meadowrill_events::plan::{MILLISECOND, SECOND};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::plan::{Faulty as PlanFaulty, Plan, RelayAddress, RelayPlan, TEXT_MOST};
+use meadowrill_event_distribution::plan::{MILLISECOND, SECOND};
+use meadowrill_event_distribution::Micros;
 use std::net::SocketAddr;
 
 /// What a relay process is to do.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,9 +8,9 @@
 
 use ipnet::IpNet;
 use meadowrill_admission::config::{AdmissionConfig, ClientKey, QueueDiscipline, Tenant};
-use meadowrill_events::plan as distribution;
-use meadowrill_members::plan::{self as fleet, Plan as Fleet};
-use meadowrill_replica::plan as replica;
+use meadowrill_event_distribution::plan as distribution;
+use meadowrill_membership::plan::{self as fleet, Plan as Fleet};
+use meadowrill_replication::plan as replica;
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
 use std::fmt;
--- a/crates/settings/tests/events.rs
+++ b/crates/settings/tests/events.rs
@@ -1,6 +1,6 @@
 //! The settings of events and relays: what is read, and how a faulty key is named.
 
-use meadowrill_events::plan::{Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
+use meadowrill_event_distribution::plan::{Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND};
 use meadowrill_settings::{read, Publish, Relay};
 
 const GOOD: &str = r#"fleet {
--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,9 +3,9 @@
 mod codec;
 
 use codec::{Address, Arrival, Batch, Deed, Line, Malformed};
-use meadowrill_core::control::Front;
-use meadowrill_core::door::{contained, micros, remark, settings, Indices};
-use meadowrill_core::interface::*;
+use meadowrill_routing::control::Front;
+use meadowrill_routing::door::{contained, micros, remark, settings, Indices};
+use meadowrill_routing::interface::*;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
--- a/fuzz/fuzz_targets/events.rs
+++ b/fuzz/fuzz_targets/events.rs
@@ -4,13 +4,13 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use meadowrill_events::output::Output;
-use meadowrill_events::plan::{Identity, Plan, RelayAddress, RelayPlan, SECOND};
-use meadowrill_events::publisher::Publisher;
-use meadowrill_events::relay::Relay;
-use meadowrill_events::subscriber::Subscriber;
-use meadowrill_events::wire::{self, DATAGRAM_MOST};
-use meadowrill_events::Micros;
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::plan::{Identity, Plan, RelayAddress, RelayPlan, SECOND};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::wire::{self, DATAGRAM_MOST};
+use meadowrill_event_distribution::Micros;
 use std::net::SocketAddr;
 
 const FLEET: u64 = 7;
--- a/fuzz/fuzz_targets/heard.rs
+++ b/fuzz/fuzz_targets/heard.rs
@@ -4,9 +4,9 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use meadowrill_members::plan::{Plan, SEC};
-use meadowrill_members::view::{Act, Me, View};
-use meadowrill_members::wire::{CHUNK_MOST, MOST};
+use meadowrill_membership::plan::{Plan, SEC};
+use meadowrill_membership::view::{Act, Me, View};
+use meadowrill_membership::wire::{CHUNK_MOST, MOST};
 
 fuzz_target!(|bytes: &[u8]| {
     let mut plan = Plan::new("127.0.0.2:7000".parse().expect("an address"));
--- a/fuzz/fuzz_targets/shared.rs
+++ b/fuzz/fuzz_targets/shared.rs
@@ -4,10 +4,10 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use meadowrill_replica::ledger::Terms;
-use meadowrill_replica::plan::{Ledger, Plan};
-use meadowrill_replica::replica::{Peer, Replica};
-use meadowrill_replica::SEC;
+use meadowrill_replication::ledger::Terms;
+use meadowrill_replication::plan::{Ledger, Plan};
+use meadowrill_replication::replica::{Peer, Replica};
+use meadowrill_replication::SEC;
 
 const NOW: i64 = 1000 * SEC;
 
