--- a/crates/admission/src/identity.rs
+++ b/crates/admission/src/identity.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{AdmissionConfig, ClientKey};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use meadowrill_routing::door::stable;
+use meadowrill_routing::host::stable_id;
 use prefix_trie::PrefixMap;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -62,7 +62,7 @@
             ipv6_networks: PrefixMap::new(),
             field_values: BTreeMap::new(),
             client_key: config.client_key.clone(),
-            tenant_hashes: config.tenants.iter().map(|tenant| stable(&tenant.name)).collect(),
+            tenant_hashes: config.tenants.iter().map(|tenant| stable_id(&tenant.name)).collect(),
             seed,
         };
         for (place, tenant) in (0u16..).zip(&config.tenants) {
--- a/crates/benchmarks/src/fleet.rs
+++ b/crates/benchmarks/src/fleet.rs
@@ -2,11 +2,11 @@
 //! own health; then processes of the program, with faults between them.
 
 use crate::figures::{Figures, Goal};
-use meadowrill_membership::plan::SEC;
-use meadowrill_membership::view::View;
 use meadowrill_fault_injection::baselines::{Heartbeats, Swim};
 use meadowrill_fault_injection::model::{Config, Fleet, Network, Peer};
 use meadowrill_fault_injection::script::{play, Tools};
+use meadowrill_membership::plan::SEC;
+use meadowrill_membership::view::View;
 
 const NEVER: f64 = f64::INFINITY;
 
--- a/crates/benchmarks/src/replica.rs
+++ b/crates/benchmarks/src/replica.rs
@@ -2,13 +2,13 @@
 //! same build that shares nothing.
 
 use crate::figures::{Figures, Goal};
-use meadowrill_replication::kinds::Kind;
-use meadowrill_replication::plan::{Ledger, Plan, Unwritten};
-use meadowrill_replication::SEC;
 use meadowrill_fault_injection::fleet::{self, Fleet};
 use meadowrill_fault_injection::script::{play, Tools};
 use meadowrill_fault_injection::serving::Clients;
 use meadowrill_fault_injection::shared::{effects, Faults, Shared};
+use meadowrill_replication::kinds::Kind;
+use meadowrill_replication::plan::{Ledger, Plan, Unwritten};
+use meadowrill_replication::SEC;
 use meadowrill_test_servers::ask;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/benchmarks/src/scale/shared.rs
+++ b/crates/benchmarks/src/scale/shared.rs
@@ -4,14 +4,14 @@
 use super::meter::{self, thread_time, timed, Held};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
+use meadowrill_fault_injection::name;
+use meadowrill_fault_injection::shared::Shared;
 use meadowrill_replication::kinds::{self, Claim, Kind, Machine, Ran, Sight};
 use meadowrill_replication::map::{record, Entry, Key, Map, Room};
 use meadowrill_replication::plan::Plan;
 use meadowrill_replication::replica::{sight_of_machine, Replica};
 use meadowrill_replication::wire::Record;
 use meadowrill_replication::{Micros, SEC};
-use meadowrill_fault_injection::name;
-use meadowrill_fault_injection::shared::Shared;
 
 const FLEETS: [usize; 5] = [16, 32, 64, 128, 256];
 const RATES: [u64; 7] = [1, 2, 5, 15, 30, 60, 120];
--- a/crates/benchmarks/src/scale/view.rs
+++ b/crates/benchmarks/src/scale/view.rs
@@ -6,11 +6,11 @@
 use super::meter::{thread_time, Held};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
+use meadowrill_fault_injection::model::{address, Config, Fleet};
+use meadowrill_fault_injection::name;
 use meadowrill_membership::plan::{Plan, SEC};
 use meadowrill_membership::view::{Me, View};
 use meadowrill_membership::Micros;
-use meadowrill_fault_injection::model::{address, Config, Fleet};
-use meadowrill_fault_injection::name;
 
 const SIZES: [usize; 5] = [24, 48, 96, 192, 384];
 /// Measured for the start, calm, a death and memory only: the other events take minutes there.
--- a/crates/fault-injection/tests/model.rs
+++ b/crates/fault-injection/tests/model.rs
@@ -1,10 +1,10 @@
 //! Whole fleets of real views in one process, by seed: starts, deaths, splits, pauses, losses, garbage.
 
+use meadowrill_fault_injection::model::{Config, Fleet, Network};
+use meadowrill_fault_injection::name;
 use meadowrill_membership::claim::State;
 use meadowrill_membership::plan::SEC;
 use meadowrill_membership::view::{Change, View};
-use meadowrill_fault_injection::model::{Config, Fleet, Network};
-use meadowrill_fault_injection::name;
 
 fn started(many: usize, seed: u64) -> Fleet<View> {
     let mut fleet = Fleet::views(Config::new(many, seed));
--- a/crates/fault-injection/tests/shared.rs
+++ b/crates/fault-injection/tests/shared.rs
@@ -1,9 +1,9 @@
 //! Shared state in one process, by seed: effects, purges, catching up, whatever fails meanwhile.
 
+use meadowrill_fault_injection::shared::{effects, Faults, Shared};
 use meadowrill_replication::kinds::Kind;
 use meadowrill_replication::plan::{Ledger, Plan, Unwritten};
 use meadowrill_replication::SEC;
-use meadowrill_fault_injection::shared::{effects, Faults, Shared};
 
 fn plan() -> Plan {
     Plan { ledger: Some(Ledger::default()), ..Plan::default() }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,9 +2,9 @@
 
 use crate::{frame, ring};
 use meadowrill_admission::cost::LookupClass;
-use meadowrill_routing::door;
-use meadowrill_routing::interface::{Micros, Settings};
 use meadowrill_event_distribution::plan::TEXT_MOST;
+use meadowrill_routing::host;
+use meadowrill_routing::interface::{Micros, Settings};
 use meadowrill_settings as own;
 use serde_json::Value;
 use slog::Level;
@@ -290,10 +290,10 @@
             let effect = repeat.is_some_and(|repeat| repeat != "safe");
             let all = class.get("group").value.is_some_and(|group| group == "all");
             let ttl = class.get("key_ttl_s").number(0.0, 0.0)?;
-            let window = if keyed && all { door::micros(ttl) } else { 0 };
+            let window = if keyed && all { host::micros(ttl) } else { 0 };
             let admission = LookupClass {
                 worth: class.get("worth").number(1.0, 0.0)?,
-                latency_budget: door::micros(class.get("goal_time_s").number(1.0, 0.0)?),
+                latency_budget: host::micros(class.get("goal_time_s").number(1.0, 0.0)?),
                 budget_stretch: class.get("aim_stretch").number(0.0, 0.0)?,
             };
             Ok(Class { name, deadline_ms, admission, keyed, effect, window })
@@ -325,22 +325,22 @@
             path: PathBuf::new(),
             own_path: None,
             own: own::Settings::default(),
-            longest_away: if advises { door::micros(longest_away) } else { 0 },
+            longest_away: if advises { host::micros(longest_away) } else { 0 },
             name,
             log: Shown::new(log),
             listen: address("listen", "BALANCER_LISTEN")?,
             journal: root.get("journal").address()?,
             seed,
-            settings: door::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
+            settings: host::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
             known: known.need()?.clone(),
             classes,
             zones: told.get("zones").names(None)?,
             machines: told.get("host_types").names(None)?,
             reports: told.get("feedback").get("fields").names(None)?,
             kb_per_byte: kb_per_s / bytes_per_s,
-            connect_timeout: door::micros(bounds.get("connect_timeout_s").number(CONNECT_TIMEOUT, 0.001)?),
-            conn_idle: door::micros(bounds.get("conn_idle_s").number(CONN_IDLE, 0.0)?),
-            longest: door::micros(longest / 1e3),
+            connect_timeout: host::micros(bounds.get("connect_timeout_s").number(CONNECT_TIMEOUT, 0.001)?),
+            conn_idle: host::micros(bounds.get("conn_idle_s").number(CONN_IDLE, 0.0)?),
+            longest: host::micros(longest / 1e3),
             clients,
             draining,
             caches: sockets - SPARE - clients - draining,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -32,10 +32,10 @@
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_admission::identity::IdentityResolver;
 use meadowrill_admission::request::{AdmissionEvent, CapacityLimits};
-use meadowrill_routing::control;
-use meadowrill_routing::door::{contained, Indices};
-use meadowrill_routing::interface::*;
 use meadowrill_event_distribution::subscriber::CopyBound;
+use meadowrill_routing::host::{catch_panic, EndpointIndices};
+use meadowrill_routing::interface::*;
+use meadowrill_routing::router;
 use slog::{debug, error, info, warn, Logger};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
@@ -67,7 +67,7 @@
     config: Config,
     log: Logger,
     clock: Clock,
-    module: control::Front,
+    module: router::Router,
     poll: Poll,
     listener: Option<(TcpListener, RegistrationToken)>,
     /// Connections may be waiting to be accepted.
@@ -89,9 +89,9 @@
     journal: Journal,
     /// Since when the journal service may have kept something back, as the decisions were told.
     behind: Option<Micros>,
-    machines: Indices<String>,
+    machines: EndpointIndices<String>,
     /// With the text that requests carry.
-    addresses: HashMap<PeerIx, (SocketAddr, CompactString)>,
+    addresses: HashMap<EndpointIndex, (SocketAddr, CompactString)>,
     lookups: HashMap<u32, Taken>,
     /// Those that may be over, since the module was last handed something.
     over: Vec<u32>,
@@ -128,7 +128,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let mut actions = Vec::new();
-        let module = control::Front::start(config.seed, config.settings.clone(), now, &mut actions);
+        let module = router::Router::new(config.seed, config.settings.clone(), now, &mut actions);
         let last = config.known["pos"].as_u64().unwrap_or(0);
         let kinds: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
         let bounds = CapacityLimits {
@@ -158,7 +158,7 @@
             caches: Caches::new(config.caches, config.conn_idle),
             journal: Journal::new(config.journal, last),
             behind: None,
-            machines: Indices::default(),
+            machines: EndpointIndices::default(),
             addresses: HashMap::new(),
             lookups: HashMap::new(),
             over: Vec::new(),
@@ -265,7 +265,7 @@
         gathered.extend(self.clients.more().into_iter().map(|n| (Key::Client(n), Readiness::EMPTY)));
         gathered.sort_unstable_by_key(|(key, _)| *key);
         for (key, ready) in gathered.drain(..) {
-            if let Err(panic) = contained(|| self.ready(key, ready, now)) {
+            if let Err(panic) = catch_panic(|| self.ready(key, ready, now)) {
                 error!(self.log, "panic at a connection"; "key" => ?key, "text" => panic);
                 match key {
                     Key::Client(number) => self.clients.drop(number, &self.poll),
@@ -288,7 +288,7 @@
                 }
             }
         }
-        let rest = contained(|| {
+        let rest = catch_panic(|| {
             self.ends(now);
             self.ring(now);
             self.admit(now);
@@ -417,7 +417,7 @@
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { return };
             match timer {
-                Timer::Ring(token) => self.events.push(Event::Rang { token }),
+                Timer::Ring(token) => self.events.push(Event::TimerFired { timer: token }),
                 Timer::Send(number, serial) => self.caches.fail(number, serial, Cause::TimeUp, &self.poll),
                 Timer::Connect(number, serial) => {
                     if self.caches.connecting(number, serial) {
@@ -493,7 +493,7 @@
                             taken.place.take().is_some_and(|place| self.admission.cancel(now, place));
                         let asking = taken.effect == Effect::Asking;
                         if !waited && !asking {
-                            self.events.push(Event::Left { id: lookup });
+                            self.events.push(Event::ClientLeft { id: lookup });
                         }
                         self.effect_over(lookup, None, now);
                         self.withdraw_unwritten(lookup);
--- a/crates/proxy/src/front/actions.rs
+++ b/crates/proxy/src/front/actions.rs
@@ -6,7 +6,7 @@
 use crate::http;
 use crate::net::caches::Out;
 use crate::net::{Cause, Fault, Reach};
-use meadowrill_routing::door::contained;
+use meadowrill_routing::host::catch_panic;
 use meadowrill_routing::interface::*;
 use slog::{error, info};
 use std::cmp::Reverse;
@@ -21,11 +21,11 @@
         let mut events = std::mem::replace(&mut self.events, std::mem::take(&mut self.spare.events));
         for event in events.drain(..) {
             let lookup = match &event {
-                Event::Asked(lk) => Some(lk.id),
-                Event::Ended(outcome) => Some(outcome.id),
+                Event::RequestArrived(lk) => Some(lk.id),
+                Event::AttemptEnded(outcome) => Some(outcome.id),
                 _ => None,
             };
-            if let Err(panic) = contained(|| module.hear(now, event, &mut actions)) {
+            if let Err(panic) = catch_panic(|| module.handle_event(now, event, &mut actions)) {
                 error!(self.log, "panic in the decisions"; "text" => panic);
                 failed.extend(lookup);
             }
@@ -33,10 +33,12 @@
         self.spare.events = events;
         for action in actions.drain(..) {
             let lookup = match &action {
-                Action::Send { id, .. } | Action::Nack { id, .. } | Action::Fail { id } => Some(*id),
+                Action::StartAttempt { id, .. } | Action::Reject { id, .. } | Action::Fail { id } => {
+                    Some(*id)
+                }
                 _ => None,
             };
-            if let Err(panic) = contained(|| self.carry_out(action, now)) {
+            if let Err(panic) = catch_panic(|| self.carry_out(action, now)) {
                 error!(self.log, "panic at an action"; "text" => panic);
                 failed.extend(lookup);
             }
@@ -46,7 +48,7 @@
         self.spare.actions = actions;
         for lookup in failed {
             self.answer(lookup, (frame::FAILED, &[], &[]), now);
-            self.events.push(Event::Left { id: lookup });
+            self.events.push(Event::ClientLeft { id: lookup });
         }
         self.ends(now);
         over.drain(..).for_each(|lookup| self.forget(lookup));
@@ -59,28 +61,48 @@
 
     pub(super) fn carry_out(&mut self, action: Action, now: Micros) {
         match action {
-            Action::Send { id, peer, time_out, fill } => self.send(id, peer, time_out, fill, now),
-            Action::Nack { id, come_back } => self.nack(id, come_back, now),
+            Action::StartAttempt { id, endpoint, timeout, fill } => {
+                self.send(id, endpoint, timeout, fill, now)
+            }
+            Action::Reject { id, retry_after } => self.nack(id, retry_after, now),
             Action::Fail { id } => self.answer(id, (frame::FAILED, &[], &[]), now),
-            Action::Cancel { id, send } => {
+            Action::CancelAttempt { id, attempt: send } => {
                 if let Some((number, serial)) = self.out(id, send) {
                     self.caches.fail(number, serial, Cause::Withdrawn, &self.poll);
                 }
             }
-            Action::Write { id, send } => {
+            Action::WriteAttempt { id, attempt: send } => {
                 if let Some((number, serial)) = self.out(id, send) {
                     self.caches.write(number, serial, &self.poll);
                 }
             }
-            Action::Ring { at, token } => self.timers.push(Reverse((at, Timer::Ring(token)))),
+            Action::SetTimer { at, timer: token } => self.timers.push(Reverse((at, Timer::Ring(token)))),
             // The journal service tells unasked.
-            Action::Subscribe => {}
-            Action::Forget { peer } => {
+            Action::PollDiscovery => {}
+            Action::ReleaseEndpoint { endpoint: peer } => {
                 self.caches.forget(peer, &self.poll);
                 self.addresses.remove(&peer);
                 self.machines.forget(peer);
             }
-            Action::Log(text) => info!(self.log, "{}", text),
+            Action::Log(event) => self.log_decision(event),
+        }
+    }
+
+    /// Words what the decisions have to say to an operator.
+    fn log_decision(&self, event: LogEvent) {
+        let endpoint = |stable_id: u64| format!("{stable_id:012x}");
+        match event {
+            LogEvent::EndpointLimitCut { stable_id, limit } => {
+                info!(self.log, "concurrency limit of an endpoint cut"; "endpoint" => endpoint(stable_id), "limit" => limit)
+            }
+            LogEvent::ParentLimitCut { stable_id, limit } => {
+                info!(self.log, "concurrency limit of a parent cut"; "endpoint" => endpoint(stable_id), "limit" => limit)
+            }
+            LogEvent::FillLimitCut { limit } => info!(self.log, "limit on fills cut"; "limit" => limit),
+            LogEvent::FetchLimitCut { limit } => info!(self.log, "limit on fetches cut"; "limit" => limit),
+            LogEvent::EndpointUnreachable { stable_id } => {
+                info!(self.log, "endpoint unreachable, treated as warming up"; "endpoint" => endpoint(stable_id))
+            }
         }
     }
 
@@ -89,7 +111,14 @@
         self.lookups.get(&id).and_then(|t| t.sends.get(usize::from(send)).copied().flatten())
     }
 
-    pub(super) fn send(&mut self, id: u32, peer: PeerIx, time_out: Micros, fill: Option<Fill>, now: Micros) {
+    pub(super) fn send(
+        &mut self,
+        id: u32,
+        peer: EndpointIndex,
+        timeout: Micros,
+        fill: Option<Fill>,
+        now: Micros,
+    ) {
         let shares = self.shares();
         let Some(taken) = self.lookups.get_mut(&id) else { return };
         let (number, left) = (taken.sends.len() as u8, taken.expires - now);
@@ -98,8 +127,8 @@
         }
         self.serial += 1;
         let out = Out { lookup: id, send: number, at: now, serial: self.serial };
-        let time_out = if time_out == 0 { left } else { time_out.min(left) };
-        let address = self.addresses.get(&peer).filter(|_| taken.owed && time_out > 0);
+        let timeout = if timeout == 0 { left } else { timeout.min(left) };
+        let address = self.addresses.get(&peer).filter(|_| taken.owed && timeout > 0);
         let Some((address, host)) = address else {
             taken.sends.push(None);
             let fault = Fault { reach: Reach::Unsent, cause: Cause::TimeUp };
@@ -113,15 +142,15 @@
             item: &request.item,
             slice: request.slice,
             txn: &request.txn,
-            wait_ms: (time_out / 1000).max(1),
+            wait_ms: (timeout / 1000).max(1),
             unique: request.unique.as_deref(),
             upstream: fill.filter(|f| f.source != peer).map(|f| self.machines.name(f.source).as_str()),
-            retain: fill.map_or(0, |f| f.keep),
+            retain: fill.map_or(0, |f| f.retention),
             // Rounded down: an age limit guards against copies from before a purge. 0 would lift it.
-            oldest_ms: fill.filter(|f| f.age > 0).map_or(0, |f| (f.age / 1000).max(1)),
+            oldest_ms: fill.filter(|f| f.max_age > 0).map_or(0, |f| (f.max_age / 1000).max(1)),
             ride: fill.is_some_and(|f| f.join),
-            have_only: fill.is_some_and(|f| f.held_only),
-            update: fill.is_some_and(|f| f.renew),
+            have_only: fill.is_some_and(|f| f.cached_only),
+            update: fill.is_some_and(|f| f.revalidate),
             known: request.seen.as_deref(),
             body: &request.body,
         };
@@ -129,7 +158,7 @@
         ask.write(&mut self.spare.request);
         let conn = self.caches.send(peer, *address, &self.spare.request, out, &mut self.poll);
         if let Some(conn) = conn {
-            self.timers.push(Reverse((now + time_out, Timer::Send(conn, self.serial))));
+            self.timers.push(Reverse((now + timeout, Timer::Send(conn, self.serial))));
             if self.caches.connecting(conn, self.serial) {
                 let limit = now + self.config.connect_timeout;
                 self.timers.push(Reverse((limit, Timer::Connect(conn, self.serial))));
--- a/crates/proxy/src/front/events.rs
+++ b/crates/proxy/src/front/events.rs
@@ -3,10 +3,10 @@
 
 use super::Front;
 use crate::report::events::log_notice;
-use meadowrill_routing::door::{contained, stable};
-use meadowrill_routing::interface::{Action, Event, Micros};
 use meadowrill_event_distribution::event::{Event as Distributed, Purge, PurgeKey};
 use meadowrill_event_distribution::output::Output;
+use meadowrill_routing::host::{catch_panic, stable_id};
+use meadowrill_routing::interface::{Action, Event, Micros};
 use slog::error;
 
 impl Front {
@@ -18,7 +18,7 @@
     pub(super) fn subscribe(&mut self, now: Micros) {
         let (Some(fronts), Some(plan)) = (&mut self.fronts, &self.config.own.events) else { return };
         // Fronts of one seed are not to draw the same pauses.
-        let seed = self.config.seed ^ stable(&self.config.name);
+        let seed = self.config.seed ^ stable_id(&self.config.name);
         fronts.subscribe(plan, &self.config.own.region, now, seed);
     }
 
@@ -66,7 +66,7 @@
         let ago = now - purge.stamp;
         self.metrics.purge_applied(ago as f64 / 1e6);
         let mut actions = std::mem::take(&mut self.spare.actions);
-        let decided = self.decide_at_once(now, Event::Purged { object, group, ago }, &mut actions);
+        let decided = self.decide_at_once(now, Event::Invalidated { object, group, age: ago }, &mut actions);
         self.spare.actions = actions;
         decided
     }
@@ -81,7 +81,7 @@
         if self.copy_bound == Some(bound) {
             return;
         }
-        let event = Event::CopiesBounded { not_before: bound.not_before, age: bound.age };
+        let event = Event::FreshnessBound { not_before: bound.not_before, max_age: bound.age };
         if self.decide_at_once(now, event, actions) {
             self.copy_bound = Some(bound);
         }
@@ -90,7 +90,7 @@
     /// One event ahead of all that waits for the decisions; false where they panicked.
     fn decide_at_once(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) -> bool {
         let module = &mut self.module;
-        let decided = contained(|| module.hear(now, event, actions));
+        let decided = catch_panic(|| module.handle_event(now, event, actions));
         if let Err(panic) = &decided {
             error!(self.log, "panic in the decisions"; "text" => panic);
         }
--- a/crates/proxy/src/front/fleet.rs
+++ b/crates/proxy/src/front/fleet.rs
@@ -5,9 +5,9 @@
 use super::Front;
 use crate::net::fronts::Fronts;
 use crate::net::Poll;
-use meadowrill_routing::interface::Micros;
 use meadowrill_membership::claim::State;
 use meadowrill_membership::view::Change;
+use meadowrill_routing::interface::Micros;
 use slog::{error, info, warn, Logger};
 use std::cmp::Reverse;
 
--- a/crates/proxy/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -4,7 +4,7 @@
 use crate::net::journal::{self, Change, Journal, Member, News};
 use crate::net::Poll;
 use compact_str::CompactString;
-use meadowrill_routing::door::stable;
+use meadowrill_routing::host::stable_id;
 use meadowrill_routing::interface::*;
 use slog::{info, warn};
 
@@ -30,7 +30,7 @@
         // stands for all of them.
         let since = self.journal.behind().filter(|_| !self.subscribes());
         if since != std::mem::replace(&mut self.behind, since) {
-            self.events.push(Event::OutOfTouch { since });
+            self.events.push(Event::DiscoveryLag { since });
         }
         if !any {
             return;
@@ -47,29 +47,30 @@
                 if let Some(fronts) = self.fronts.as_mut().filter(|fronts| fronts.subscription.is_none()) {
                     fronts.share(|replica, _| replica.put_purge(now, object, group, stamp));
                 }
-                self.events.push(Event::Purged { object, group, ago: now - stamp });
+                self.events.push(Event::Invalidated { object, group, age: now - stamp });
             }
             Ok(Change::Hosts { complete, members }) => {
                 info!(self.log, "list"; "complete" => complete, "members" => members.len());
                 let members: Vec<Member> = members.into_iter().map(|m| self.share_machine(m, now)).collect();
                 let ids: Vec<String> = members.iter().map(|m| m.id.clone()).collect();
                 let entries = members.into_iter().map(|m| self.entry(m)).collect();
-                let listing = if complete { Listing::Full(entries) } else { Listing::Delta(entries) };
-                self.events.push(Event::Listed(listing));
+                let listing =
+                    if complete { EndpointUpdate::Snapshot(entries) } else { EndpointUpdate::Delta(entries) };
+                self.events.push(Event::EndpointsUpdated(listing));
                 ids.iter().for_each(|id| self.recall_machine(id));
             }
         }
     }
 
-    pub(super) fn entry(&mut self, member: Member) -> Entry {
+    pub(super) fn entry(&mut self, member: Member) -> EndpointEntry {
         let peer = self.machines.of(&member.id);
         if let Some(address) = member.address {
             self.addresses.insert(peer, (address, CompactString::from(address.to_string())));
         }
-        if member.standing != Standing::Ready {
+        if member.standing != EndpointStatus::Ready {
             self.caches.forget(peer, &self.poll);
         }
-        let stable = stable(&member.id);
+        let stable = stable_id(&member.id);
         // The module's lines name machines by their stable numbers; here they can be looked up.
         info!(self.log, "machine"; "standing" => ?member.standing, "at" => self.addresses.get(&peer).map(|a| a.1.as_str()),
             "id" => &member.id, "kind" => &member.flavor, "place" => &member.locality, "stable" => format!("{stable:012x}"));
@@ -77,15 +78,15 @@
         let place = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX)
         };
-        Entry {
-            peer,
-            stable,
-            machine: place(&self.config.machines, &member.flavor),
-            since: member.up_since,
+        EndpointEntry {
+            endpoint: peer,
+            stable_id: stable,
+            machine_kind: place(&self.config.machines, &member.flavor),
+            started_at: member.up_since,
             zone: place(&self.config.zones, &member.locality),
             cell: member.cell,
             weight: member.size,
-            standing: member.standing,
+            status: member.standing,
         }
     }
 }
--- a/crates/proxy/src/front/lookups.rs
+++ b/crates/proxy/src/front/lookups.rs
@@ -32,7 +32,7 @@
     pub(super) effect: Effect,
     pub(super) ran: bool,
     /// Where state is shared: by the number of the send, the source that it named.
-    pub(super) sources: SmallVec<[PeerIx; 2]>,
+    pub(super) sources: SmallVec<[EndpointIndex; 2]>,
 }
 
 /// A lookup with an effect, at the ledger that the fronts share.
@@ -173,7 +173,7 @@
             }
             return self.nack(lookup, 0, now);
         }
-        self.events.push(Event::HalfClosed { id: lookup });
+        self.events.push(Event::ClientHalfClosed { id: lookup });
         self.withdraw_unwritten(lookup);
     }
 
--- a/crates/proxy/src/front/outcomes.rs
+++ b/crates/proxy/src/front/outcomes.rs
@@ -5,7 +5,7 @@
 use crate::frame;
 use crate::net::caches::{ending, report, Ended};
 use meadowrill_admission::request::Completion;
-use meadowrill_routing::door::remark;
+use meadowrill_routing::host::cache_status;
 use meadowrill_routing::interface::*;
 use slog::debug;
 
@@ -24,7 +24,7 @@
         let mut connected = std::mem::take(&mut self.spare.connected);
         self.caches.connected(&mut connected);
         for out in connected.drain(..) {
-            self.events.push(Event::Connected { id: out.lookup, send: out.send });
+            self.events.push(Event::AttemptConnected { id: out.lookup, attempt: out.send });
         }
         self.spare.connected = connected;
     }
@@ -41,7 +41,7 @@
         };
         let machine = self.machines.name(*peer);
         match result {
-            Ok(head) if ending != Ending::Satisfied => {
+            Ok(head) if ending != AttemptOutcome::Success => {
                 debug!(self.log, "send unsatisfied"; "lookup" => taken.request.txn.as_str(), "at" => machine,
                         "kind" => taken.request.verb.as_str(), "status" => head.status, "note" => head.note);
             }
@@ -51,26 +51,26 @@
                         "took" => now - out.at, "why" => %fault);
             }
         }
-        let mut outcome = Outcome {
+        let mut outcome = AttemptEnd {
             id: out.lookup,
-            send: out.send,
-            peer: *peer,
-            ending,
-            took: now - out.at,
+            attempt: out.send,
+            endpoint: *peer,
+            outcome: ending,
+            elapsed: now - out.at,
             finished: false,
-            remark: Remark::None,
+            cache_status: CacheStatus::Unknown,
             first_byte: None,
             size_kb: 0.0,
-            report: Vec::new(),
+            load_report: Vec::new(),
         };
         if let Ok(head) = result {
-            outcome.remark = remark(head.note);
+            outcome.cache_status = cache_status(head.note);
             outcome.first_byte = head.source_ms.map(|ms| (ms * 1e3) as Micros);
             outcome.size_kb = head.body as f64 * self.config.kb_per_byte;
-            outcome.report = report(&head.load, &self.config.reports);
-            if ending == Ending::Satisfied {
+            outcome.load_report = report(&head.load, &self.config.reports);
+            if ending == AttemptOutcome::Success {
                 // What carries no note came from a machine that does not tell; it counts as one that had it.
-                let hit = matches!(outcome.remark, Remark::Hit | Remark::None);
+                let hit = matches!(outcome.cache_status, CacheStatus::Hit | CacheStatus::Unknown);
                 taken.done = Completion { satisfied: true, hit, size_kb: outcome.size_kb, abandoned: false };
                 let current = head.status == 304;
                 let fields: &[(&str, &str)] = if current { &[("current", "1")] } else { &[] };
@@ -95,7 +95,7 @@
             self.saw_service(now);
         }
         outcome.finished = self.lookups.get(&out.lookup).is_none_or(|taken| !taken.owed);
-        self.events.push(Event::Ended(outcome));
+        self.events.push(Event::AttemptEnded(outcome));
         self.settle(out.lookup);
     }
 }
--- a/crates/proxy/src/front/passage.rs
+++ b/crates/proxy/src/front/passage.rs
@@ -24,8 +24,8 @@
     pub(super) fn decide(&mut self, lookup: u32) {
         let Some(Taken { request, kind, expires, .. }) = self.lookups.get(&lookup) else { return };
         let (object, part, group, size_kb) = (request.object, request.slice, request.set, request.size_kb);
-        let asked = Lookup { id: lookup, object, part, size_kb, group, kind: *kind, expires: *expires };
-        self.events.push(Event::Asked(asked));
+        let asked = Request { id: lookup, object, part, size_kb, group, class: *kind, deadline: *expires };
+        self.events.push(Event::RequestArrived(asked));
     }
 
     /// No send was made, so to try again is harmless whatever the class.
@@ -38,13 +38,13 @@
         self.nack(lookup, rejection.retry_after, now);
     }
 
-    pub(super) fn nack(&mut self, lookup: u32, come_back: Micros, now: Micros) {
+    pub(super) fn nack(&mut self, lookup: u32, retry_after: Micros, now: Micros) {
         // Nothing of this claim ran, but something of one before it may have.
         if self.lookups.get(&lookup).is_some_and(|t| t.effect == Effect::Out { again: true }) {
             return self.answer(lookup, (frame::FAILED, &[], &[]), now);
         }
-        let later = (come_back / 1000).to_string();
-        let fields: &[(&str, &str)] = if come_back >= 1000 { &[("later", &later)] } else { &[] };
+        let later = (retry_after / 1000).to_string();
+        let fields: &[(&str, &str)] = if retry_after >= 1000 { &[("later", &later)] } else { &[] };
         self.answer(lookup, (frame::NACKED, fields, &[]), now);
     }
 
--- a/crates/proxy/src/front/shared.rs
+++ b/crates/proxy/src/front/shared.rs
@@ -6,10 +6,10 @@
 use super::Front;
 use crate::frame;
 use crate::net::journal::Member;
-use meadowrill_routing::interface::*;
 use meadowrill_replication::kinds;
 use meadowrill_replication::ledger::{End, Terms, Word};
 use meadowrill_replication::replica::{sight_of_machine, thing, Act, Thing, Told};
+use meadowrill_routing::interface::*;
 use slog::{debug, info, warn};
 use std::fs::File;
 use std::io::{self, Write};
@@ -30,7 +30,7 @@
             match act {
                 Act::Word(word) => self.word(word, now),
                 Act::Purged { object, group, stamp } => {
-                    self.events.push(Event::Purged { object, group, ago: now - stamp });
+                    self.events.push(Event::Invalidated { object, group, age: now - stamp });
                 }
                 Act::Machine { id, start, phase, machine } => self.hearsay(&id, start, phase, &machine),
                 Act::Learned { what } => self.learned(&what),
@@ -118,12 +118,16 @@
         let Some(opinion) = replica.and_then(|replica| replica.opinion(what)) else { return };
         match (thing(what), opinion.numbers.as_slice()) {
             (Some(Thing::Object(object)), [highest, ..]) => {
-                self.events.push(Event::Recalled { object, highest: *highest as u32 });
+                self.events.push(Event::SharedLength { object, highest_part: *highest as u32 });
             }
             (Some(Thing::Machine(id)), [failing, first_byte, ..]) => {
                 if let Some(peer) = self.machines.known(&id) {
                     let first_byte = (*first_byte >= 0.0).then_some(*first_byte as Micros);
-                    self.events.push(Event::Thought { peer, failing: *failing, first_byte });
+                    self.events.push(Event::SharedEstimate {
+                        endpoint: peer,
+                        failure_rate: *failing,
+                        first_byte,
+                    });
                 }
             }
             _ => {}
@@ -143,11 +147,11 @@
             size: machine.size,
             up_since: start,
         };
-        if member.address.is_none() && standing != Standing::Gone {
+        if member.address.is_none() && standing != EndpointStatus::Removed {
             return;
         }
         let entry = self.entry(member);
-        self.events.push(Event::Listed(Listing::Delta(vec![entry])));
+        self.events.push(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     }
 
     /// What the journal service says of a machine, beside what others have heard: the later stands.
@@ -161,9 +165,9 @@
             size: member.size,
         };
         let phase = match member.standing {
-            Standing::Ready => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+            EndpointStatus::Ready => 0,
+            EndpointStatus::Draining => 1,
+            EndpointStatus::Removed => 2,
         };
         fronts.share(|replica, _| {
             replica.put_machine(now, &member.id, member.up_since, phase, &machine);
@@ -252,12 +256,15 @@
     }
 
     /// A send to a machine has ended, for those who come after.
-    pub(super) fn saw_end(&mut self, outcome: &Outcome) {
-        let source = self.lookups.get(&outcome.id).and_then(|t| t.sources.get(usize::from(outcome.send)));
-        let source = source.copied().filter(|source| *source != outcome.peer);
+    pub(super) fn saw_end(&mut self, outcome: &AttemptEnd) {
+        let source = self.lookups.get(&outcome.id).and_then(|t| t.sources.get(usize::from(outcome.attempt)));
+        let source = source.copied().filter(|source| *source != outcome.endpoint);
         let Some(fronts) = &mut self.fronts else { return };
-        let machine = self.machines.name(outcome.peer);
-        let failed = !matches!(outcome.ending, Ending::Satisfied | Ending::Miss | Ending::Cancelled);
+        let machine = self.machines.name(outcome.endpoint);
+        let failed = !matches!(
+            outcome.outcome,
+            AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
+        );
         fronts.share(|replica, _| replica.saw_end(machine, failed, None));
         if let (Some(source), Some(time)) = (source, outcome.first_byte) {
             let source = self.machines.name(source);
@@ -273,11 +280,11 @@
     }
 }
 
-fn standing(phase: u8) -> Standing {
+fn standing(phase: u8) -> EndpointStatus {
     match phase {
-        0 => Standing::Ready,
-        1 => Standing::Draining,
-        _ => Standing::Gone,
+        0 => EndpointStatus::Ready,
+        1 => EndpointStatus::Draining,
+        _ => EndpointStatus::Removed,
     }
 }
 
--- a/crates/proxy/src/net/caches.rs
+++ b/crates/proxy/src/net/caches.rs
@@ -5,7 +5,7 @@
 use crate::sorted::Sorted;
 use calloop::Readiness;
 use compact_str::CompactString;
-use meadowrill_routing::interface::{Ending, Micros, PeerIx};
+use meadowrill_routing::interface::{AttemptOutcome, EndpointIndex, Micros};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -28,32 +28,32 @@
 }
 
 /// What an answer stands for, to a request that told of the copy with this tag.
-pub fn ending(head: &http::Answer, known: Option<&str>) -> Ending {
+pub fn ending(head: &http::Answer, known: Option<&str>) -> AttemptOutcome {
     match (head.status, head.not_run) {
-        (200, _) => Ending::Satisfied,
+        (200, _) => AttemptOutcome::Success,
         // Without the copy named it may be another lookup's, come late: nobody said that this client's copy stands.
-        (304, _) if known.is_some_and(|tag| head.names(tag)) => Ending::Satisfied,
-        (404, _) => Ending::Miss,
-        (503, true) => Ending::TurnedAway,
-        (504, true) => Ending::Moot,
+        (304, _) if known.is_some_and(|tag| head.names(tag)) => AttemptOutcome::Success,
+        (404, _) => AttemptOutcome::Miss,
+        (503, true) => AttemptOutcome::Rejected,
+        (504, true) => AttemptOutcome::Superseded,
         // Whatever else a peer may say proves nothing.
-        _ => Ending::Error,
+        _ => AttemptOutcome::Error,
     }
 }
 
 /// The one end of a send. The body of an answer stays with its connection until that is released.
 pub struct Ended {
     pub out: Out,
-    pub peer: PeerIx,
+    pub peer: EndpointIndex,
     pub conn: u64,
     pub result: Result<http::Answer, Fault>,
 }
 
 impl Ended {
     /// Whether the machine took the request; one that says that it is full did not.
-    pub fn taken(&self, ending: Ending) -> bool {
+    pub fn taken(&self, ending: AttemptOutcome) -> bool {
         match &self.result {
-            Ok(_) => ending != Ending::TurnedAway,
+            Ok(_) => ending != AttemptOutcome::Rejected,
             Err(fault) => fault.reach.taken(),
         }
     }
@@ -61,7 +61,7 @@
 
 struct Conn {
     link: Link,
-    peer: PeerIx,
+    peer: EndpointIndex,
     address: SocketAddr,
     up: bool,
     /// Its request may be written: it was decided upon just now, or again once the connection was up.
@@ -115,8 +115,8 @@
 pub struct Caches {
     conns: HashMap<u64, Conn>,
     /// Kept connections by machine, the last used last, and by age.
-    kept: Sorted<(PeerIx, Micros, u64)>,
-    oldest: Sorted<(Micros, u64, PeerIx)>,
+    kept: Sorted<(EndpointIndex, Micros, u64)>,
+    oldest: Sorted<(Micros, u64, EndpointIndex)>,
     most: usize,
     life: Micros,
     ended: Vec<Ended>,
@@ -181,7 +181,7 @@
     }
 
     /// Ends a send that was never made.
-    pub fn refuse(&mut self, out: Out, peer: PeerIx, fault: Fault) {
+    pub fn refuse(&mut self, out: Out, peer: EndpointIndex, fault: Fault) {
         self.ended.push(Ended { out, peer, conn: 0, result: Err(fault) });
     }
 
@@ -189,7 +189,7 @@
     /// long as it is out.
     pub fn send(
         &mut self,
-        peer: PeerIx,
+        peer: EndpointIndex,
         address: SocketAddr,
         request: &[u8],
         out: Out,
@@ -222,7 +222,7 @@
         Some(number)
     }
 
-    fn reuse(&mut self, peer: PeerIx, address: SocketAddr, now: Micros, poll: &Poll) -> Option<u64> {
+    fn reuse(&mut self, peer: EndpointIndex, address: SocketAddr, now: Micros, poll: &Poll) -> Option<u64> {
         // What comes behind an answer, late, must not become the answer of the next lookup: a connection rests
         // a little, and what came on it by this round's wait was dealt with before any client was read. A read here
         // would see what came since, within a millisecond; what comes after it would still be taken for an answer.
@@ -241,7 +241,7 @@
         None
     }
 
-    fn open(&mut self, peer: PeerIx, address: SocketAddr, poll: &mut Poll) -> Result<u64, Fault> {
+    fn open(&mut self, peer: EndpointIndex, address: SocketAddr, poll: &mut Poll) -> Result<u64, Fault> {
         if self.conns.len() >= self.most {
             let Some(&(_, number, _)) = self.oldest.first() else {
                 return Err(Fault { reach: Reach::Unsent, cause: Cause::NoDescriptor });
@@ -272,7 +272,7 @@
         Ok(number)
     }
 
-    fn unkeep(&mut self, peer: PeerIx, since: Micros, number: u64) {
+    fn unkeep(&mut self, peer: EndpointIndex, since: Micros, number: u64) {
         self.kept.remove(&(peer, since, number));
         self.oldest.remove(&(since, number, peer));
     }
@@ -294,7 +294,7 @@
     }
 
     /// Closes the kept connections of a machine that is not to be used again.
-    pub fn forget(&mut self, peer: PeerIx, poll: &Poll) {
+    pub fn forget(&mut self, peer: EndpointIndex, poll: &Poll) {
         let kept: Vec<u64> = self.kept.iter().filter(|k| k.0 == peer).map(|(_, _, number)| *number).collect();
         for number in kept {
             self.drop(number, poll);
--- a/crates/proxy/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -1,10 +1,10 @@
 //! The subscription to events: datagrams and time go to it, and what it wants done is kept, in order, for the loop.
 
-use meadowrill_routing::door::contained;
-use meadowrill_routing::interface::Micros;
 use meadowrill_event_distribution::output::{Output, SubscriberStatus};
 use meadowrill_event_distribution::plan::{Identity, Plan};
 use meadowrill_event_distribution::subscriber::{CopyBound, Subscriber};
+use meadowrill_routing::host::catch_panic;
+use meadowrill_routing::interface::Micros;
 
 pub struct Subscription {
     plan: Plan,
@@ -35,7 +35,7 @@
     /// Where a step panics, what it knew is not to be relied on.
     fn step(&mut self, now: Micros, step: impl FnOnce(&mut Subscriber, &mut Vec<Output>)) {
         let (subscriber, outputs) = (&mut self.subscriber, &mut self.outputs);
-        let Err(panic) = contained(|| step(subscriber, outputs)) else { return };
+        let Err(panic) = catch_panic(|| step(subscriber, outputs)) else { return };
         self.panics.push(panic);
         self.restart(now);
     }
--- a/crates/proxy/src/net/journal.rs
+++ b/crates/proxy/src/net/journal.rs
@@ -2,7 +2,7 @@
 
 use super::{Key, Link, Poll};
 use calloop::Readiness;
-use meadowrill_routing::interface::{Micros, Standing};
+use meadowrill_routing::interface::{EndpointStatus, Micros};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     pub locality: String,
     pub flavor: String,
     pub cell: u16,
-    pub standing: Standing,
+    pub standing: EndpointStatus,
     pub size: f64,
     pub up_since: Micros,
 }
@@ -48,16 +48,16 @@
     let text = |name: &str| value[name].as_str().unwrap_or_default();
     let id = text("id");
     let standing = match text("phase") {
-        "SERVING" => Standing::Ready,
-        "DRAINING" => Standing::Draining,
-        "DELETED" => Standing::Gone,
+        "SERVING" => EndpointStatus::Ready,
+        "DRAINING" => EndpointStatus::Draining,
+        "DELETED" => EndpointStatus::Removed,
         other => return Err(format!("member {id:?}: phase {other:?}")),
     };
     let address = text("host_port").parse().ok();
     if id.is_empty() || id.bytes().any(|b| !b.is_ascii_graphic()) {
         return Err(format!("member with the id {id:?}"));
     }
-    if address.is_none() && standing != Standing::Gone {
+    if address.is_none() && standing != EndpointStatus::Removed {
         return Err(format!("member {id}: host_port {}", value["host_port"]));
     }
     Ok(Member {
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -15,7 +15,7 @@
 use crate::ring::{Ring, Tally};
 use calloop::generic::Generic;
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use meadowrill_routing::interface::Ending;
+use meadowrill_routing::interface::AttemptOutcome;
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll;
 use rustix::event::Timespec;
@@ -389,16 +389,16 @@
 
 impl Fault {
     /// Rule 2: only what never left as a whole is known not to have run.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptOutcome {
         match (self.reach, &self.cause) {
             (Reach::Unsent, _) | (Reach::Unconnected | Reach::PartlyWritten, Cause::Withdrawn) => {
-                Ending::Moot
+                AttemptOutcome::Superseded
             }
-            (_, Cause::Withdrawn) => Ending::Cancelled,
-            (Reach::Unconnected | Reach::PartlyWritten, _) => Ending::Unconnected,
-            (_, Cause::TimeUp) => Ending::TimedOut,
-            (_, Cause::Answer(_)) => Ending::Error,
-            _ => Ending::Broken,
+            (_, Cause::Withdrawn) => AttemptOutcome::Cancelled,
+            (Reach::Unconnected | Reach::PartlyWritten, _) => AttemptOutcome::ConnectFailed,
+            (_, Cause::TimeUp) => AttemptOutcome::TimedOut,
+            (_, Cause::Answer(_)) => AttemptOutcome::Error,
+            _ => AttemptOutcome::ConnectionReset,
         }
     }
 }
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -3,8 +3,8 @@
 
 use super::{Key, Link, Poll};
 use calloop::Readiness;
-use meadowrill_routing::interface::Micros;
 use meadowrill_membership::wire::CHUNK_MOST;
+use meadowrill_routing::interface::Micros;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr, TcpListener};
--- a/crates/proxy/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -1,13 +1,13 @@
 //! What feeds subscribers: a relay, or a publisher.
 
 use super::settings::RelaySettings;
-use meadowrill_routing::door::stable;
-use meadowrill_routing::interface::Micros;
 use meadowrill_event_distribution::event::{Event, LogPosition};
 use meadowrill_event_distribution::output::{FeedStatus, Output, SubscriberStatus};
 use meadowrill_event_distribution::plan::Identity;
 use meadowrill_event_distribution::publisher::Publisher;
 use meadowrill_event_distribution::relay::Relay;
+use meadowrill_routing::host::stable_id;
+use meadowrill_routing::interface::Micros;
 
 pub(super) enum Feed {
     Relay(Box<Relay>),
@@ -25,7 +25,7 @@
             zone: settings.fleet.zone.clone(),
         };
         // Relays that start at one moment are not to draw the same pauses.
-        let seed = now as u64 ^ stable(settings.name());
+        let seed = now as u64 ^ stable_id(settings.name());
         if settings.relay.publish.is_some() {
             Feed::Publisher(Box::new(Publisher::new(plan, relay, me, now, seed)))
         } else {
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -1,9 +1,9 @@
 //! What a relay needs of the settings file.
 
 use crate::config::{read_settings, Faulty};
-use meadowrill_routing::interface::Micros;
 use meadowrill_event_distribution::plan::Plan;
 use meadowrill_membership::plan::Plan as Fleet;
+use meadowrill_routing::interface::Micros;
 use meadowrill_settings::{Relay, Settings};
 use std::path::{Path, PathBuf};
 
--- a/crates/proxy/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -3,9 +3,11 @@
 
 use super::fleet::{Labels, Named, Seen};
 use crate::net::fronts::Fronts;
-use meadowrill_routing::interface::Micros;
 use meadowrill_event_distribution::event::LogPosition;
-use meadowrill_event_distribution::output::{Counters, FedStatus, FeedStatus, Notice, Rejected, SubscriberStatus};
+use meadowrill_event_distribution::output::{
+    Counters, FedStatus, FeedStatus, Notice, Rejected, SubscriberStatus,
+};
+use meadowrill_routing::interface::Micros;
 use serde_json::{json, Value};
 use slog::{error, info, warn, Logger};
 use std::fmt::Write;
--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -1,9 +1,9 @@
 //! What operators are told of the view of the fleet: a table, the same as JSON, and metrics.
 
 use crate::net::fronts::Fronts;
-use meadowrill_routing::interface::Micros;
 use meadowrill_membership::claim::State;
 use meadowrill_membership::view::{Member, View};
+use meadowrill_routing::interface::Micros;
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::counter::ConstCounter;
--- a/crates/proxy/src/report/shared.rs
+++ b/crates/proxy/src/report/shared.rs
@@ -1,11 +1,11 @@
 //! What operators are told of what the fronts share: by kind, entry by entry, one key's story, and metrics.
 
 use super::fleet::{Labels, Seen};
-use meadowrill_routing::interface::Micros;
 use meadowrill_replication::kinds::{self, Kind, Tree};
 use meadowrill_replication::ledger::{stand, Ledger, Stand};
 use meadowrill_replication::map::{hash, Held};
 use meadowrill_replication::replica::Replica;
+use meadowrill_routing::interface::Micros;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/routing/src/door.rs
+++ b/crates/routing/src/host.rs
@@ -1,25 +1,25 @@
 //! What every host of the decisions needs at its door, whatever wire it speaks.
 
-use crate::interface::{Micros, PeerIx, Remark, Settings};
+use crate::interface::{CacheStatus, EndpointIndex, Micros, Settings};
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// Ids of machines to small indices and back; an index that the module forgets is given out again.
-pub struct Indices<K> {
-    index: HashMap<K, PeerIx>,
+pub struct EndpointIndices<K> {
+    index: HashMap<K, EndpointIndex>,
     names: Vec<K>,
-    free: Vec<PeerIx>,
+    free: Vec<EndpointIndex>,
 }
 
-impl<K> Default for Indices<K> {
+impl<K> Default for EndpointIndices<K> {
     fn default() -> Self {
-        Indices { index: HashMap::new(), names: Vec::new(), free: Vec::new() }
+        EndpointIndices { index: HashMap::new(), names: Vec::new(), free: Vec::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash> Indices<K> {
-    pub fn of(&mut self, name: &K) -> PeerIx {
+impl<K: Clone + Eq + Hash> EndpointIndices<K> {
+    pub fn of(&mut self, name: &K) -> EndpointIndex {
         if let Some(ix) = self.index.get(name) {
             return *ix;
         }
@@ -33,22 +33,22 @@
         ix
     }
 
-    pub fn known(&self, name: &K) -> Option<PeerIx> {
+    pub fn known(&self, name: &K) -> Option<EndpointIndex> {
         self.index.get(name).copied()
     }
 
-    pub fn name(&self, ix: PeerIx) -> &K {
+    pub fn name(&self, ix: EndpointIndex) -> &K {
         &self.names[ix]
     }
 
-    pub fn forget(&mut self, ix: PeerIx) {
+    pub fn forget(&mut self, ix: EndpointIndex) {
         self.index.remove(&self.names[ix]);
         self.free.push(ix);
     }
 }
 
 /// A stable number for an id that is a text (FNV-1a): the same at every front and over restarts.
-pub fn stable(id: &str) -> u64 {
+pub fn stable_id(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
@@ -62,24 +62,24 @@
 }
 
 /// A cache's note on how it came by an answer, by its place in the platform's order, from 1.
-pub fn remark(place: usize) -> Remark {
+pub fn cache_status(place: usize) -> CacheStatus {
     match place {
-        1 => Remark::Hit,
-        2 => Remark::Filled,
-        3 => Remark::FilledFromOrigin,
-        4 => Remark::Joined,
-        5 => Remark::Old,
-        6 => Remark::SourceRefused,
-        7 => Remark::SourceLost,
-        8 => Remark::SourceLacks,
-        9 => Remark::NoPlace,
-        10 => Remark::OriginFailed,
-        _ => Remark::None,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::FilledFromParent,
+        3 => CacheStatus::FilledFromOrigin,
+        4 => CacheStatus::JoinedFill,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRejected,
+        7 => CacheStatus::SourceUnreachable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::FillLimitReached,
+        10 => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     }
 }
 
 /// Panics stop here: what was being handled ends, the others go on. What one said is returned.
-pub fn contained<T>(handle: impl FnOnce() -> T) -> Result<T, String> {
+pub fn catch_panic<T>(handle: impl FnOnce() -> T) -> Result<T, String> {
     catch_unwind(AssertUnwindSafe(handle)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no message").to_string()
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,234 +1,363 @@
-//! What the decision module is told ([`Event`]) and what it asks for ([`Action`]).
+//! What the decisions are told ([`Event`]) and what they ask for ([`Action`]).
 //!
-//! A host keeps one [`crate::control::Front`] for each instance, maps its own names of caches to small
-//! indices at the door ([`PeerIx`]), and hands on events in the order in which they came. Times are whole
+//! A host keeps one [`crate::router::Router`] for each instance, maps its own endpoint ids to small indices
+//! ([`crate::host::EndpointIndices`]) and hands on events in the order in which they came. All times are whole
 //! microseconds of the host's clock.
 
 use std::collections::BTreeMap;
 
 /// A moment or a span, in whole microseconds.
 pub type Micros = i64;
-/// Small index of a cache, parent or origin; the host gives them out from 0, and one again once it is
-/// forgotten ([`Action::Forget`]).
-pub type PeerIx = usize;
-/// Settings as names and values; unknown names are harmless.
+/// Small index of a cache, parent or origin. The host gives indices out from 0, and reuses one once it is released
+/// ([`Action::ReleaseEndpoint`]).
+pub type EndpointIndex = usize;
+/// Settings as names and values; unknown names are ignored.
 pub type Settings = BTreeMap<String, String>;
 
-/// How a machine stands in the list of caches.
+/// The status of an endpoint in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
+    /// Takes requests.
     Ready,
+    /// Finishes what it has, and is given nothing new.
     Draining,
-    Gone,
+    /// No longer listed.
+    Removed,
 }
 
-/// One line of the list of caches.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
-    pub peer: PeerIx,
-    /// The same at every front and over restarts: what is hashed.
-    pub stable: u64,
-    pub machine: u8,
+pub struct EndpointEntry {
+    /// The host's index of the endpoint.
+    pub endpoint: EndpointIndex,
+    /// Identity that is hashed: the same at every proxy and over restarts.
+    pub stable_id: u64,
+    /// The settings name the values of this that stand for parents and for the origin; all others are caches.
+    pub machine_kind: u8,
     /// When its process started last; 0 for long ago.
-    pub since: Micros,
+    pub started_at: Micros,
+    /// Zone of the endpoint; caches of the proxy's own zone are chosen from.
     pub zone: u8,
+    /// Failure domain within the zone.
     pub cell: u16,
+    /// Relative capacity.
     pub weight: f64,
-    pub standing: Standing,
+    /// Whether it takes requests.
+    pub status: EndpointStatus,
 }
 
-/// What a list event brings.
+/// What discovery brings.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Listing {
-    /// All there is: what is missing has gone.
-    Full(Vec<Entry>),
+pub enum EndpointUpdate {
+    /// The complete list: what is missing has been removed.
+    Snapshot(Vec<EndpointEntry>),
     /// Only what has changed.
-    Delta(Vec<Entry>),
-    /// Discovery could not be asked; the former list stands.
-    Failed,
+    Delta(Vec<EndpointEntry>),
+    /// Discovery could not be reached; the former list stands.
+    Unavailable,
 }
 
-/// A client's try, to be given exactly one final answer.
+/// A client's request, to be given exactly one final answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lookup {
+pub struct Request {
+    /// The host's id of the request.
     pub id: u32,
+    /// The object that is asked for.
     pub object: u64,
+    /// Index of the part of the object, from 0.
     pub part: u32,
-    /// 0 where it is not told.
+    /// Size of the part in the settings' unit; 0 where it is not told.
     pub size_kb: f64,
+    /// Group of the object, by which objects are invalidated together.
     pub group: u32,
-    pub kind: usize,
-    pub expires: Micros,
+    /// Index of the request class in the settings.
+    pub class: usize,
+    /// When the client stops waiting.
+    pub deadline: Micros,
 }
 
-/// How a send ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Satisfied,
+pub enum AttemptOutcome {
+    /// The endpoint served it.
+    Success,
+    /// The endpoint failed; the request may have run.
     Error,
-    TurnedAway,
+    /// The endpoint was at its limit; the request never ran.
+    Rejected,
+    /// No answer within the attempt's timeout.
     TimedOut,
-    Unconnected,
-    Broken,
+    /// No connection came up; the request never ran.
+    ConnectFailed,
+    /// The connection was reset under the request, which may have run.
+    ConnectionReset,
+    /// Cancelled by this proxy after it was written.
     Cancelled,
-    Moot,
+    /// Never ran, as the request was over or the attempt was cancelled before it was written.
+    Superseded,
+    /// The endpoint does not have the part cached, and was not to fetch it.
     Miss,
 }
 
-impl Ending {
-    /// Whether a send that ended so may have run (the wire's page on how attempts end).
+impl AttemptOutcome {
+    /// Whether an attempt that ended so may have run at the endpoint.
     pub fn may_have_run(self) -> bool {
-        use Ending::{Broken, Cancelled, Error, Satisfied, TimedOut};
-        matches!(self, Satisfied | Error | TimedOut | Broken | Cancelled)
+        use AttemptOutcome::{Cancelled, ConnectionReset, Error, Success, TimedOut};
+        matches!(self, Success | Error | TimedOut | ConnectionReset | Cancelled)
     }
 }
 
-/// What the cache says of how it came by its answer.
+/// What a cache says of how it came by its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remark {
-    None,
+pub enum CacheStatus {
+    /// Nothing is told.
+    Unknown,
+    /// Served from the cache, within its freshness lifetime.
     Hit,
-    Filled,
+    /// Filled from a parent that had it cached.
+    FilledFromParent,
+    /// Filled from the origin, directly or through a parent.
     FilledFromOrigin,
-    Joined,
-    Old,
-    SourceRefused,
-    SourceLost,
-    SourceLacks,
-    NoPlace,
+    /// Waited for a fill that another request had started.
+    JoinedFill,
+    /// Served past its freshness lifetime.
+    Stale,
+    /// The source of the fill was at its limit.
+    SourceRejected,
+    /// The source of the fill could not be reached.
+    SourceUnreachable,
+    /// The source was to give only what it has cached, and does not have it.
+    SourceMiss,
+    /// The cache itself has no capacity for another fill.
+    FillLimitReached,
+    /// The origin failed behind the source.
     OriginFailed,
 }
 
-/// The one outcome of a send.
+/// The end of an attempt; each attempt has one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct AttemptEnd {
+    /// Id of the request.
     pub id: u32,
-    pub send: u8,
-    pub peer: PeerIx,
-    pub ending: Ending,
-    pub took: Micros,
-    /// The lookup has ended, by this or before.
+    /// Number of the attempt within its request, from 0.
+    pub attempt: u8,
+    /// The endpoint that it went to.
+    pub endpoint: EndpointIndex,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// Time since it was started.
+    pub elapsed: Micros,
+    /// The request has its final answer, by this attempt or before.
     pub finished: bool,
-    pub remark: Remark,
+    /// What the cache says of its answer.
+    pub cache_status: CacheStatus,
+    /// Time that the cache waited for the first byte of its source.
     pub first_byte: Option<Micros>,
-    /// How large the part was, in the unit of the settings; 0 where the answer does not show it.
+    /// Size of the part in the settings' unit; 0 where the answer does not show it.
     pub size_kb: f64,
-    /// Values in the order of the setting `feedback.fields`.
-    pub report: Vec<f64>,
+    /// Load report, in the order of the setting `feedback.fields`.
+    pub load_report: Vec<f64>,
 }
 
+/// What a host tells the decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    Listed(Listing),
-    Asked(Lookup),
-    /// A streamed answer has begun.
-    Began {
+    /// Discovery has news.
+    EndpointsUpdated(EndpointUpdate),
+    /// A request has come.
+    RequestArrived(Request),
+    /// The client has been sent the start of its answer.
+    ResponseStarted {
+        /// Id of the request.
         id: u32,
     },
-    Ended(Outcome),
-    /// The client left, or its time is over: nothing more is owed.
-    Left {
+    /// An attempt has ended.
+    AttemptEnded(AttemptEnd),
+    /// The client has left, or its deadline has passed: no answer is owed any more.
+    ClientLeft {
+        /// Id of the request.
         id: u32,
     },
-    /// Since when changes of the list and purges may have been kept back; none once all has been told again.
-    OutOfTouch {
+    /// Discovery may be holding back list changes and invalidations.
+    DiscoveryLag {
+        /// Since when; none once all has been received.
         since: Option<Micros>,
     },
-    /// What copies may be served beside what purges and kinds say: none issued before a moment, and none older than a
-    /// span. Both none: no such bound.
-    CopiesBounded {
+    /// A bound on the copies that may be served, beside invalidations and freshness lifetimes.
+    FreshnessBound {
+        /// No copy issued before this moment.
         not_before: Option<Micros>,
-        age: Option<Micros>,
+        /// No copy older than this.
+        max_age: Option<Micros>,
     },
-    /// The client has ended its side: nothing more is to begin for it, while what is out may still be of use.
-    HalfClosed {
+    /// The client has ended its side: no attempt may begin any more, while those in flight may still be of use.
+    ClientHalfClosed {
+        /// Id of the request.
         id: u32,
     },
-    /// The connection that a send waited for is up, and nothing was written on it. Hosts without connections of their
-    /// own never say so: there a send is out at once.
-    Connected {
+    /// The connection that an attempt waited for is up, and nothing has been written on it. Hosts without connections
+    /// of their own never say so: there an attempt is in flight at once.
+    AttemptConnected {
+        /// Id of the request.
         id: u32,
-        send: u8,
+        /// Number of the attempt.
+        attempt: u8,
     },
-    Rang {
-        token: u32,
+    /// A timer fired ([`Action::SetTimer`]).
+    TimerFired {
+        /// Id of the timer.
+        timer: u32,
     },
-    Probed {
-        peer: PeerIx,
-        ending: Ending,
-        took: Micros,
-        report: Vec<f64>,
+    /// A health check ended; not used by these decisions.
+    HealthCheckEnded {
+        /// The endpoint that was checked.
+        endpoint: EndpointIndex,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// Time since it was started.
+        elapsed: Micros,
+        /// Load report, in the order of the setting `feedback.fields`.
+        load_report: Vec<f64>,
     },
-    Heard {
+    /// Bytes from another proxy; not used by these decisions.
+    PeerMessage {
+        /// Number of the sender.
         from: u16,
+        /// What it sent.
         bytes: Vec<u8>,
     },
-    /// Other fronts saw this part of an object asked for: the highest of late.
-    Recalled {
+    /// Other proxies have seen requests for this part of an object.
+    SharedLength {
+        /// The object.
         object: u64,
-        highest: u32,
+        /// The highest part index seen lately.
+        highest_part: u32,
     },
-    /// What other fronts make of a machine: its share of failures, and its first-byte time if it is a source.
-    Thought {
-        peer: PeerIx,
-        failing: f64,
+    /// What other proxies have measured at an endpoint.
+    SharedEstimate {
+        /// The endpoint.
+        endpoint: EndpointIndex,
+        /// Fraction of its attempts that fail.
+        failure_rate: f64,
+        /// Time to first byte, if it is a source of fills.
         first_byte: Option<Micros>,
     },
-    /// One object (all parts) or, with none, a group was purged so long ago.
-    Purged {
+    /// An object (all its parts), or a whole group, was invalidated.
+    Invalidated {
+        /// The object; none for the whole group.
         object: Option<u64>,
+        /// The group, where no object is given.
         group: u32,
-        ago: Micros,
+        /// Time since the invalidation.
+        age: Micros,
     },
 }
 
-/// What a cache is to do with what it lacks.
+/// How a cache is to fill a miss.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fill {
-    pub source: PeerIx,
-    /// 0 passes through unkept; 1 to 3 are ranks.
-    pub keep: u8,
-    /// Oldest copy that will do; 0 is the kind's fresh time.
-    pub age: Micros,
+    /// Where to fill from; the endpoint itself for no fill at all.
+    pub source: EndpointIndex,
+    /// Retention rank: 0 passes through without being cached; 1 to 3 are ranks.
+    pub retention: u8,
+    /// Oldest copy that will do; 0 for the freshness lifetime of the class.
+    pub max_age: Micros,
+    /// Join a fill that is under way.
     pub join: bool,
-    pub renew: bool,
-    /// The source is to fetch nothing for it.
-    pub held_only: bool,
+    /// Renew a stale copy in the background.
+    pub revalidate: bool,
+    /// The source gives only what it has cached.
+    pub cached_only: bool,
 }
 
+/// What the decisions ask of their host, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Without a fill the cache is asked only for what it holds.
-    Send {
+    /// Start the next attempt of a request.
+    StartAttempt {
+        /// Id of the request.
         id: u32,
-        peer: PeerIx,
-        time_out: Micros,
+        /// Where it goes.
+        endpoint: EndpointIndex,
+        /// How long to wait for its end.
+        timeout: Micros,
+        /// How a miss is filled; without one the cache is asked only for what it has.
         fill: Option<Fill>,
     },
-    Nack {
+    /// Final answer: rejected, and harmless to send again.
+    Reject {
+        /// Id of the request.
         id: u32,
-        come_back: Micros,
+        /// How long the client should stay away; 0 for no advice.
+        retry_after: Micros,
     },
+    /// Final answer: failed; it may have run.
     Fail {
+        /// Id of the request.
         id: u32,
     },
-    Cancel {
+    /// Give an attempt up.
+    CancelAttempt {
+        /// Id of the request.
         id: u32,
-        send: u8,
+        /// Number of the attempt.
+        attempt: u8,
     },
-    /// A send that waited for its connection may be written.
-    Write {
+    /// An attempt that waited for its connection may be written.
+    WriteAttempt {
+        /// Id of the request.
         id: u32,
-        send: u8,
+        /// Number of the attempt.
+        attempt: u8,
     },
-    Ring {
+    /// Fire a timer ([`Event::TimerFired`]).
+    SetTimer {
+        /// When.
         at: Micros,
-        token: u32,
+        /// Id of the timer.
+        timer: u32,
     },
-    Subscribe,
-    /// The index is free again: its machine left the list long ago, and nothing is out there.
-    Forget {
-        peer: PeerIx,
+    /// Ask discovery for the endpoint list.
+    PollDiscovery,
+    /// The index is free again: its endpoint was removed long ago, and nothing is in flight there.
+    ReleaseEndpoint {
+        /// The index.
+        endpoint: EndpointIndex,
+    },
+    /// A line for the log.
+    Log(LogEvent),
+}
+
+/// What the decisions have to say to an operator.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LogEvent {
+    /// The concurrency limit of an endpoint was cut below its recent use.
+    EndpointLimitCut {
+        /// Stable id of the endpoint.
+        stable_id: u64,
+        /// Attempts that may now be in flight.
+        limit: f64,
+    },
+    /// The limit on fills from a parent was cut below its recent use.
+    ParentLimitCut {
+        /// Stable id of the parent.
+        stable_id: u64,
+        /// Fills that may now be in flight.
+        limit: f64,
+    },
+    /// The limit on fills of this proxy was cut below its recent use.
+    FillLimitCut {
+        /// Fills that may now be in flight.
+        limit: f64,
+    },
+    /// The limit on fetches from the origin was cut below its recent use.
+    FetchLimitCut {
+        /// Fetches that may now be in flight.
+        limit: f64,
+    },
+    /// No attempt reaches an endpoint: it is treated as warming up from now on.
+    EndpointUnreachable {
+        /// Stable id of the endpoint.
+        stable_id: u64,
     },
-    Log(String),
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! meadowrill's core: [`control`] decides, [`interface`] is what it is told and what it answers, [`door`] what its
+//! meadowrill's core: [`router`] decides, [`interface`] is what it is told and what it answers, [`host`] what its
 //! hosts share.
 
-pub mod control;
-pub mod door;
+pub mod host;
 pub mod interface;
 mod room;
+pub mod router;
 mod state;
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/room.rs
@@ -1,6 +1,6 @@
 //! State and helpers of the decision module, with no decision and no tuned value of their own.
 
-use crate::interface::{Action, Micros, PeerIx, Settings};
+use crate::interface::{Action, EndpointIndex, Micros, Settings};
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -185,7 +185,7 @@
     }
 
     /// The next note in the order of writing, and whose it is: none for the desk.
-    pub fn next(&mut self) -> Option<(Option<PeerIx>, N)> {
+    pub fn next(&mut self) -> Option<(Option<EndpointIndex>, N)> {
         let turn = self.turns.pop_front()?;
         let note = self.inboxes[turn].pop_front()?;
         Some((turn.checked_sub(1), note))
@@ -195,7 +195,7 @@
         self.post(0, note);
     }
 
-    pub fn tell(&mut self, peer: PeerIx, note: N) {
+    pub fn tell(&mut self, peer: EndpointIndex, note: N) {
         self.post(peer + 1, note);
     }
 
--- a/crates/routing/src/control.rs
+++ b/crates/routing/src/router.rs
@@ -1,12 +1,12 @@
 //! All decisions of a front: which cache gets a lookup, from where it fills, what is kept, when another send
 //! goes out, and when the front gives up.
 //!
-//! A host calls [`Front::start`] once and then [`Front::hear`] for each event, in order, with its clock; what
+//! A host calls [`Router::new`] once and then [`Router::handle_event`] for each event, in order, with its clock; what
 //! is to be done is pushed onto `out`, in order. The types are in `interface.rs`. Nothing is read but the
 //! events and the settings, so the same events bring the same actions.
 //!
 //! Inside, the desk (lookups) and the peers (caches, parents, origin) are actors: each has an inbox, and one
-//! loop ([`Front::pump`]) empties them. A send is a [`Bid`]: the desk plans it, the source's guard passes it,
+//! loop ([`Router::pump`]) empties them. A send is a [`Bid`]: the desk plans it, the source's guard passes it,
 //! then the cache's guard, and only that emits it ([`Peer::carry`]). All final answers leave by
 //! [`Desk::give_up`].
 
@@ -191,7 +191,7 @@
 }
 
 struct Peer {
-    ix: PeerIx,
+    ix: EndpointIndex,
     card: Card,
     /// When it came up: by the list, or as presumed from its silence since.
     since: Micros,
@@ -205,7 +205,7 @@
 }
 
 impl Peer {
-    fn new(ix: PeerIx) -> Peer {
+    fn new(ix: EndpointIndex) -> Peer {
         let (card, gate) = (Card::new(), Gate::new(STEP_UP, 0.0));
         Peer { ix, card, gate, gone_at: None, since: 0, listed_since: 0, level: None, level_at: 0 }
     }
@@ -222,7 +222,7 @@
             Note::Sweep => {
                 if self.gate.out < DUST && self.gone_at.is_some_and(|at| at + GONE_LIFE < now) {
                     *self = Peer::new(self.ix);
-                    room.out.push(Action::Forget { peer: self.ix });
+                    room.out.push(Action::ReleaseEndpoint { endpoint: self.ix });
                 }
             }
             Note::Lend(bid) => {
@@ -247,7 +247,10 @@
                 }
                 self.gate.leave(now, 1.0);
                 if time.is_some_and(|time| self.gate.judge(now, time, 1.0)) {
-                    room.out.push(Action::Log(format!("gate of {id:012x} cut to {:.0}", self.gate.window)));
+                    room.out.push(Action::Log(LogEvent::EndpointLimitCut {
+                        stable_id: id,
+                        limit: self.gate.window,
+                    }));
                 }
                 self.judged(now, verdict);
                 // Guards against pushing over what restarts before the list tells: a machine that nothing
@@ -255,7 +258,7 @@
                 self.card.lost += u32::from(lost);
                 if lost && self.card.lost >= LOST {
                     if now > self.since + SAY_REST {
-                        room.out.push(Action::Log(format!("{id:012x} unreached: held cold")));
+                        room.out.push(Action::Log(LogEvent::EndpointUnreachable { stable_id: id }));
                     }
                     self.since = now;
                     if self.card.lost == LOST {
@@ -272,7 +275,7 @@
                 self.gate.leave(now, share);
                 if time.is_some_and(|time| self.gate.judge(now, time, share)) {
                     let window = self.gate.window;
-                    room.out.push(Action::Log(format!("gate of parent {id:012x} cut to {window:.1}")));
+                    room.out.push(Action::Log(LogEvent::ParentLimitCut { stable_id: id, limit: window }));
                 }
             }
             Note::Gave { verdict, first_byte, took, work } => {
@@ -317,8 +320,8 @@
         }
     }
 
-    fn listed(&mut self, entry: Entry, room: &Room<Note>) {
-        let machine = f64::from(entry.machine);
+    fn listed(&mut self, entry: EndpointEntry, room: &Room<Note>) {
+        let machine = f64::from(entry.machine_kind);
         let card = &mut self.card;
         card.role = if machine == room.rules.num("specifics.origin_kind", -1.0) {
             Role::Origin
@@ -329,17 +332,18 @@
         } else {
             Role::Foreign
         };
-        if entry.since != self.listed_since {
+        if entry.started_at != self.listed_since {
             // What was seen of the process before says nothing of the new one.
             *card = Card { failing: Smooth::at(0.0), doubt: Smooth::at(0.0), pace: Smooth::at(1.0), ..*card };
-            (self.since, self.listed_since) = (entry.since, entry.since);
+            (self.since, self.listed_since) = (entry.started_at, entry.started_at);
             (self.level, self.level_at) = (None, room.now);
         }
-        card.stable = entry.stable;
+        card.stable = entry.stable_id;
         card.zone = usize::from(entry.zone);
         card.weight = if room.rules.text("weight_kind") == "off" { 1.0 } else { entry.weight.max(0.01) };
-        card.open = entry.standing == Standing::Ready;
-        self.gone_at = if entry.standing == Standing::Gone { self.gone_at.or(Some(room.now)) } else { None };
+        card.open = entry.status == EndpointStatus::Ready;
+        self.gone_at =
+            if entry.status == EndpointStatus::Removed { self.gone_at.or(Some(room.now)) } else { None };
     }
 
     /// The only place from which sends go out. Guards rules 3 and 4 for the cache; [`Note::Lend`] has done
@@ -358,10 +362,10 @@
         }
         self.card.owed += 1;
         self.post(room);
-        room.out.push(Action::Send {
+        room.out.push(Action::StartAttempt {
             id: bid.lk,
-            peer: self.ix,
-            time_out: bid.time_out,
+            endpoint: self.ix,
+            timeout: bid.timeout,
             fill: Some(bid.fill),
         });
         room.tell_desk(Note::Sent(bid));
@@ -460,13 +464,13 @@
         }
     }
 
-    fn asked(&mut self, mut lk: Lookup, room: &mut Room<Note>) {
+    fn asked(&mut self, mut lk: Request, room: &mut Room<Note>) {
         // The last is for kinds that the settings do not name, and takes nothing for granted.
-        lk.kind = lk.kind.min(self.kinds.len() - 1);
+        lk.class = lk.class.min(self.kinds.len() - 1);
         let (keep, again) = self.rank(&lk, room);
         if lk.size_kb > 0.0 {
             let work = self.own_work(&lk, room);
-            self.kinds[lk.kind].learn(work, true);
+            self.kinds[lk.class].learn(work, true);
         }
         let held = Held { keep, again, asked_at: room.now, ..Held::new(lk) };
         self.lookups.insert(lk.id, held);
@@ -475,7 +479,7 @@
     }
 
     /// The design's tail cut: 0 for what passes through unkept, else the rank.
-    fn rank(&mut self, lk: &Lookup, room: &Room<Note>) -> (u8, bool) {
+    fn rank(&mut self, lk: &Request, room: &Room<Note>) -> (u8, bool) {
         let (now, rules) = (room.now, &room.rules);
         let seen = self.lengths.get(now, lk.object).unwrap_or(0);
         let highest = seen.max(lk.part);
@@ -492,16 +496,16 @@
     }
 
     /// What a lookup takes at a client's full pace: by its size, or by its kind's mean where none is told.
-    fn own_work(&self, lk: &Lookup, room: &Room<Note>) -> f64 {
+    fn own_work(&self, lk: &Request, room: &Room<Note>) -> f64 {
         let flow = room.rules.num("specifics.flow_kb_per_s", 0.0);
         if lk.size_kb > 0.0 && flow > 0.0 {
             return lk.size_kb / flow * SEC as f64;
         }
-        self.kinds[lk.kind].work
+        self.kinds[lk.class].work
     }
 
     /// The latest purge of the object or its group, while old copies may lie about.
-    fn purge(&self, lk: &Lookup, now: Micros) -> Option<Micros> {
+    fn purge(&self, lk: &Request, now: Micros) -> Option<Micros> {
         self.purged.get(now, (Some(lk.object), 0)).max(self.purged.get(now, (None, lk.group)))
     }
 
@@ -513,13 +517,13 @@
     }
 
     /// What a send that is written now has to have known of.
-    fn binding(&self, lk: &Lookup, now: Micros) -> Option<Micros> {
+    fn binding(&self, lk: &Request, now: Micros) -> Option<Micros> {
         self.purge(lk, now).max(self.copies.binds_from()).max(self.dropped.get(now, ()))
     }
 
     /// Rule 5: how old a copy may be, 0 for any that the kind allows.
-    fn age(&self, lk: &Lookup, now: Micros, grace: Micros) -> Micros {
-        let kind = &self.kinds[lk.kind];
+    fn age(&self, lk: &Request, now: Micros, grace: Micros) -> Micros {
+        let kind = &self.kinds[lk.class];
         let most = (kind.fresh > 0).then_some(kind.fresh + grace);
         // 0 would mean the default.
         let since = self.purge(lk, now).max(self.kept_back(now)).map(|at| (now - at).max(1));
@@ -539,12 +543,12 @@
     }
 
     /// Fails now and then, if at all.
-    fn partly(&self, ix: PeerIx, now: Micros) -> bool {
+    fn partly(&self, ix: EndpointIndex, now: Micros) -> bool {
         !Desk::silent(&self.cards[ix], now) && self.cards[ix].failing(now, DRIFT) < FAILING_MOST
     }
 
     /// Leaves some unanswered while what it does answer comes at the usual pace: no jam.
-    fn hangs(&self, ix: PeerIx, now: Micros) -> bool {
+    fn hangs(&self, ix: EndpointIndex, now: Micros) -> bool {
         let card = &self.cards[ix];
         let some = card.doubt.drifted(now, 0.0, DRIFT) > FAILING / 4.0;
         some && card.pace.drifted(now, 1.0, DRIFT) < QUICK && self.partly(ix, now)
@@ -552,7 +556,7 @@
 
     /// Passed by: fails or owes answers, whatever the cause, and is not on trial just now. A slow cache is
     /// not: its gate takes as much as it can do in time, and elsewhere the lookup would only be a miss.
-    fn shunned(&self, ix: PeerIx, room: &Room<Note>) -> bool {
+    fn shunned(&self, ix: EndpointIndex, room: &Room<Note>) -> bool {
         let card = &self.cards[ix];
         // A peer that is well again is back after a few good answers, whatever it was before. Who hardly
         // fails stands out nowhere, so its like are not looked through for it: lists are long.
@@ -563,7 +567,7 @@
 
     /// How much more it fails than its like. Failures that all share come from elsewhere, and with most of a
     /// location passed by the rest would be run over.
-    fn stands_out(&self, ix: PeerIx, room: &Room<Note>) -> f64 {
+    fn stands_out(&self, ix: EndpointIndex, room: &Room<Note>) -> f64 {
         let rate = |c: &Card| c.failing(room.now, DRIFT);
         let others = self.cards.iter().enumerate();
         let others = others.filter(|(i, c)| *i != ix && c.role == self.cards[ix].role && c.open);
@@ -587,31 +591,31 @@
 
     /// Peers of a role that the lookup may still try, best first by the hash.
     fn order(&self, held: &Held, role: Role, part: u64) -> Peers {
-        let spent = |ix: PeerIx| {
+        let spent = |ix: EndpointIndex| {
             held.turned.contains(&ix)
                 || held.sends.iter().any(|s| {
                     (s.peer == ix && (s.out || s.cache_failed)) || (s.source == Some(ix) && s.source_failed)
                 })
         };
-        let fits = |ix: &PeerIx| self.cards[*ix].role == role && self.cards[*ix].open && !spent(*ix);
+        let fits = |ix: &EndpointIndex| self.cards[*ix].role == role && self.cards[*ix].open && !spent(*ix);
         let all = (0..self.cards.len()).filter(fits);
-        let score = |ix: PeerIx| {
+        let score = |ix: EndpointIndex| {
             let weight = if role == Role::Cache { self.cards[ix].weight } else { 1.0 };
             draw(self.cards[ix].stable, weight, held.lk.object, part)
         };
-        let mut all: SmallVec<[(f64, PeerIx); 16]> = all.map(|ix| (score(ix), ix)).collect();
+        let mut all: SmallVec<[(f64, EndpointIndex); 16]> = all.map(|ix| (score(ix), ix)).collect();
         all.sort_unstable_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         all.into_iter().map(|(_, ix)| ix).collect()
     }
 
     /// The design's companion: of two parents by the object's hash the one with the lower figure.
-    fn source(&self, held: &Held, origin: Option<PeerIx>, room: &Room<Note>) -> Option<PeerIx> {
+    fn source(&self, held: &Held, origin: Option<EndpointIndex>, room: &Room<Note>) -> Option<EndpointIndex> {
         let all = self.order(held, Role::Parent, 0);
         let up: Peers = all.iter().copied().filter(|ix| !self.shunned(*ix, room)).take(2).collect();
         let bytes = up.iter().all(|ix| self.cards[*ix].first_byte.value.is_some());
         let figure = |c: &Card| if bytes { c.first_byte } else { c.latency };
         let average = self.average(Role::Parent, |c| figure(c).value).unwrap_or(0.0);
-        let seen = |ix: &PeerIx| figure(&self.cards[*ix]).drifted(room.now, average, DRIFT);
+        let seen = |ix: &EndpointIndex| figure(&self.cards[*ix]).drifted(room.now, average, DRIFT);
         up.iter().copied().min_by(|a, b| seen(a).total_cmp(&seen(b))).or(origin).or(all.first().copied())
     }
 
@@ -619,13 +623,13 @@
     fn plan(&mut self, id: u32, room: &mut Room<Note>) {
         let Some(held) = self.lookups.get(&id).filter(|h| !h.ended && !h.began) else { return };
         let (lk, now) = (held.lk, room.now);
-        let left = lk.expires - now;
+        let left = lk.deadline - now;
         let cap = room.rules.num("limits.send_cap", 4.0) as usize;
         if left <= 0 || held.half_closed || held.sends.len() >= cap || !self.may_send(held, room) {
             return self.give_up(id, room);
         }
         let direct = room.rules.is("specifics.pass_through_ok");
-        let uncacheable = self.kinds[lk.kind].uncacheable;
+        let uncacheable = self.kinds[lk.class].uncacheable;
         let origin = self.order(held, Role::Origin, 0).first().copied();
         let straight = origin.filter(|_| uncacheable);
         let source = straight.or_else(|| self.source(held, origin, room));
@@ -643,17 +647,17 @@
         let Some(cache) = cache else {
             return self.give_up(id, room);
         };
-        let kind = &self.kinds[lk.kind];
+        let kind = &self.kinds[lk.class];
         let grace = kind.grace;
         // A parent that names itself would fetch nothing.
         let behind = if self.cards[cache].role == Role::Parent { origin } else { source };
         let mut fill = Fill {
             source: behind.unwrap_or(cache),
-            keep: if uncacheable { 0 } else { held.keep },
-            age: self.age(&lk, now, 0),
+            retention: if uncacheable { 0 } else { held.keep },
+            max_age: self.age(&lk, now, 0),
             join: room.rules.is("specifics.shares_fills") && !uncacheable,
-            renew: kind.fresh > 0,
-            held_only: false,
+            revalidate: kind.fresh > 0,
+            cached_only: false,
         };
         // Against a jam of fills: while many are out, the cache is first asked for what it holds, then the
         // parent, and only what is missing there waits for a place among the fetches behind. So a slow origin
@@ -706,9 +710,9 @@
         };
         if matches!(ask, Ask::Look | Ask::Stale) {
             let grace = if ask == Ask::Stale { grace } else { 0 };
-            (fill.source, fill.age) = (cache, self.age(&lk, now, grace));
+            (fill.source, fill.max_age) = (cache, self.age(&lk, now, grace));
         }
-        fill.held_only = ask == Ask::Held;
+        fill.cached_only = ask == Ask::Held;
         let (share, fetch) = match ask {
             Ask::Look | Ask::Stale => (0.0, 0.0),
             // Not judged by the gates, so without a place: it would keep them shut while the origin is down.
@@ -731,7 +735,7 @@
             share,
             fetch,
             ease,
-            time_out: if hangs { wait.min(part as Micros) } else { wait },
+            timeout: if hangs { wait.min(part as Micros) } else { wait },
             work: kind.load,
             // All of it: emptied caches push a cold parent over before a share of misses seen has moved.
             fill_work: if lk.size_kb > 0.0 { self.own_work(&lk, room) } else { kind.load },
@@ -756,7 +760,7 @@
         let Some(first) = held.sends[..sends].iter().find(|s| s.may_have_run) else {
             return true;
         };
-        let kind = &self.kinds[held.lk.kind];
+        let kind = &self.kinds[held.lk.class];
         match kind.repeat {
             Repeat::Idempotent => true,
             // Nearer groups than all would need a cache of the same group; the front does without.
@@ -772,13 +776,17 @@
     fn connected(&mut self, id: u32, send: u8, room: &mut Room<Note>) {
         let Some(held) = self.lookups.get(&id) else { return };
         let Some(sent) = held.sends.get(usize::from(send)).filter(|s| s.out) else { return };
-        let open = |ix: PeerIx| self.cards[ix].open;
+        let open = |ix: EndpointIndex| self.cards[ix].open;
         let good = !(held.ended || held.half_closed)
             && open(sent.peer)
             && sent.source.is_none_or(open)
             && self.binding(&held.lk, room.now) <= sent.purged
             && self.may_repeat(held, usize::from(send), room);
-        room.out.push(if good { Action::Write { id, send } } else { Action::Cancel { id, send } });
+        room.out.push(if good {
+            Action::WriteAttempt { id, attempt: send }
+        } else {
+            Action::CancelAttempt { id, attempt: send }
+        });
         let held = self.lookups.get_mut(&id).into_iter();
         held.for_each(|held| held.sends[usize::from(send)].recalled = !good);
     }
@@ -808,7 +816,7 @@
         held.ended = true;
         let out = (0u8..).zip(&held.sends).filter(|(_, s)| s.out);
         if room.rules.is("limits.cancel") && !held.began {
-            room.out.extend(out.clone().map(|(send, _)| Action::Cancel { id, send }));
+            room.out.extend(out.clone().map(|(send, _)| Action::CancelAttempt { id, attempt: send }));
         }
         if out.count() == 0 {
             self.lookups.remove(&id);
@@ -820,97 +828,117 @@
     fn give_up(&mut self, id: u32, room: &mut Room<Note>) {
         let Some(held) = self.lookups.get(&id).filter(|h| !h.ended) else { return };
         let ran = held.sends.iter().any(|s| s.may_have_run);
-        let kind = &self.kinds[held.lk.kind];
+        let kind = &self.kinds[held.lk.class];
         let all = kind.repeat == Repeat::Deduplicated && kind.group == "all";
         let harmless = !ran || kind.repeat == Repeat::Idempotent || all;
         let most = room.rules.span("limits.max_retry_after_s", 0.0);
         // Spread, lest all that a jam turned down come back together.
         let wait = SEC / 100 + (room.draw() * SEC as f64 / 2.0) as Micros;
-        let come_back = if room.rules.is("limits.retry_after") { most.min(wait) } else { 0 };
+        let retry_after = if room.rules.is("limits.retry_after") { most.min(wait) } else { 0 };
         let lk = held.lk;
-        room.out.push(if harmless { Action::Nack { id, come_back } } else { Action::Fail { id } });
+        room.out.push(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
         self.counted(&lk, false, room);
         self.close(id, room);
     }
 
-    fn ended(&mut self, o: Outcome, room: &mut Room<Note>) {
-        let hung = o.ending == Ending::TimedOut && o.send == 0 && self.hangs(o.peer, room.now);
+    fn ended(&mut self, o: AttemptEnd, room: &mut Room<Note>) {
+        let hung =
+            o.outcome == AttemptOutcome::TimedOut && o.attempt == 0 && self.hangs(o.endpoint, room.now);
         let Some(held) = self.lookups.get_mut(&o.id) else { return };
         let (lk, ended) = (held.lk, held.ended);
-        let Some(send) = held.sends.get_mut(usize::from(o.send)).filter(|s| s.out) else { return };
+        let Some(send) = held.sends.get_mut(usize::from(o.attempt)).filter(|s| s.out) else { return };
         send.out = false;
-        send.may_have_run = o.ending.may_have_run();
-        let upstream = matches!(o.remark, Remark::SourceRefused | Remark::SourceLost | Remark::OriginFailed);
+        send.may_have_run = o.outcome.may_have_run();
+        let upstream = matches!(
+            o.cache_status,
+            CacheStatus::SourceRejected | CacheStatus::SourceUnreachable | CacheStatus::OriginFailed
+        );
         let told = room.rules.text("specifics.says") == "all";
         // Who is at fault: the cache, the source, or either where nothing tells.
-        let (at_cache, at_source, unclear) = match o.ending {
-            _ if upstream => (false, o.remark != Remark::OriginFailed, false),
-            Ending::Unconnected | Ending::Broken => (true, false, false),
-            Ending::TurnedAway if o.remark == Remark::NoPlace => (false, false, false),
-            Ending::Error | Ending::TurnedAway if told || send.source.is_none() => (true, false, false),
-            Ending::Error | Ending::TurnedAway | Ending::TimedOut => (false, false, true),
+        let (at_cache, at_source, unclear) = match o.outcome {
+            _ if upstream => (false, o.cache_status != CacheStatus::OriginFailed, false),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset => (true, false, false),
+            AttemptOutcome::Rejected if o.cache_status == CacheStatus::FillLimitReached => {
+                (false, false, false)
+            }
+            AttemptOutcome::Error | AttemptOutcome::Rejected if told || send.source.is_none() => {
+                (true, false, false)
+            }
+            AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::TimedOut => {
+                (false, false, true)
+            }
             _ => (false, false, false),
         };
-        if self.cards[o.peer].role == Role::Cache {
-            if let Some(link) = self.link_at.and_then(|at| o.report.get(at)) {
+        if self.cards[o.endpoint].role == Role::Cache {
+            if let Some(link) = self.link_at.and_then(|at| o.load_report.get(at)) {
                 self.link.add(room.now, *link, SMOOTHING);
             }
         }
-        let satisfied = o.ending == Ending::Satisfied;
+        let satisfied = o.outcome == AttemptOutcome::Success;
         let verdict = |at: bool| Verdict {
             sure: (at || satisfied).then_some(at),
             doubt: (unclear || satisfied).then_some(unclear),
         };
         // In doubt the one that stands out is left alone next time, and the other tried again.
-        let doubt = |ix: PeerIx| self.cards[ix].doubt.drifted(room.now, 0.0, DRIFT);
-        let source_worse = send.source.is_some_and(|s| doubt(s) > doubt(o.peer));
-        let recalled = send.recalled && o.ending == Ending::Moot;
+        let doubt = |ix: EndpointIndex| self.cards[ix].doubt.drifted(room.now, 0.0, DRIFT);
+        let source_worse = send.source.is_some_and(|s| doubt(s) > doubt(o.endpoint));
+        let recalled = send.recalled && o.outcome == AttemptOutcome::Superseded;
         send.waited = hung || recalled;
         send.cache_failed = !(satisfied || upstream || send.waited || (unclear && source_worse));
-        send.source_failed = at_source || (unclear && source_worse) || o.ending == Ending::Miss;
+        send.source_failed = at_source || (unclear && source_worse) || o.outcome == AttemptOutcome::Miss;
         let (at, source_ix, share, fetch, ask) = (send.at, send.source, send.fill, send.fetch, send.ask);
         let look = matches!(ask, Ask::Look | Ask::Stale);
         // A miss that was asked for is no failure: it only tells where to ask next.
-        let told_so = (look || ask == Ask::Held) && o.ending == Ending::Miss;
+        let told_so = (look || ask == Ask::Held) && o.outcome == AttemptOutcome::Miss;
         send.cache_failed &= !told_so;
         send.source_failed &= !told_so;
         self.fills.leave(room.now, share);
         self.fetches.leave(room.now, fetch);
         // What is known to come from the cache itself: elsewhere fills are mixed in.
-        let held = matches!(o.remark, Remark::Hit | Remark::Old) || (look && satisfied);
-        let filled = matches!(o.remark, Remark::Filled | Remark::FilledFromOrigin);
+        let held = matches!(o.cache_status, CacheStatus::Hit | CacheStatus::Stale) || (look && satisfied);
+        let filled = matches!(o.cache_status, CacheStatus::FilledFromParent | CacheStatus::FilledFromOrigin);
         let own = self.own_work(&lk, room);
-        let uncacheable = self.kinds[lk.kind].uncacheable;
+        let uncacheable = self.kinds[lk.class].uncacheable;
         if o.size_kb > 0.0 && lk.size_kb <= 0.0 && !uncacheable {
-            let work = self.own_work(&Lookup { size_kb: o.size_kb, ..lk }, room);
-            self.kinds[lk.kind].learn(work, true);
+            let work = self.own_work(&Request { size_kb: o.size_kb, ..lk }, room);
+            self.kinds[lk.class].learn(work, true);
         } else if satisfied && lk.size_kb <= 0.0 && (held || !told || uncacheable) {
-            self.kinds[lk.kind].learn(o.took as f64, false);
+            self.kinds[lk.class].learn(o.elapsed as f64, false);
         }
         // A cache that drags what it holds itself says nothing of the fills.
-        let drag = self.cards[o.peer].pace.drifted(room.now, 1.0, DRIFT).max(1.0);
+        let drag = self.cards[o.endpoint].pace.drifted(room.now, 1.0, DRIFT).max(1.0);
         // Nor does a source that cannot be reached: it is passed by, links and other sources have room. Taken
         // for a jam, it shut the fills of all fronts at once. Could hurt where a jam shows as nothing else.
-        let elsewhere = matches!(o.remark, Remark::SourceLost | Remark::SourceRefused);
+        let elsewhere =
+            matches!(o.cache_status, CacheStatus::SourceUnreachable | CacheStatus::SourceRejected);
         let fills = share > 0.0 && !held && !uncacheable && !elsewhere;
         if let Some(time) = self.time(&lk, &o, own, drag).filter(|_| fills) {
             let late = time > 1.0;
             // Behind the parent or before it: by the notes, by the first byte, or by what was asked.
-            let behind = match o.remark {
-                Remark::FilledFromOrigin | Remark::OriginFailed => true,
-                Remark::Filled | Remark::NoPlace | Remark::SourceRefused | Remark::SourceLost => false,
+            let behind = match o.cache_status {
+                CacheStatus::FilledFromOrigin | CacheStatus::OriginFailed => true,
+                CacheStatus::FilledFromParent
+                | CacheStatus::FillLimitReached
+                | CacheStatus::SourceRejected
+                | CacheStatus::SourceUnreachable => false,
                 _ => ask == Ask::Fetch || (ask == Ask::Plain && !(told && satisfied)),
             };
-            let at_link = satisfied && o.first_byte.is_some_and(|b| b < self.kinds[lk.kind].budget / 2);
-            let fetches = (&mut self.fetches, "fetches", behind && !(late && at_link), fetch);
-            let fills = (&mut self.fills, "fills", !late || !behind || at_link, share);
-            for (gate, name, concerned, share) in [fetches, fills] {
+            let at_link = satisfied && o.first_byte.is_some_and(|b| b < self.kinds[lk.class].budget / 2);
+            let fetches = (&mut self.fetches, true, behind && !(late && at_link), fetch);
+            let fills = (&mut self.fills, false, !late || !behind || at_link, share);
+            for (gate, is_fetch, concerned, share) in [fetches, fills] {
                 if concerned && gate.judge(room.now, time, share) {
-                    room.out.push(Action::Log(format!("{name} jammed: window {:.0}", gate.window)));
+                    let limit = gate.window;
+                    let cut = if is_fetch {
+                        LogEvent::FetchLimitCut { limit }
+                    } else {
+                        LogEvent::FillLimitCut { limit }
+                    };
+                    room.out.push(Action::Log(cut));
                 }
             }
         }
-        if look && matches!(o.ending, Ending::Satisfied | Ending::Miss) {
+        if look && matches!(o.outcome, AttemptOutcome::Success | AttemptOutcome::Miss) {
             self.filled.add(room.now, f64::from(!satisfied), SMOOTHING);
         }
         if satisfied && told && !uncacheable && !look {
@@ -919,36 +947,42 @@
         // Fills wait for others; only what the cache held itself tells of its own pace.
         let own_pace = satisfied && held && !uncacheable;
         let time = self.time(&lk, &o, own, 1.0).filter(|_| own_pace);
-        let pace = own_pace.then(|| (o.took as f64 / (own + 0.02 * SEC as f64)).min(20.0));
+        let pace = own_pace.then(|| (o.elapsed as f64 / (own + 0.02 * SEC as f64)).min(20.0));
         // A reset says that somebody is there; a process that has died refuses the next connection.
-        let lost = o.ending == Ending::Unconnected;
-        let heard = matches!(o.ending, Ending::Satisfied | Ending::Miss | Ending::Error | Ending::TurnedAway);
-        let carried = if satisfied { self.kinds[lk.kind].load } else { 0.0 };
+        let lost = o.outcome == AttemptOutcome::ConnectFailed;
+        let heard = matches!(
+            o.outcome,
+            AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Error | AttemptOutcome::Rejected
+        );
+        let carried = if satisfied { self.kinds[lk.class].load } else { 0.0 };
         room.tell(
-            o.peer,
+            o.endpoint,
             Note::Done { verdict: verdict(at_cache && !uncacheable), lost, heard, time, pace, work: carried },
         );
         if let Some(ix) = source_ix.filter(|ix| self.cards[*ix].role == Role::Parent) {
-            let refused = o.ending == Ending::TimedOut || o.remark == Remark::SourceRefused;
+            let refused =
+                o.outcome == AttemptOutcome::TimedOut || o.cache_status == CacheStatus::SourceRejected;
             // What the origin had to fetch says nothing of the parent's own link.
-            let own_link = o.remark == Remark::Filled && !uncacheable;
-            let passed = || o.took as f64 / self.budget(&lk, own).max(1.0) / drag;
+            let own_link = o.cache_status == CacheStatus::FilledFromParent && !uncacheable;
+            let passed = || o.elapsed as f64 / self.budget(&lk, own).max(1.0) / drag;
             let time = if refused { Some(f64::INFINITY) } else { own_link.then(passed) };
             room.tell(ix, Note::Returned { share, time: time.filter(|_| share > 0.0) });
         }
         if let Some(ix) = source_ix {
             let part = if !told || filled { carried } else { 0.0 };
             // Sizes differ far more than parents do: only what goes beyond the object's own time tells.
-            let took = (o.took.max(room.now - at) - own as Micros).max(0);
+            let took = (o.elapsed.max(room.now - at) - own as Micros).max(0);
             if !(told && satisfied && !filled) {
-                let timed_out = o.ending == Ending::TimedOut;
+                let timed_out = o.outcome == AttemptOutcome::TimedOut;
                 let first_byte = if timed_out { Some(took) } else { o.first_byte };
                 // A quick failure is no quick answer.
                 let took = (satisfied || timed_out).then_some(took);
                 room.tell(ix, Note::Gave { verdict: verdict(at_source), first_byte, took, work: part });
             }
         }
-        let wait = ask == Ask::Look && o.ending == Ending::Miss && o.remark == Remark::Joined;
+        let wait = ask == Ask::Look
+            && o.outcome == AttemptOutcome::Miss
+            && o.cache_status == CacheStatus::JoinedFill;
         if satisfied && !ended {
             self.counted(&lk, true, room);
         }
@@ -964,15 +998,15 @@
     }
 
     /// Which of the two groups of large ones of its kind it is in, if any.
-    fn large(&self, lk: &Lookup, room: &Room<Note>) -> Option<usize> {
-        let times = self.own_work(lk, room) / self.kinds[lk.kind].work.max(1.0);
+    fn large(&self, lk: &Request, room: &Room<Note>) -> Option<usize> {
+        let times = self.own_work(lk, room) / self.kinds[lk.class].work.max(1.0);
         LARGE.iter().position(|least| times > *least)
     }
 
     /// A lookup has been answered or given up.
-    fn counted(&mut self, lk: &Lookup, answered: bool, room: &Room<Note>) {
+    fn counted(&mut self, lk: &Request, answered: bool, room: &Room<Note>) {
         let (large, answered) = (self.large(lk, room), f64::from(u8::from(answered)));
-        let kind = &mut self.kinds[lk.kind];
+        let kind = &mut self.kinds[lk.class];
         kind.answered.add(room.now, answered, SMOOTHING / 10.0);
         if let Some(at) = large {
             let owed =
@@ -983,38 +1017,38 @@
 
     /// How much more a lookup may be slowed down, within its latency budget, than a usual one of the kind
     /// with the least room. In a jam it is the large ones that would come late, and make others late.
-    fn ease(&self, lk: &Lookup, room: &Room<Note>) -> f64 {
+    fn ease(&self, lk: &Request, room: &Room<Note>) -> f64 {
         let slack = |k: &Kind, work: f64| k.stretch + k.budget as f64 / work.max(1.0);
         let cached = self.kinds.iter().rev().skip(1).filter(|k| !k.uncacheable);
         let least = cached.map(|k| slack(k, k.work)).fold(f64::INFINITY, f64::min);
-        let own = slack(&self.kinds[lk.kind], self.own_work(lk, room));
+        let own = slack(&self.kinds[lk.class], self.own_work(lk, room));
         (own / least).clamp(TIGHT, EASY)
     }
 
-    fn budget(&self, lk: &Lookup, own: f64) -> f64 {
-        self.kinds[lk.kind].budget as f64 + self.kinds[lk.kind].stretch * own
+    fn budget(&self, lk: &Request, own: f64) -> f64 {
+        self.kinds[lk.class].budget as f64 + self.kinds[lk.class].stretch * own
     }
 
     /// How many times the latency budget, times the drag of its cache, an outcome took.
-    fn time(&self, lk: &Lookup, o: &Outcome, own: f64, drag: f64) -> Option<f64> {
-        match o.ending {
-            Ending::Satisfied => Some(o.took as f64 / (drag * self.budget(lk, own)).max(1.0)),
-            Ending::TimedOut | Ending::TurnedAway => Some(f64::INFINITY),
+    fn time(&self, lk: &Request, o: &AttemptEnd, own: f64, drag: f64) -> Option<f64> {
+        match o.outcome {
+            AttemptOutcome::Success => Some(o.elapsed as f64 / (drag * self.budget(lk, own)).max(1.0)),
+            AttemptOutcome::TimedOut | AttemptOutcome::Rejected => Some(f64::INFINITY),
             _ => None,
         }
     }
 
     /// Against herds of fills of hot new objects where fills cannot be joined: what is on its way is asked
     /// for again after a part of its sending time, as long as that leaves the time to send it in time.
-    fn wait(&mut self, lk: &Lookup, own: f64, room: &mut Room<Note>) -> bool {
+    fn wait(&mut self, lk: &Request, own: f64, room: &mut Room<Note>) -> bool {
         let budget = self.budget(lk, own) as Micros;
         let Some(held) = self.lookups.get_mut(&lk.id) else { return false };
         let at = room.now + held.sends.len() as Micros * (own as Micros / 4).max(WAIT_LEAST);
-        let late = at + own as Micros > lk.expires.min(held.asked_at + budget);
+        let late = at + own as Micros > lk.deadline.min(held.asked_at + budget);
         held.waiting = !(late || held.half_closed || room.rules.is("specifics.shares_fills"));
         if held.waiting {
             held.sends.iter_mut().for_each(|s| s.waited = true);
-            room.out.push(Action::Ring { at, token: lk.id });
+            room.out.push(Action::SetTimer { at, timer: lk.id });
         }
         held.waiting
     }
@@ -1022,7 +1056,7 @@
     /// Extra sends are earned by first ones, so that retries cannot feed an overload. None is spent on what
     /// only the origin can do while the origin itself fails: eight sends each would hold it down.
     fn again(&mut self, id: u32, room: &mut Room<Note>) {
-        let passes = self.lookups.get(&id).is_some_and(|h| self.kinds[h.lk.kind].uncacheable);
+        let passes = self.lookups.get(&id).is_some_and(|h| self.kinds[h.lk.class].uncacheable);
         let mut origins = (0..self.cards.len()).filter(|ix| self.cards[*ix].role == Role::Origin);
         let in_vain = passes && origins.any(|ix| self.cards[ix].open && self.shunned(ix, room));
         if self.extra < 1.0 || in_vain {
@@ -1034,17 +1068,17 @@
 }
 
 /// One instance of the decisions.
-pub struct Front {
+pub struct Router {
     desk: Desk,
     peers: Vec<Peer>,
     room: Room<Note>,
 }
 
-impl Front {
-    pub fn start(seed: u64, settings: Settings, now: Micros, out: &mut Vec<Action>) -> Front {
+impl Router {
+    pub fn new(seed: u64, settings: Settings, now: Micros, out: &mut Vec<Action>) -> Router {
         let rules = Rules::new(settings);
         if rules.text("registry_mode") == "on_request" {
-            out.push(Action::Subscribe);
+            out.push(Action::PollDiscovery);
         }
         let least = FETCHES_LEAST / rules.num("balancers", 1.0).max(1.0);
         let mut fields = rules.text("feedback.fields").split(',');
@@ -1068,27 +1102,29 @@
             link: Smooth::at(0.0),
             link_at: fields.position(|f| f == "x1").filter(|_| on_links),
         };
-        Front { desk, peers: Vec::new(), room: Room::new(now, rules.all, seed) }
+        Router { desk, peers: Vec::new(), room: Room::new(now, rules.all, seed) }
     }
 
-    pub fn hear(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let (desk, room) = (&mut self.desk, &mut self.room);
         room.now = now;
         match event {
-            Event::Listed(listing) => self.listed(listing),
-            Event::Asked(lk) => desk.asked(lk, room),
-            Event::Began { id } => desk.lookups.get_mut(&id).into_iter().for_each(|held| held.began = true),
-            Event::Ended(outcome) => desk.ended(outcome, room),
-            Event::Left { id } => desk.close(id, room),
-            Event::HalfClosed { id } => desk.half_closed(id, room),
-            Event::Connected { id, send } => desk.connected(id, send, room),
-            Event::Rang { token } => {
+            Event::EndpointsUpdated(listing) => self.listed(listing),
+            Event::RequestArrived(lk) => desk.asked(lk, room),
+            Event::ResponseStarted { id } => {
+                desk.lookups.get_mut(&id).into_iter().for_each(|held| held.began = true)
+            }
+            Event::AttemptEnded(outcome) => desk.ended(outcome, room),
+            Event::ClientLeft { id } => desk.close(id, room),
+            Event::ClientHalfClosed { id } => desk.half_closed(id, room),
+            Event::AttemptConnected { id, attempt } => desk.connected(id, attempt, room),
+            Event::TimerFired { timer: token } => {
                 match desk.lookups.get_mut(&token).map(|h| std::mem::take(&mut h.waiting)) {
                     Some(true) => desk.plan(token, room),
-                    _ => room.out.push(Action::Subscribe),
+                    _ => room.out.push(Action::PollDiscovery),
                 }
             }
-            Event::Purged { object, group, ago } => {
+            Event::Invalidated { object, group, age: ago } => {
                 let name = (object, if object.is_some() { 0 } else { group });
                 let last = desk.purged.get(now, name).unwrap_or(Micros::MIN);
                 let dropped = desk.purged.put(now, name, last.max(now - ago));
@@ -1097,18 +1133,18 @@
                 }
                 desk.purges = true;
             }
-            Event::OutOfTouch { since } => desk.behind = since,
-            Event::CopiesBounded { not_before, age } => {
+            Event::DiscoveryLag { since } => desk.behind = since,
+            Event::FreshnessBound { not_before, max_age: age } => {
                 desk.copies = CopyBound { not_before, age, told: now }
             }
-            Event::Recalled { object, highest } => {
+            Event::SharedLength { object, highest_part: highest } => {
                 let known = desk.lengths.get(room.now, object).unwrap_or(0);
                 desk.lengths.put(room.now, object, known.max(highest));
             }
-            Event::Thought { peer, failing, first_byte } => {
+            Event::SharedEstimate { endpoint: peer, failure_rate: failing, first_byte } => {
                 room.tell(peer, Note::Thought(failing, first_byte));
             }
-            Event::Probed { .. } | Event::Heard { .. } => {}
+            Event::HealthCheckEnded { .. } | Event::PeerMessage { .. } => {}
         }
         self.pump();
         out.append(&mut self.room.out);
@@ -1128,24 +1164,24 @@
         }
     }
 
-    fn listed(&mut self, listing: Listing) {
+    fn listed(&mut self, listing: EndpointUpdate) {
         let entries = match listing {
-            Listing::Full(entries) => {
-                for ix in (0..self.peers.len()).filter(|ix| entries.iter().all(|e| e.peer != *ix)) {
+            EndpointUpdate::Snapshot(entries) => {
+                for ix in (0..self.peers.len()).filter(|ix| entries.iter().all(|e| e.endpoint != *ix)) {
                     self.room.tell(ix, Note::Unlisted);
                 }
                 entries
             }
-            Listing::Delta(entries) => entries,
-            Listing::Failed => {
+            EndpointUpdate::Delta(entries) => entries,
+            EndpointUpdate::Unavailable => {
                 if self.room.rules.text("registry_mode") == "on_request" {
-                    self.room.out.push(Action::Ring { at: self.room.now + SEC, token: 0 });
+                    self.room.out.push(Action::SetTimer { at: self.room.now + SEC, timer: 0 });
                 }
                 return;
             }
         };
         for entry in entries {
-            self.room.tell(entry.peer, Note::Listed(entry));
+            self.room.tell(entry.endpoint, Note::Listed(entry));
         }
         for ix in 0..self.peers.len() {
             self.room.tell(ix, Note::Sweep);
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decision module keeps, grouped by how long it lives: no decision and no value of its own.
 
-use crate::door::micros;
-use crate::interface::{Entry, Fill, Lookup, Micros, PeerIx};
+use crate::host::micros;
+use crate::interface::{EndpointEntry, EndpointIndex, Fill, Micros, Request};
 use crate::room::{Rate, Rules, Smooth};
 use smallvec::SmallVec;
 
@@ -24,14 +24,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bid {
     pub lk: u32,
-    pub cache: PeerIx,
+    pub cache: EndpointIndex,
     pub fill: Fill,
     pub ask: Ask,
     pub share: f64,
     pub fetch: f64,
     /// Room in its latency budget, against a usual lookup.
     pub ease: f64,
-    pub time_out: Micros,
+    pub timeout: Micros,
     /// Work that it brings to the cache, and its likely part for the source.
     pub work: f64,
     pub fill_work: f64,
@@ -64,8 +64,8 @@
 }
 
 pub struct Sent {
-    pub peer: PeerIx,
-    pub source: Option<PeerIx>,
+    pub peer: EndpointIndex,
+    pub source: Option<EndpointIndex>,
     pub at: Micros,
     pub out: bool,
     pub may_have_run: bool,
@@ -106,19 +106,19 @@
 }
 
 /// Peers in the order of a choice: in place, as each lookup makes some.
-pub type Peers = SmallVec<[PeerIx; 16]>;
+pub type Peers = SmallVec<[EndpointIndex; 16]>;
 
 // For one lookup.
 
 /// A lookup while the front owes its answer, and until the last of its sends is heard of.
 pub struct Held {
-    pub lk: Lookup,
+    pub lk: Request,
     pub keep: u8,
     pub ended: bool,
     pub began: bool,
     pub sends: SmallVec<[Sent; 1]>,
     /// Peers that turned a bid away before it was sent.
-    pub turned: Vec<PeerIx>,
+    pub turned: Vec<EndpointIndex>,
     pub asked_at: Micros,
     /// This front was asked for the same lately.
     pub again: bool,
@@ -129,7 +129,7 @@
 }
 
 impl Held {
-    pub fn new(lk: Lookup) -> Held {
+    pub fn new(lk: Request) -> Held {
         Held {
             lk,
             keep: 0,
@@ -221,7 +221,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Note {
-    Listed(Entry),
+    Listed(EndpointEntry),
     /// What others make of it: share of failures, first-byte time.
     Thought(f64, Option<Micros>),
     Unlisted,
@@ -252,9 +252,9 @@
         time: Option<f64>,
     },
     /// To the desk.
-    Posted(PeerIx, Card),
+    Posted(EndpointIndex, Card),
     Sent(Bid),
-    Turned(Bid, PeerIx),
+    Turned(Bid, EndpointIndex),
     Crowded(Bid),
 }
 
