--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,17 +3,17 @@
 mod codec;
 
 use codec::{Address, Arrival, Batch, Deed, Line, Malformed};
-use meadowrill_routing::control::Front;
-use meadowrill_routing::door::{contained, micros, remark, settings, Indices};
+use meadowrill_routing::host::{cache_status, catch_panic, micros, settings, EndpointIndices};
 use meadowrill_routing::interface::*;
+use meadowrill_routing::router::Router;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
 /// One front, with the small indices that its caches were given.
 struct Instance {
-    front: Front,
-    caches: Indices<Address>,
+    front: Router,
+    caches: EndpointIndices<Address>,
 }
 
 #[derive(Default)]
@@ -30,35 +30,52 @@
     values.iter().map(|v| f64::from(*v)).collect()
 }
 
-fn ending(code: u16) -> Ending {
+fn outcome(code: u16) -> AttemptOutcome {
     match code {
-        100 => Ending::Satisfied,
-        302 => Ending::TurnedAway,
-        303 => Ending::TimedOut,
-        304 => Ending::Unconnected,
-        305 => Ending::Broken,
-        306 => Ending::Cancelled,
-        307 => Ending::Moot,
-        101 => Ending::Miss,
+        100 => AttemptOutcome::Success,
+        302 => AttemptOutcome::Rejected,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::ConnectFailed,
+        305 => AttemptOutcome::ConnectionReset,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::Superseded,
+        101 => AttemptOutcome::Miss,
         // A word not known yet proves nothing: like an error it may have run.
-        _ => Ending::Error,
+        _ => AttemptOutcome::Error,
+    }
+}
+
+/// The wording of a log event on the simulator's wire.
+fn log_line(event: LogEvent) -> String {
+    match event {
+        LogEvent::EndpointLimitCut { stable_id, limit } => {
+            format!("concurrency limit of endpoint {stable_id:012x} cut to {limit:.0}")
+        }
+        LogEvent::ParentLimitCut { stable_id, limit } => {
+            format!("concurrency limit of parent {stable_id:012x} cut to {limit:.1}")
+        }
+        LogEvent::FillLimitCut { limit } => format!("limit on fills cut to {limit:.0}"),
+        LogEvent::FetchLimitCut { limit } => format!("limit on fetches cut to {limit:.0}"),
+        LogEvent::EndpointUnreachable { stable_id } => {
+            format!("endpoint {stable_id:012x} unreachable, treated as warming up")
+        }
     }
 }
 
 impl Instance {
-    fn entries(&mut self, lines: &[Line]) -> Vec<Entry> {
-        let entry = |l: &Line| Entry {
-            peer: self.caches.of(&l.cache),
-            stable: u64::from(u32::from_be_bytes(l.cache.0)) << 16 | u64::from(l.cache.1),
-            machine: l.family_type,
-            since: micros(l.online_since_s),
+    fn entries(&mut self, lines: &[Line]) -> Vec<EndpointEntry> {
+        let entry = |l: &Line| EndpointEntry {
+            endpoint: self.caches.of(&l.cache),
+            stable_id: u64::from(u32::from_be_bytes(l.cache.0)) << 16 | u64::from(l.cache.1),
+            machine_kind: l.family_type,
+            started_at: micros(l.online_since_s),
             zone: l.region_part,
             cell: l.bay,
             weight: f64::from(l.power_hint),
-            standing: match l.status {
-                0 => Standing::Ready,
-                2 => Standing::Draining,
-                _ => Standing::Gone,
+            status: match l.status {
+                0 => EndpointStatus::Ready,
+                2 => EndpointStatus::Draining,
+                _ => EndpointStatus::Removed,
             },
         };
         lines.iter().map(entry).collect()
@@ -66,49 +83,53 @@
 
     fn event(&mut self, lists: &BTreeMap<u8, Vec<Line>>, arrival: Arrival) -> Result<Event, String> {
         Ok(match arrival {
-            Arrival::PeersKnown { mode: 1, .. } => Event::Listed(Listing::Failed),
+            Arrival::PeersKnown { mode: 1, .. } => Event::EndpointsUpdated(EndpointUpdate::Unavailable),
             Arrival::PeersKnown { mode, slot } => {
                 let lines = lists.get(&slot).ok_or_else(|| format!("list {slot} was never introduced"))?;
                 let entries = self.entries(lines);
-                Event::Listed(if mode == 4 { Listing::Delta(entries) } else { Listing::Full(entries) })
+                Event::EndpointsUpdated(if mode == 4 {
+                    EndpointUpdate::Delta(entries)
+                } else {
+                    EndpointUpdate::Snapshot(entries)
+                })
             }
             Arrival::Inbound { id, slice, length_kb, asset, expires_s, lane, batch_id } => {
-                Event::Asked(Lookup {
+                Event::RequestArrived(Request {
                     id,
                     object: asset,
                     part: slice as u32,
                     size_kb: f64::from(length_kb),
                     group: batch_id as u32,
-                    kind: usize::from(lane),
-                    expires: micros(expires_s),
+                    class: usize::from(lane),
+                    deadline: micros(expires_s),
                 })
             }
-            Arrival::First { id } => Event::Began { id },
-            Arrival::Done(d) => Event::Ended(Outcome {
+            Arrival::First { id } => Event::ResponseStarted { id },
+            Arrival::Done(d) => Event::AttemptEnded(AttemptEnd {
                 id: d.id,
-                send: d.go,
-                peer: self.caches.of(&d.cache),
-                ending: ending(d.disposition),
-                took: micros(d.delay_seen_s),
+                attempt: d.go,
+                endpoint: self.caches.of(&d.cache),
+                outcome: outcome(d.disposition),
+                elapsed: micros(d.delay_seen_s),
                 finished: d.finished,
-                remark: remark(usize::from(d.note)),
+                cache_status: cache_status(usize::from(d.note)),
                 first_byte: (d.first_byte_s > 0.0).then(|| micros(d.first_byte_s)),
                 size_kb: 0.0,
-                report: reports(&d.health_info),
+                load_report: reports(&d.health_info),
             }),
-            Arrival::Expired { id } => Event::Left { id },
-            Arrival::Ring { handle } => Event::Rang { token: handle },
-            Arrival::Heard { author, octets } => Event::Heard { from: author, bytes: octets },
-            Arrival::Probed { cache, disposition, delay_seen_s, health_info } => Event::Probed {
-                peer: self.caches.of(&cache),
-                ending: ending(disposition),
-                took: micros(delay_seen_s),
-                report: reports(&health_info),
+            Arrival::Expired { id } => Event::ClientLeft { id },
+            Arrival::Ring { handle } => Event::TimerFired { timer: handle },
+            Arrival::Heard { author, octets } => Event::PeerMessage { from: author, bytes: octets },
+            Arrival::Probed { cache, disposition, delay_seen_s, health_info } => Event::HealthCheckEnded {
+                endpoint: self.caches.of(&cache),
+                outcome: outcome(disposition),
+                elapsed: micros(delay_seen_s),
+                load_report: reports(&health_info),
             },
-            Arrival::Invalidated { asset, batch_id, oldness_s } => Event::Purged {
+            Arrival::Invalidated { asset, batch_id, oldness_s } => Event::Invalidated {
                 object: (asset != 0).then_some(asset),
                 group: u32::from(batch_id),
-                ago: micros(oldness_s),
+                age: micros(oldness_s),
             },
             // These four concern the host and are dealt with before.
             Arrival::At(_) | Arrival::Start { .. } | Arrival::Roster { .. } | Arrival::Halt => {
@@ -119,30 +140,32 @@
 
     fn deed(&mut self, action: Action) -> Option<Deed> {
         Some(match action {
-            Action::Send { id, peer, time_out, fill: None } => {
-                Deed::Route { id, cache: *self.caches.name(peer), limit_s: seconds(time_out) }
+            Action::StartAttempt { id, endpoint, timeout, fill: None } => {
+                Deed::Route { id, cache: *self.caches.name(endpoint), limit_s: seconds(timeout) }
             }
-            Action::Send { id, peer, time_out, fill: Some(fill) } => Deed::Obtain {
+            Action::StartAttempt { id, endpoint, timeout, fill: Some(fill) } => Deed::Obtain {
                 id,
-                cache: *self.caches.name(peer),
-                limit_s: seconds(time_out),
+                cache: *self.caches.name(endpoint),
+                limit_s: seconds(timeout),
                 supplier: *self.caches.name(fill.source),
-                admit: fill.keep,
-                oldness_s: seconds(fill.age),
-                mode: u8::from(fill.join) | u8::from(fill.held_only) << 1 | u8::from(fill.renew) << 3,
+                admit: fill.retention,
+                oldness_s: seconds(fill.max_age),
+                mode: u8::from(fill.join) | u8::from(fill.cached_only) << 1 | u8::from(fill.revalidate) << 3,
             },
-            Action::Nack { id, come_back } => Deed::OverloadReply { id, cool_down_s: seconds(come_back) },
+            Action::Reject { id, retry_after } => {
+                Deed::OverloadReply { id, cool_down_s: seconds(retry_after) }
+            }
             Action::Fail { id } => Deed::Surrender { id },
-            Action::Cancel { id, send } => Deed::Revoke { id, go: send },
-            Action::Ring { at, token } => Deed::Defer { alarm_time_s: seconds(at), handle: token },
-            Action::Subscribe => Deed::Track(true),
-            Action::Log(text) => Deed::Emit(text),
-            Action::Forget { peer } => {
+            Action::CancelAttempt { id, attempt: send } => Deed::Revoke { id, go: send },
+            Action::SetTimer { at, timer: token } => Deed::Defer { alarm_time_s: seconds(at), handle: token },
+            Action::PollDiscovery => Deed::Track(true),
+            Action::Log(event) => Deed::Emit(log_line(event)),
+            Action::ReleaseEndpoint { endpoint: peer } => {
                 self.caches.forget(peer);
                 return None;
             }
             // Answers to connections of a host's own, of which this wire has none.
-            Action::Write { .. } => return None,
+            Action::WriteAttempt { .. } => return None,
         })
     }
 }
@@ -175,14 +198,14 @@
             let mut actions = Vec::new();
             let played = if let Arrival::Start { prng, env } = arrival {
                 let settings = settings(env.lines().filter_map(|l| l.split_once('=')));
-                contained(|| Front::start(prng, settings, now, &mut actions)).map(|front| {
-                    self.instances.insert(id, Instance { front, caches: Indices::default() });
+                catch_panic(|| Router::new(prng, settings, now, &mut actions)).map(|front| {
+                    self.instances.insert(id, Instance { front, caches: EndpointIndices::default() });
                 })
             } else {
                 let unknown = || bad(format!("instance {id} was never introduced"));
                 let instance = self.instances.get_mut(&id).ok_or_else(unknown)?;
                 let event = instance.event(&self.lists, arrival).map_err(bad)?;
-                contained(|| instance.front.hear(now, event, &mut actions))
+                catch_panic(|| instance.front.handle_event(now, event, &mut actions))
             };
             if (played.is_err() || !actions.is_empty()) && speaking != Some(id) {
                 speaking = Some(id);
