--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency.rs
@@ -13,9 +13,15 @@
 /// duration cannot be told from chance.
 const MIN_TARGET_PART: f64 = 0.6;
 /// The limit stays as it is while the queue is within these multiples of the target.
-const TOLERANCE: Range = Range { low: 0.75, high: 1.25 };
+const TOLERANCE: Range = Range {
+    low: 0.75,
+    high: 1.25,
+};
 /// A queue of so many lookups is always allowed: without any, a cache would idle between an answer and the next lookup.
-const MIN_QUEUE: Range = Range { low: 1.5, high: 3.0 };
+const MIN_QUEUE: Range = Range {
+    low: 1.5,
+    high: 3.0,
+};
 /// Fewest samples, and the shortest time, after which a window is evaluated.
 const WINDOW_SAMPLES: u32 = 24;
 const WINDOW_TIME: Micros = 40_000;
@@ -71,13 +77,21 @@
 impl Baseline {
     fn new(latency_budget: Micros, now: Micros) -> Baseline {
         let target_wait = latency_budget as f64 * TARGET_WAIT_PART;
-        Baseline { duration: None, samples: 0, last_sample: now, target_wait }
+        Baseline {
+            duration: None,
+            samples: 0,
+            last_sample: now,
+            target_wait,
+        }
     }
 
     fn record(&mut self, now: Micros, duration: f64, rate: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = rate.max(1.0 / f64::from(self.samples));
-        self.duration = Some(self.duration.map_or(duration, |mean| mean + weight * (duration - mean)));
+        self.duration = Some(
+            self.duration
+                .map_or(duration, |mean| mean + weight * (duration - mean)),
+        );
         self.last_sample = now;
     }
 
@@ -102,7 +116,15 @@
 impl Window {
     fn new(began: Micros) -> Window {
         let (duration, baseline, target_wait, concurrency) = (0.0, 0.0, 0.0, 0.0);
-        Window { began, samples: 0, duration, baseline, target_wait, concurrency, limited: false }
+        Window {
+            began,
+            samples: 0,
+            duration,
+            baseline,
+            target_wait,
+            concurrency,
+            limited: false,
+        }
     }
 }
 
@@ -132,7 +154,12 @@
 
 impl ConcurrencyLimiter {
     /// A limiter between `min` and `max`, with the latency budget of each class.
-    pub fn new(min: usize, max: usize, latency_budgets: &[Micros], now: Micros) -> ConcurrencyLimiter {
+    pub fn new(
+        min: usize,
+        max: usize,
+        latency_budgets: &[Micros],
+        now: Micros,
+    ) -> ConcurrencyLimiter {
         let (min, max) = (min as f64, max as f64);
         let limit = INITIAL_LIMIT.clamp(min, max);
         ConcurrencyLimiter {
@@ -144,7 +171,10 @@
             lingering: 0,
             usual_concurrency: limit,
             queue_windows: 0,
-            baselines: latency_budgets.iter().map(|budget| Baseline::new(*budget, now)).collect(),
+            baselines: latency_budgets
+                .iter()
+                .map(|budget| Baseline::new(*budget, now))
+                .collect(),
             window: Window::new(now),
             probe_end: None,
             probe_samples: 0,
@@ -192,7 +222,11 @@
 
     /// Whether one more lookup may be in flight.
     pub fn has_room(&self) -> bool {
-        let limit = if self.probe_end.is_some() { self.low_load() } else { self.limit };
+        let limit = if self.probe_end.is_some() {
+            self.low_load()
+        } else {
+            self.limit
+        };
         ((self.in_flight + self.lingering) as f64) < limit.floor().max(1.0)
     }
 
@@ -215,7 +249,10 @@
     /// A lookup has to wait. Starts a probe where the baselines are stale.
     pub fn record_wait(&mut self, now: Micros) {
         self.window.limited = true;
-        let unknown = self.baselines.iter().all(|baseline| baseline.duration.is_none());
+        let unknown = self
+            .baselines
+            .iter()
+            .all(|baseline| baseline.duration.is_none());
         let stale = unknown || self.baselines.iter().any(|baseline| baseline.is_stale(now));
         let due = self.last_probe + BASELINE_LIFETIME <= now;
         if self.probe_end.is_none() && due && stale {
@@ -261,8 +298,14 @@
     /// An answer from a cache's memory: how long it took, and whether `acquire` had reported low load.
     pub fn record_hit(&mut self, now: Micros, class: usize, duration: Micros, low_load: bool) {
         let duration = (duration as f64).max(1.0);
-        let rate = if self.probe_end.is_some() { PROBE_BASELINE_RATE } else { BASELINE_RATE };
-        let Some(baseline) = self.baselines.get_mut(class) else { return };
+        let rate = if self.probe_end.is_some() {
+            PROBE_BASELINE_RATE
+        } else {
+            BASELINE_RATE
+        };
+        let Some(baseline) = self.baselines.get_mut(class) else {
+            return;
+        };
         if low_load {
             baseline.record(now, duration, rate);
             self.probe_samples += 1;
@@ -336,7 +379,11 @@
 
     /// Lowers the limit where the queue is longer than allowed, and raises it where it is shorter.
     fn move_limit(&mut self, concurrency: f64, queue: f64, allowed: Range) {
-        self.queue_windows = if queue > allowed.high { self.queue_windows + 1 } else { 0 };
+        self.queue_windows = if queue > allowed.high {
+            self.queue_windows + 1
+        } else {
+            0
+        };
         let used = concurrency + self.lingering as f64;
         if self.queue_windows >= WINDOWS_TO_DECREASE {
             // To where the queue would be in the middle of what is allowed.
@@ -344,7 +391,11 @@
             self.limit = aim.min(self.limit).max(self.limit * MAX_DECREASE);
         } else if self.window.limited && queue < allowed.low && used > UTILIZATION * self.limit {
             let far_below = queue < allowed.low / 2.0;
-            self.limit = if far_below { self.limit * FAST_GROWTH } else { self.limit * SLOW_GROWTH + 1.0 };
+            self.limit = if far_below {
+                self.limit * FAST_GROWTH
+            } else {
+                self.limit * SLOW_GROWTH + 1.0
+            };
         }
         self.limit = self.limit.clamp(self.min, self.max);
     }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -97,7 +97,12 @@
 
 impl Default for Tenant {
     fn default() -> Tenant {
-        Tenant { name: "default".into(), weight: 1.0, networks: Vec::new(), values: Vec::new() }
+        Tenant {
+            name: "default".into(),
+            weight: 1.0,
+            networks: Vec::new(),
+            values: Vec::new(),
+        }
     }
 }
 
@@ -116,15 +121,26 @@
     }
 }
 
-fn ensure(valid: bool, key: impl Into<String>, message: impl Into<String>) -> Result<(), ConfigError> {
+fn ensure(
+    valid: bool,
+    key: impl Into<String>,
+    message: impl Into<String>,
+) -> Result<(), ConfigError> {
     if valid {
         Ok(())
     } else {
-        Err(ConfigError { key: key.into(), message: message.into() })
+        Err(ConfigError {
+            key: key.into(),
+            message: message.into(),
+        })
     }
 }
 
-fn ensure_within(value: f64, range: RangeInclusive<f64>, key: impl Into<String>) -> Result<(), ConfigError> {
+fn ensure_within(
+    value: f64,
+    range: RangeInclusive<f64>,
+    key: impl Into<String>,
+) -> Result<(), ConfigError> {
     // NaN is in no range.
     let message = format!("{value} is not within {} to {}", range.start(), range.end());
     ensure(range.contains(&value), key, message)
@@ -160,10 +176,16 @@
     fn check_name(&mut self, place: usize, name: &'a str) -> Result<(), ConfigError> {
         let key = tenant_key(place, "name");
         ensure(!name.is_empty(), &key, "is empty")?;
-        let plain = name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
+        let plain = name
+            .chars()
+            .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         let valid = plain && name.len() <= MAX_NAME_LENGTH;
         ensure(valid, &key, "may hold letters, digits, '-', '_' and '.'")?;
-        ensure(self.names.insert(name), &key, format!("{name:?} is named twice"))
+        ensure(
+            self.names.insert(name),
+            &key,
+            format!("{name:?} is named twice"),
+        )
     }
 
     fn check_networks(&mut self, place: usize, networks: &[IpNet]) -> Result<(), ConfigError> {
@@ -205,15 +227,31 @@
             taken.check(place, tenant)?;
         }
         let field_named = taken.values.is_empty() || self.tenant_field.is_some();
-        ensure(field_named, "turns.tenant_field", "is missing, but tenants name values of it")
+        ensure(
+            field_named,
+            "turns.tenant_field",
+            "is missing, but tenants name values of it",
+        )
     }
 
     fn check_bounds(&self) -> Result<(), ConfigError> {
         let allowed = 1..=MAX_LOOKUPS;
         let message = "is not within 1 to 65536";
-        ensure(allowed.contains(&self.max_waiting), "turns.waiting_most", message)?;
-        ensure(allowed.contains(&self.min_concurrency), "turns.inside_least", message)?;
+        ensure(
+            allowed.contains(&self.max_waiting),
+            "turns.waiting_most",
+            message,
+        )?;
+        ensure(
+            allowed.contains(&self.min_concurrency),
+            "turns.inside_least",
+            message,
+        )?;
         let max_valid = (self.min_concurrency..=MAX_LOOKUPS).contains(&self.max_concurrency);
-        ensure(max_valid, "turns.inside_most", "is not within inside_least to 65536")
+        ensure(
+            max_valid,
+            "turns.inside_most",
+            "is not within inside_least to 65536",
+        )
     }
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -67,7 +67,12 @@
         let budgets: Vec<Micros> = classes.iter().map(|class| class.latency_budget).collect();
         AdmissionController {
             queue: FairQueue::new(&config, &queue_worths(&costs), seed, now),
-            limiter: ConcurrencyLimiter::new(config.min_concurrency, config.max_concurrency, &budgets, now),
+            limiter: ConcurrencyLimiter::new(
+                config.min_concurrency,
+                config.max_concurrency,
+                &budgets,
+                now,
+            ),
             buckets: TokenBuckets::new(config.bucket_rate, config.bucket_burst),
             counters: vec![TenantCounters::default(); config.tenants.len()],
             costs,
@@ -92,7 +97,9 @@
 
     /// Whether a lookup was not admitted yet.
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
-        self.lookups.get(ticket.0).is_some_and(|lookup| lookup.admitted_at.is_none())
+        self.lookups
+            .get(ticket.0)
+            .is_some_and(|lookup| lookup.admitted_at.is_none())
     }
 
     /// Number of lookups that wait.
@@ -117,8 +124,15 @@
 
     /// When to call `poll` next, if nothing else happens before.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let probe_end = if self.waiting() > 0 { self.limiter.next_deadline() } else { None };
-        [self.timers.next_deadline(), probe_end].into_iter().flatten().min()
+        let probe_end = if self.waiting() > 0 {
+            self.limiter.next_deadline()
+        } else {
+            None
+        };
+        [self.timers.next_deadline(), probe_end]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// The state for operators.
@@ -134,7 +148,9 @@
             reservations_redeemed: self.reservations.redeemed,
             reservations_expired: self.reservations.expired,
             reservations_refused: self.reservations.refused,
-            tenants: tenants.map(|(place, tenant)| self.tenant_report(place, tenant)).collect(),
+            tenants: tenants
+                .map(|(place, tenant)| self.tenant_report(place, tenant))
+                .collect(),
         }
     }
 
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -19,7 +19,10 @@
     /// Decides on a lookup that was read. `held_bytes` is what the host holds, this lookup included.
     pub fn admit(&mut self, now: Micros, request: LookupRequest, held_bytes: usize) -> Decision {
         let now = self.advance(now);
-        let request = LookupRequest { identity: self.known_tenant(request.identity), ..request };
+        let request = LookupRequest {
+            identity: self.known_tenant(request.identity),
+            ..request
+        };
         self.counters[usize::from(request.identity.tenant)].offered += 1;
         let reserved = self.redeem_reservation(now, &request.identity);
         if let Some(reason) = self.exceeded_limit(held_bytes, reserved) {
@@ -40,19 +43,30 @@
 
     /// Replaces a tenant that is not in the configuration by the last one.
     fn known_tenant(&self, identity: ClientIdentity) -> ClientIdentity {
-        ClientIdentity { tenant: identity.tenant.min(self.counters.len() as u16 - 1), ..identity }
+        ClientIdentity {
+            tenant: identity.tenant.min(self.counters.len() as u16 - 1),
+            ..identity
+        }
     }
 
     /// A client that returns for a reservation uses it up, also where there is room.
     fn redeem_reservation(&mut self, now: Micros, identity: &ClientIdentity) -> bool {
-        let Some(flow) = self.reservations.redeem(now, identity) else { return false };
+        let Some(flow) = self.reservations.redeem(now, identity) else {
+            return false;
+        };
         self.queue.remove_reservations(flow, 1);
         true
     }
 
     /// The capacity limit that is reached, a part of which is kept for redeemed reservations.
     fn exceeded_limit(&self, held_bytes: usize, reserved: bool) -> Option<RejectReason> {
-        let usable = |limit: usize| if reserved { limit } else { limit - limit / RESERVED_PLACES };
+        let usable = |limit: usize| {
+            if reserved {
+                limit
+            } else {
+                limit - limit / RESERVED_PLACES
+            }
+        };
         if self.open() >= usable(self.limits.lookups) {
             return Some(RejectReason::LookupLimit);
         }
@@ -93,7 +107,13 @@
         let index = self.lookups.insert(lookup);
         self.queue.push(index, lookup.queued());
         let next = self.queue.pop();
-        debug_assert_eq!(next, Some(DequeuedItem { item: index, flow: lookup.flow }));
+        debug_assert_eq!(
+            next,
+            Some(DequeuedItem {
+                item: index,
+                flow: lookup.flow
+            })
+        );
         Decision::Admitted(self.start(index, now))
     }
 
@@ -144,7 +164,9 @@
         let even_part = self.config.max_waiting as u32 / self.queue.active_flows().max(1);
         let longest = self.queue.longest_queue_tail();
         let below_part = self.queue.waiting_in(flow) < even_part.max(1);
-        let Some(dropped) = longest.filter(|_| below_part) else { return Some(RejectReason::QueueFull) };
+        let Some(dropped) = longest.filter(|_| below_part) else {
+            return Some(RejectReason::QueueFull);
+        };
         self.reject_queued(now, dropped, RejectReason::QueueFull);
         None
     }
@@ -158,7 +180,8 @@
             self.counters[lookup.tenant()].admitted += 1;
             if lookup.fair_queued {
                 let usual = self.costs.usual_duration(lookup.class());
-                self.timers.set(index, now + self.limiter.overdue_after(usual));
+                self.timers
+                    .set(index, now + self.limiter.overdue_after(usual));
             }
         }
         Ticket(index)
--- a/crates/admission/src/controller/complete.rs
+++ b/crates/admission/src/controller/complete.rs
@@ -9,16 +9,22 @@
     /// A lookup that was admitted has ended.
     pub fn complete(&mut self, now: Micros, ticket: Ticket, completion: Completion) {
         let now = self.advance(now);
-        let Some(lookup) = self.lookups.get(ticket.0).copied() else { return };
-        let Some(admitted_at) = lookup.admitted_at.filter(|_| !lookup.lingering) else { return };
+        let Some(lookup) = self.lookups.get(ticket.0).copied() else {
+            return;
+        };
+        let Some(admitted_at) = lookup.admitted_at.filter(|_| !lookup.lingering) else {
+            return;
+        };
         let duration = now - admitted_at;
         self.limiter.release(lookup.overdue);
         self.free_place(ticket.0, &lookup, admitted_at, duration, completion);
         self.settle_cost(&lookup, duration, completion);
         if completion.satisfied {
-            self.costs.record(lookup.class(), duration, completion.size_kb);
+            self.costs
+                .record(lookup.class(), duration, completion.size_kb);
             if completion.hit {
-                self.limiter.record_hit(now, lookup.class(), duration, lookup.low_load);
+                self.limiter
+                    .record_hit(now, lookup.class(), duration, lookup.low_load);
             }
         }
         self.completions.record(now);
@@ -38,7 +44,10 @@
         if failed && duration < usual {
             self.limiter.linger();
             self.timers.set(index, admitted_at + usual);
-            self.lookups.get_mut(index).into_iter().for_each(|lookup| lookup.lingering = true);
+            self.lookups
+                .get_mut(index)
+                .into_iter()
+                .for_each(|lookup| lookup.lingering = true);
         } else {
             self.lookups.remove(index);
             self.timers.cancel(index);
@@ -49,7 +58,11 @@
     /// asking for what cannot be had would cost nothing.
     fn settle_cost(&mut self, lookup: &Lookup, duration: Micros, completion: Completion) {
         let actual = self.costs.actual(duration, completion.size_kb);
-        let cost = if completion.satisfied { actual } else { actual.max(lookup.charged) };
+        let cost = if completion.satisfied {
+            actual
+        } else {
+            actual.max(lookup.charged)
+        };
         let counters = &mut self.counters[lookup.tenant()];
         counters.satisfied += u64::from(completion.satisfied);
         counters.cost += cost;
@@ -62,9 +75,18 @@
     /// of it.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket) -> bool {
         let now = self.advance(now);
-        let Some(lookup) = self.lookups.get(ticket.0).copied() else { return false };
+        let Some(lookup) = self.lookups.get(ticket.0).copied() else {
+            return false;
+        };
         if lookup.admitted_at.is_some() {
-            self.complete(now, ticket, Completion { abandoned: true, ..Completion::default() });
+            self.complete(
+                now,
+                ticket,
+                Completion {
+                    abandoned: true,
+                    ..Completion::default()
+                },
+            );
             return false;
         }
         self.lookups.remove(ticket.0);
--- a/crates/admission/src/controller/completion_rate.rs
+++ b/crates/admission/src/controller/completion_rate.rs
@@ -18,7 +18,11 @@
 
 impl CompletionRate {
     pub(super) fn new(now: Micros) -> CompletionRate {
-        CompletionRate { window_began: now, count: 0.0, mean: 0.0 }
+        CompletionRate {
+            window_began: now,
+            count: 0.0,
+            mean: 0.0,
+        }
     }
 
     /// Counts a completion.
--- a/crates/admission/src/controller/lookup.rs
+++ b/crates/admission/src/controller/lookup.rs
@@ -49,7 +49,11 @@
 
     /// The lookup as one that goes through the fair queue.
     pub(super) fn in_flow(self, flow: u32) -> Lookup {
-        Lookup { flow, fair_queued: true, ..self }
+        Lookup {
+            flow,
+            fair_queued: true,
+            ..self
+        }
     }
 
     /// Number of its class.
@@ -65,6 +69,12 @@
     /// The lookup as the fair queue holds it.
     pub(super) fn queued(&self) -> QueuedLookup {
         let (flow, class, client) = (self.flow, self.class(), self.identity.client);
-        QueuedLookup { flow, class, client, cost: self.charged, bytes: self.bytes }
+        QueuedLookup {
+            flow,
+            class,
+            client,
+            cost: self.charged,
+            bytes: self.bytes,
+        }
     }
 }
--- a/crates/admission/src/controller/poll.rs
+++ b/crates/admission/src/controller/poll.rs
@@ -18,7 +18,9 @@
         self.limiter.update(now);
         // Where the discipline has changed from fair queueing, all that still waits is admitted.
         while self.has_room() {
-            let Some(dequeued) = self.queue.pop() else { break };
+            let Some(dequeued) = self.queue.pop() else {
+                break;
+            };
             self.admit_dequeued(now, dequeued);
         }
         events.append(&mut self.events);
@@ -40,10 +42,13 @@
 
     fn admit_dequeued(&mut self, now: Micros, dequeued: DequeuedItem) {
         self.start(dequeued.item, now);
-        let Some(lookup) = self.lookups.get_mut(dequeued.item) else { return };
+        let Some(lookup) = self.lookups.get_mut(dequeued.item) else {
+            return;
+        };
         // Its client may have got a flow of its own meanwhile.
         lookup.flow = dequeued.flow;
         let (id, tenant, waited) = (lookup.id, lookup.identity.tenant, now - lookup.arrived_at);
-        self.events.push(AdmissionEvent::Admitted { id, tenant, waited });
+        self.events
+            .push(AdmissionEvent::Admitted { id, tenant, waited });
     }
 }
--- a/crates/admission/src/controller/reject.rs
+++ b/crates/admission/src/controller/reject.rs
@@ -52,17 +52,26 @@
     ) -> Rejection {
         let wait = (self.reservations.open + 1) as f64 / self.completions.estimate(now);
         let fair = self.config.discipline == QueueDiscipline::Fair;
-        let flow = if fair { self.queue.flow_of(now, identity) } else { 0 };
+        let flow = if fair {
+            self.queue.flow_of(now, identity)
+        } else {
+            0
+        };
         self.reject_until(now, identity, flow, wait, reason)
     }
 
     /// Rejects a lookup that waits.
     pub(super) fn reject_queued(&mut self, now: Micros, index: u32, reason: RejectReason) {
-        let Some(lookup) = self.lookups.remove(index) else { return };
+        let Some(lookup) = self.lookups.remove(index) else {
+            return;
+        };
         self.timers.cancel(index);
         self.queue.remove(index);
         let rejection = self.reject(now, lookup.identity, lookup.flow, lookup.class(), reason);
-        self.events.push(AdmissionEvent::Rejected { id: lookup.id, rejection });
+        self.events.push(AdmissionEvent::Rejected {
+            id: lookup.id,
+            rejection,
+        });
     }
 
     /// Rejects a lookup, and reserves a place of its flow after `wait` if that is not too long.
@@ -102,7 +111,15 @@
         let counters = &mut self.counters[usize::from(identity.tenant)];
         counters.rejected[reason as usize] += 1;
         counters.reserved += u64::from(reserved);
-        let retry_after = if max == 0 { 0 } else { wait.clamp(RETRY_GRANULARITY.min(max), max) };
-        Rejection { reason, retry_after, reserved }
+        let retry_after = if max == 0 {
+            0
+        } else {
+            wait.clamp(RETRY_GRANULARITY.min(max), max)
+        };
+        Rejection {
+            reason,
+            retry_after,
+            reserved,
+        }
     }
 }
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -37,7 +37,12 @@
 impl ClassEstimate {
     fn new(class: LookupClass) -> ClassEstimate {
         let duration = class.latency_budget as f64 * ASSUMED_BUDGET_PART;
-        ClassEstimate { class, duration, size_kb: 0.0, samples: 0 }
+        ClassEstimate {
+            class,
+            duration,
+            size_kb: 0.0,
+            samples: 0,
+        }
     }
 }
 
@@ -51,7 +56,10 @@
     /// A model that has seen no lookup of any class.
     pub fn new(classes: &[LookupClass], cost_per_kb: Micros) -> CostModel {
         let estimates = classes.iter().copied().map(ClassEstimate::new).collect();
-        CostModel { estimates, cost_per_kb: cost_per_kb as f64 }
+        CostModel {
+            estimates,
+            cost_per_kb: cost_per_kb as f64,
+        }
     }
 
     /// Changes the cost of a kilobyte and keeps what was learned.
@@ -61,14 +69,17 @@
 
     /// Expected cost of a lookup of this class; `size_kb` is 0 where none was declared.
     pub fn expected(&self, class: usize, size_kb: f64) -> f64 {
-        let Some(estimate) = self.estimates.get(class) else { return MIN_COST };
+        let Some(estimate) = self.estimates.get(class) else {
+            return MIN_COST;
+        };
         let usable = size_kb > 0.0 && size_kb.is_finite() && estimate.size_kb > 0.0;
         if !usable {
             return self.total(estimate.duration, estimate.size_kb);
         }
         let (least, most) = (*SIZE_FACTOR_RANGE.start(), *SIZE_FACTOR_RANGE.end());
         let factor = (size_kb / estimate.size_kb).clamp(least, most);
-        let duration = estimate.duration * (1.0 - SIZE_DEPENDENT_PART + SIZE_DEPENDENT_PART * factor);
+        let duration =
+            estimate.duration * (1.0 - SIZE_DEPENDENT_PART + SIZE_DEPENDENT_PART * factor);
         self.total(duration, estimate.size_kb * factor)
     }
 
@@ -79,7 +90,9 @@
 
     /// Usual duration of a lookup of this class.
     pub fn usual_duration(&self, class: usize) -> f64 {
-        self.estimates.get(class).map_or(0.0, |estimate| estimate.duration)
+        self.estimates
+            .get(class)
+            .map_or(0.0, |estimate| estimate.duration)
     }
 
     /// Bytes at most double the cost: the configuration chooses the unit of sizes, and it may be any.
@@ -89,7 +102,9 @@
 
     /// Learns from a lookup that was satisfied.
     pub fn record(&mut self, class: usize, duration: Micros, size_kb: f64) {
-        let Some(estimate) = self.estimates.get_mut(class) else { return };
+        let Some(estimate) = self.estimates.get_mut(class) else {
+            return;
+        };
         estimate.samples = estimate.samples.saturating_add(1);
         // The plain mean of the first samples, an exponentially weighted one from then on.
         let weight = LEARNING_RATE.max(1.0 / f64::from(estimate.samples));
@@ -100,9 +115,12 @@
     /// The latest time at which a lookup that was read at `now` may start and still end within its latency budget;
     /// never past `expires`, when its client gives up.
     pub fn latest_start(&self, class: usize, now: Micros, expires: Micros) -> Micros {
-        let Some(estimate) = self.estimates.get(class) else { return expires };
+        let Some(estimate) = self.estimates.get(class) else {
+            return expires;
+        };
         let duration = estimate.duration;
-        let budget = estimate.class.latency_budget as f64 + estimate.class.budget_stretch * duration;
+        let budget =
+            estimate.class.latency_budget as f64 + estimate.class.budget_stretch * duration;
         // A class that usually exceeds its budget may still wait a little: such lookups are the decision module's to
         // give up.
         let slack = (budget - duration).max(budget * ASSUMED_BUDGET_PART);
--- a/crates/admission/src/cost/tests.rs
+++ b/crates/admission/src/cost/tests.rs
@@ -1,6 +1,10 @@
 use super::*;
 
-const CLASS: LookupClass = LookupClass { worth: 1.0, latency_budget: 500_000, budget_stretch: 0.0 };
+const CLASS: LookupClass = LookupClass {
+    worth: 1.0,
+    latency_budget: 500_000,
+    budget_stretch: 0.0,
+};
 
 #[test]
 fn what_is_large_and_told_so_costs_more_but_within_bounds() {
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -79,11 +79,22 @@
 
 /// The lane and weight of each class, by the worth of a lookup of it.
 fn class_lanes(worths: &[f64]) -> Vec<ClassLane> {
-    let greatest = worths.iter().copied().filter(|worth| worth.is_finite()).fold(f64::MIN_POSITIVE, f64::max);
+    let greatest = worths
+        .iter()
+        .copied()
+        .filter(|worth| worth.is_finite())
+        .fold(f64::MIN_POSITIVE, f64::max);
     let class_lane = |(class, worth): (usize, &f64)| {
         let weight = (worth / greatest).clamp(MIN_CLASS_WEIGHT, 1.0);
-        let weight = if weight.is_nan() { MIN_CLASS_WEIGHT } else { weight };
-        ClassLane { lane: class.min(LANES - 1) as u8, weight }
+        let weight = if weight.is_nan() {
+            MIN_CLASS_WEIGHT
+        } else {
+            weight
+        };
+        ClassLane {
+            lane: class.min(LANES - 1) as u8,
+            weight,
+        }
     };
     worths.iter().enumerate().map(class_lane).collect()
 }
@@ -111,7 +122,9 @@
             class_lanes: class_lanes(worths),
         };
         for (place, tenant) in (0u16..).zip(&config.tenants) {
-            queue.flows.extend(std::iter::repeat_n(Flow::new(place), FLOWS_PER_TENANT));
+            queue
+                .flows
+                .extend(std::iter::repeat_n(Flow::new(place), FLOWS_PER_TENANT));
             queue.tenants.push(TenantQueue::new(tenant.weight, now));
         }
         queue
@@ -143,9 +156,28 @@
 
     /// Appends `item` to its flow.
     pub fn push(&mut self, item: u32, lookup: QueuedLookup) {
-        let QueuedLookup { flow, class, client, cost, bytes } = lookup;
-        let lane = self.class_lanes.get(class).map_or(LANES as u8 - 1, |class| class.lane);
-        self.link(item, Item { flow, lane, client, cost, bytes, ..Item::VACANT });
+        let QueuedLookup {
+            flow,
+            class,
+            client,
+            cost,
+            bytes,
+        } = lookup;
+        let lane = self
+            .class_lanes
+            .get(class)
+            .map_or(LANES as u8 - 1, |class| class.lane);
+        self.link(
+            item,
+            Item {
+                flow,
+                lane,
+                client,
+                cost,
+                bytes,
+                ..Item::VACANT
+            },
+        );
     }
 
     /// Appends an item to the lane that it names.
@@ -157,7 +189,11 @@
         let flow = &mut self.flows[item.flow as usize];
         let least_tag = flow.least_lane_tag();
         let lane = &mut flow.lanes[usize::from(item.lane)];
-        self.items[index as usize] = Item { previous: lane.tail, next: NONE, ..item };
+        self.items[index as usize] = Item {
+            previous: lane.tail,
+            next: NONE,
+            ..item
+        };
         match lane.tail {
             NONE => {
                 lane.head = index;
@@ -194,14 +230,22 @@
 
     /// Removes a waiting item, wherever it stands; false if it does not wait.
     pub fn remove(&mut self, index: u32) -> bool {
-        let waiting = self.items.get(index as usize).copied().filter(|item| item.flow != NONE);
+        let waiting = self
+            .items
+            .get(index as usize)
+            .copied()
+            .filter(|item| item.flow != NONE);
         let Some(item) = waiting else { return false };
         self.unlink(index, item);
         self.waiting -= 1;
         self.update_load(item.flow, |flow, tenant| {
             flow.waiting -= 1;
             tenant.waiting -= 1;
-            flow.waiting_cost = if flow.waiting == 0 { 0.0 } else { flow.waiting_cost - item.cost };
+            flow.waiting_cost = if flow.waiting == 0 {
+                0.0
+            } else {
+                flow.waiting_cost - item.cost
+            };
             tenant.waiting_bytes -= item.bytes as usize;
         });
         if self.flows[item.flow as usize].waiting == 0 {
@@ -250,19 +294,30 @@
     }
 
     fn next_tenant(&self) -> Option<usize> {
-        let backlogged = self.tenants.iter().enumerate().filter(|(_, tenant)| tenant.waiting > 0);
+        let backlogged = self
+            .tenants
+            .iter()
+            .enumerate()
+            .filter(|(_, tenant)| tenant.waiting > 0);
         least_by(backlogged, |(_, tenant)| tenant.start_tag).map(|(place, _)| place)
     }
 
     fn next_lane(&self, flow: u32) -> Option<usize> {
         let lanes = &self.flows[flow as usize].lanes;
-        least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| lanes[*lane].start_tag)
+        least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| {
+            lanes[*lane].start_tag
+        })
     }
 
     /// Advances the virtual times, and the start tags of a tenant, flow and lane by the cost of what is admitted.
     fn charge(&mut self, flow: u32, lane: usize, cost: f64) {
-        let classes = self.class_lanes.iter().filter(|class| usize::from(class.lane) == lane);
-        let lane_weight = classes.map(|class| class.weight).fold(MIN_CLASS_WEIGHT, f64::max);
+        let classes = self
+            .class_lanes
+            .iter()
+            .filter(|class| usize::from(class.lane) == lane);
+        let lane_weight = classes
+            .map(|class| class.weight)
+            .fold(MIN_CLASS_WEIGHT, f64::max);
         let flow = &mut self.flows[flow as usize];
         let tenant = &mut self.tenants[usize::from(flow.tenant)];
         self.virtual_time = tenant.start_tag;
@@ -300,16 +355,24 @@
         let load = |tenant: &TenantQueue| f64::from(tenant.waiting) / tenant.weight;
         let backlogged = self.tenants.iter().filter(|tenant| tenant.waiting > 0);
         let tenant = backlogged.max_by(|a, b| load(a).total_cmp(&load(b)))?;
-        let flow = tenant.backlogged.iter().copied().max_by_key(|flow| self.flows[*flow as usize].waiting)?;
+        let flow = tenant
+            .backlogged
+            .iter()
+            .copied()
+            .max_by_key(|flow| self.flows[*flow as usize].waiting)?;
         let lanes = &self.flows[flow as usize].lanes;
-        let lane =
-            least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| self.lane_weight(*lane))?;
+        let lane = least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| {
+            self.lane_weight(*lane)
+        })?;
         Some(lanes[lane].tail)
     }
 
     /// The weight of the first class of a lane.
     fn lane_weight(&self, lane: usize) -> f64 {
-        let class = self.class_lanes.iter().find(|class| usize::from(class.lane) == lane);
+        let class = self
+            .class_lanes
+            .iter()
+            .find(|class| usize::from(class.lane) == lane);
         class.map_or(0.0, |class| class.weight)
     }
 }
--- a/crates/admission/src/fair_queue/accounting.rs
+++ b/crates/admission/src/fair_queue/accounting.rs
@@ -23,7 +23,11 @@
 
     /// The tenant's part of the weight of all active tenants, itself among them.
     fn tenant_share(&self, tenant: &TenantQueue) -> f64 {
-        let own = if tenant.is_active() { 0.0 } else { tenant.weight };
+        let own = if tenant.is_active() {
+            0.0
+        } else {
+            tenant.weight
+        };
         tenant.weight / (self.active_weight + own).max(tenant.weight)
     }
 
@@ -44,12 +48,17 @@
     /// Waiting bytes of a flow's tenant, and the tenant's share.
     pub fn tenant_bytes(&self, flow: u32) -> TenantBytes {
         let tenant = &self.tenants[usize::from(self.flows[flow as usize].tenant)];
-        TenantBytes { waiting: tenant.waiting_bytes, share: self.tenant_share(tenant) }
+        TenantBytes {
+            waiting: tenant.waiting_bytes,
+            share: self.tenant_share(tenant),
+        }
     }
 
     /// Open reservations of a flow.
     pub fn reserved_in(&self, flow: u32) -> u32 {
-        self.flows.get(flow as usize).map_or(0, |flow| flow.reserved)
+        self.flows
+            .get(flow as usize)
+            .map_or(0, |flow| flow.reserved)
     }
 
     /// Counts a reservation for a flow.
@@ -69,7 +78,10 @@
     /// What waits and what is in flight of a tenant.
     pub fn tenant_load(&self, tenant: usize) -> TenantLoad {
         let tenant = &self.tenants[tenant];
-        TenantLoad { waiting: tenant.waiting, in_flight: tenant.in_flight }
+        TenantLoad {
+            waiting: tenant.waiting,
+            in_flight: tenant.in_flight,
+        }
     }
 
     /// The clients of a tenant that have flows of their own, the heaviest first.
@@ -77,19 +89,38 @@
         let (queue, first) = (&self.tenants[tenant], tenant * FLOWS_PER_TENANT);
         let report = |(place, dedicated): (usize, &Option<DedicatedClient>)| {
             let DedicatedClient { client, address } = (*dedicated)?;
-            let Flow { waiting, in_flight, reserved, .. } = self.flows[first + place];
+            let Flow {
+                waiting,
+                in_flight,
+                reserved,
+                ..
+            } = self.flows[first + place];
             let recent_lookups = queue.heavy_hitters.guaranteed(client);
             let present = recent_lookups + waiting + in_flight > 0;
-            present.then_some(ClientReport { address, waiting, in_flight, reserved, recent_lookups })
+            present.then_some(ClientReport {
+                address,
+                waiting,
+                in_flight,
+                reserved,
+                recent_lookups,
+            })
         };
-        let mut clients: Vec<_> = queue.dedicated.iter().enumerate().filter_map(report).collect();
+        let mut clients: Vec<_> = queue
+            .dedicated
+            .iter()
+            .enumerate()
+            .filter_map(report)
+            .collect();
         clients.sort_by_key(|client| Reverse((client.recent_lookups, client.waiting)));
         clients
     }
 
     /// Bytes allocated: by the number of tenants and of waiting items, never by the number of clients.
     pub fn memory_bytes(&self) -> usize {
-        let backlogs = self.tenants.iter().map(|tenant| tenant.backlogged.capacity() * size_of::<u32>());
+        let backlogs = self
+            .tenants
+            .iter()
+            .map(|tenant| tenant.backlogged.capacity() * size_of::<u32>());
         self.tenants.capacity() * size_of::<TenantQueue>()
             + backlogs.sum::<usize>()
             + self.flows.capacity() * size_of::<Flow>()
--- a/crates/admission/src/fair_queue/classify.rs
+++ b/crates/admission/src/fair_queue/classify.rs
@@ -23,16 +23,24 @@
         let first = tenant * FLOWS_PER_TENANT;
         let queue = &mut self.tenants[tenant];
         let count = queue.heavy_hitters.record(now, identity.client);
-        let is_own =
-            |dedicated: &Option<DedicatedClient>| dedicated.is_some_and(|d| d.client == identity.client);
+        let is_own = |dedicated: &Option<DedicatedClient>| {
+            dedicated.is_some_and(|d| d.client == identity.client)
+        };
         if let Some(place) = queue.dedicated.iter().position(is_own) {
             return (first + place) as u32;
         }
         let heavy = count >= HEAVY_COUNT && count >= queue.heavy_hitters.total() / HEAVY_PART;
         let hashed = self.hashed_flow(first, identity.client);
-        let free = if heavy { self.free_dedicated_flow(tenant, count) } else { None };
+        let free = if heavy {
+            self.free_dedicated_flow(tenant, count)
+        } else {
+            None
+        };
         let Some(place) = free else { return hashed };
-        let client = DedicatedClient { client: identity.client, address: identity.address };
+        let client = DedicatedClient {
+            client: identity.client,
+            address: identity.address,
+        };
         self.tenants[tenant].dedicated[place] = Some(client);
         let dedicated = (first + place) as u32;
         self.move_client(identity.client, hashed, dedicated);
--- a/crates/admission/src/fair_queue/flow.rs
+++ b/crates/admission/src/fair_queue/flow.rs
@@ -26,7 +26,11 @@
 }
 
 impl Lane {
-    const EMPTY: Lane = Lane { head: NONE, tail: NONE, start_tag: 0.0 };
+    const EMPTY: Lane = Lane {
+        head: NONE,
+        tail: NONE,
+        start_tag: 0.0,
+    };
 
     pub(super) fn is_empty(&self) -> bool {
         self.head == NONE
@@ -70,7 +74,9 @@
     /// The least start tag of the lanes that are not empty.
     pub(super) fn least_lane_tag(&self) -> f64 {
         let backlogged = self.lanes.iter().filter(|lane| !lane.is_empty());
-        backlogged.map(|lane| lane.start_tag).fold(f64::INFINITY, f64::min)
+        backlogged
+            .map(|lane| lane.start_tag)
+            .fold(f64::INFINITY, f64::min)
     }
 }
 
@@ -134,8 +140,15 @@
 }
 
 impl Item {
-    pub(super) const VACANT: Item =
-        Item { previous: NONE, next: NONE, flow: NONE, lane: 0, client: 0, cost: 0.0, bytes: 0 };
+    pub(super) const VACANT: Item = Item {
+        previous: NONE,
+        next: NONE,
+        flow: NONE,
+        lane: 0,
+        client: 0,
+        cost: 0.0,
+        bytes: 0,
+    };
 }
 
 /// The lane of a class, and its weight against the other lanes.
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -40,7 +40,11 @@
 impl HeavyHitters {
     /// Counters of nothing yet.
     pub fn new(now: Micros) -> HeavyHitters {
-        HeavyHitters { counters: [Counter::default(); COUNTERS], total: 0, last_halved: now }
+        HeavyHitters {
+            counters: [Counter::default(); COUNTERS],
+            total: 0,
+            last_halved: now,
+        }
     }
 
     /// Counts one occurrence of `key`, and returns its guaranteed count.
@@ -61,7 +65,11 @@
             }
         }
         let former = self.counters[smallest].count;
-        self.counters[smallest] = Counter { key, count: former.saturating_add(1), error: former };
+        self.counters[smallest] = Counter {
+            key,
+            count: former.saturating_add(1),
+            error: former,
+        };
         self.counters[smallest].guaranteed()
     }
 
@@ -79,7 +87,10 @@
 
     /// How often `key` was recorded at least; 0 where it has no counter.
     pub fn guaranteed(&self, key: u64) -> u32 {
-        let counter = self.counters.iter().find(|counter| counter.key == key && counter.count > 0);
+        let counter = self
+            .counters
+            .iter()
+            .find(|counter| counter.key == key && counter.count > 0);
         counter.map_or(0, Counter::guaranteed)
     }
 
--- a/crates/admission/src/identity.rs
+++ b/crates/admission/src/identity.rs
@@ -62,12 +62,21 @@
             ipv6_networks: PrefixMap::new(),
             field_values: BTreeMap::new(),
             client_key: config.client_key.clone(),
-            tenant_hashes: config.tenants.iter().map(|tenant| stable_id(&tenant.name)).collect(),
+            tenant_hashes: config
+                .tenants
+                .iter()
+                .map(|tenant| stable_id(&tenant.name))
+                .collect(),
             seed,
         };
         for (place, tenant) in (0u16..).zip(&config.tenants) {
-            tenant.networks.iter().for_each(|network| resolver.add_network(*network, place));
-            resolver.field_values.extend(tenant.values.iter().map(|value| (value.clone(), place)));
+            tenant
+                .networks
+                .iter()
+                .for_each(|network| resolver.add_network(*network, place));
+            resolver
+                .field_values
+                .extend(tenant.values.iter().map(|value| (value.clone(), place)));
         }
         resolver
     }
@@ -84,20 +93,31 @@
     pub fn resolve(&self, origin: RequestOrigin<'_>) -> ClientIdentity {
         // An IPv4 address that is mapped into IPv6 belongs to the same network.
         let address = origin.address.to_canonical();
-        let by_field = origin.tenant_field.and_then(|value| self.field_values.get(value).copied());
-        let tenant = by_field.or_else(|| self.tenant_of_network(address)).unwrap_or(DEFAULT_TENANT);
+        let by_field = origin
+            .tenant_field
+            .and_then(|value| self.field_values.get(value).copied());
+        let tenant = by_field
+            .or_else(|| self.tenant_of_network(address))
+            .unwrap_or(DEFAULT_TENANT);
         let client = self.client_hash(tenant, address, origin);
-        ClientIdentity { tenant, client, connection: origin.connection, address }
+        ClientIdentity {
+            tenant,
+            client,
+            connection: origin.connection,
+            address,
+        }
     }
 
     fn tenant_of_network(&self, address: IpAddr) -> Option<u16> {
         match address {
-            IpAddr::V4(address) => {
-                self.ipv4_networks.get_lpm(&Ipv4Net::from(address)).map(|(_, place)| *place)
-            }
-            IpAddr::V6(address) => {
-                self.ipv6_networks.get_lpm(&Ipv6Net::from(address)).map(|(_, place)| *place)
-            }
+            IpAddr::V4(address) => self
+                .ipv4_networks
+                .get_lpm(&Ipv4Net::from(address))
+                .map(|(_, place)| *place),
+            IpAddr::V6(address) => self
+                .ipv6_networks
+                .get_lpm(&Ipv6Net::from(address))
+                .map(|(_, place)| *place),
         }
     }
 
--- a/crates/admission/src/reservations.rs
+++ b/crates/admission/src/reservations.rs
@@ -112,7 +112,9 @@
     /// The entry of this very connection in a slot.
     fn own_entry(&self, identity: &ClientIdentity, slot: i64) -> Option<u32> {
         let mut entries = self.entries_of(identity, slot, BY_CONNECTION);
-        entries.find(|(_, entry)| entry.connection == identity.connection).map(|(index, _)| index)
+        entries
+            .find(|(_, entry)| entry.connection == identity.connection)
+            .map(|(index, _)| index)
     }
 
     /// An entry of another connection of the client that this one may use: its time has passed without a return, or
@@ -120,8 +122,11 @@
     fn usable_entry(&self, identity: &ClientIdentity, slot: i64, current_slot: i64) -> Option<u32> {
         let mut entries = self.entries_of(identity, slot, BY_CLIENT).take(MAX_SCANNED);
         let exclusive_over = slot + EXCLUSIVE_SLOTS <= current_slot;
-        let usable = |entry: &Entry| exclusive_over || identity.connection > entry.newest_connection;
-        entries.find(|(_, entry)| usable(entry)).map(|(index, _)| index)
+        let usable =
+            |entry: &Entry| exclusive_over || identity.connection > entry.newest_connection;
+        entries
+            .find(|(_, entry)| usable(entry))
+            .map(|(index, _)| index)
     }
 
     /// Reserves a place of `flow` at `due`; false where the calendar is full.
@@ -140,7 +145,11 @@
     }
 
     fn add_to_entry(&mut self, index: u32) -> bool {
-        let Some(entry) = self.entries.get_mut(index).filter(|entry| entry.count < MAX_PER_ENTRY) else {
+        let Some(entry) = self
+            .entries
+            .get_mut(index)
+            .filter(|entry| entry.count < MAX_PER_ENTRY)
+        else {
             return false;
         };
         entry.count += 1;
@@ -151,16 +160,27 @@
         if self.entries.len() >= CAPACITY {
             return false;
         }
-        let ClientIdentity { client, connection, .. } = *identity;
+        let ClientIdentity {
+            client, connection, ..
+        } = *identity;
         let buckets = buckets(client, connection, slot);
         let next = TABLES.map(|table| self.tables[table][buckets[table]]);
         let newest_connection = self.newest_connection;
-        let entry = Entry { client, connection, newest_connection, slot, flow, count: 1, next };
+        let entry = Entry {
+            client,
+            connection,
+            newest_connection,
+            slot,
+            flow,
+            count: 1,
+            next,
+        };
         let index = self.entries.insert(entry);
         for table in TABLES {
             self.tables[table][buckets[table]] = index;
         }
-        self.expiries.set(index, (slot + GRACE_SLOTS + 1) * SLOT_WIDTH);
+        self.expiries
+            .set(index, (slot + GRACE_SLOTS + 1) * SLOT_WIDTH);
         true
     }
 
@@ -173,8 +193,11 @@
         }
         let current = slot_of(now);
         let mut holding = current - GRACE_SLOTS..=current;
-        let own = holding.clone().find_map(|slot| self.own_entry(identity, slot));
-        let index = own.or_else(|| holding.find_map(|slot| self.usable_entry(identity, slot, current)))?;
+        let own = holding
+            .clone()
+            .find_map(|slot| self.own_entry(identity, slot));
+        let index =
+            own.or_else(|| holding.find_map(|slot| self.usable_entry(identity, slot, current)))?;
         let entry = self.entries.get_mut(index)?;
         entry.count -= 1;
         let (flow, used_up) = (entry.flow, entry.count == 0);
@@ -192,7 +215,10 @@
         let entry = self.remove(index)?;
         self.open -= usize::from(entry.count);
         self.expired += u64::from(entry.count);
-        Some(ExpiredEntry { flow: entry.flow, count: u32::from(entry.count) })
+        Some(ExpiredEntry {
+            flow: entry.flow,
+            count: u32::from(entry.count),
+        })
     }
 
     fn remove(&mut self, index: u32) -> Option<Entry> {
--- a/crates/admission/src/slab.rs
+++ b/crates/admission/src/slab.rs
@@ -11,14 +11,20 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slab { values: Vec::new(), free: Vec::new() }
+        Slab {
+            values: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
 impl<T> Slab<T> {
     /// An empty slab with memory for `capacity` values.
     pub fn with_capacity(capacity: usize) -> Slab<T> {
-        Slab { values: Vec::with_capacity(capacity), free: Vec::with_capacity(capacity) }
+        Slab {
+            values: Vec::with_capacity(capacity),
+            free: Vec::with_capacity(capacity),
+        }
     }
 
     /// Stores a value and returns its index.
@@ -52,7 +58,9 @@
 
     /// All values with their indices, in the order of the indices.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
-        (0u32..).zip(&self.values).filter_map(|(index, value)| value.as_ref().map(|v| (index, v)))
+        (0u32..)
+            .zip(&self.values)
+            .filter_map(|(index, value)| value.as_ref().map(|v| (index, v)))
     }
 
     /// Changes each value in place.
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -17,7 +17,12 @@
     slot: u32,
 }
 
-const UNSET: Timer = Timer { deadline: 0, previous: NONE, next: NONE, slot: NONE };
+const UNSET: Timer = Timer {
+    deadline: 0,
+    previous: NONE,
+    next: NONE,
+    slot: NONE,
+};
 
 /// Timers by index, each with one deadline.
 pub struct TimerWheel {
@@ -35,12 +40,21 @@
     /// An empty wheel whose slots are `granularity` wide.
     pub fn new(granularity: Micros, now: Micros) -> TimerWheel {
         let tick = now.div_euclid(granularity);
-        TimerWheel { granularity, heads: vec![NONE; SLOT_COUNT], timers: Vec::new(), tick, count: 0 }
+        TimerWheel {
+            granularity,
+            heads: vec![NONE; SLOT_COUNT],
+            timers: Vec::new(),
+            tick,
+            count: 0,
+        }
     }
 
     /// An empty wheel with memory for the timers 0 to `capacity`.
     pub fn with_capacity(granularity: Micros, now: Micros, capacity: usize) -> TimerWheel {
-        TimerWheel { timers: vec![UNSET; capacity], ..TimerWheel::new(granularity, now) }
+        TimerWheel {
+            timers: vec![UNSET; capacity],
+            ..TimerWheel::new(granularity, now)
+        }
     }
 
     /// Number of timers that are set.
@@ -70,7 +84,12 @@
             self.timers.resize(index as usize + 1, UNSET);
         }
         let head = self.heads[slot];
-        self.timers[index as usize] = Timer { deadline, previous: NONE, next: head, slot: slot as u32 };
+        self.timers[index as usize] = Timer {
+            deadline,
+            previous: NONE,
+            next: head,
+            slot: slot as u32,
+        };
         if head != NONE {
             self.timers[head as usize].previous = index;
         }
@@ -80,7 +99,11 @@
 
     /// Cancels the timer `index` if it is set.
     pub fn cancel(&mut self, index: u32) {
-        let set = self.timers.get(index as usize).copied().filter(|timer| timer.slot != NONE);
+        let set = self
+            .timers
+            .get(index as usize)
+            .copied()
+            .filter(|timer| timer.slot != NONE);
         let Some(timer) = set else { return };
         match timer.previous {
             NONE => self.heads[timer.slot as usize] = timer.next,
@@ -116,7 +139,9 @@
     }
 
     fn due_in_slot(&self, slot: usize, now: Micros) -> Option<u32> {
-        self.slot_timers(slot).find(|(_, timer)| timer.deadline <= now).map(|(index, _)| index)
+        self.slot_timers(slot)
+            .find(|(_, timer)| timer.deadline <= now)
+            .map(|(index, _)| index)
     }
 
     fn slot_timers(&self, slot: usize) -> impl Iterator<Item = (u32, &Timer)> {
@@ -131,7 +156,9 @@
         }
         let mut slots = (0..SLOT_COUNT as i64).map(|ahead| Self::slot_of_tick(self.tick + ahead));
         let slot = slots.find(|slot| self.heads[*slot] != NONE)?;
-        self.slot_timers(slot).map(|(_, timer)| timer.deadline).min()
+        self.slot_timers(slot)
+            .map(|(_, timer)| timer.deadline)
+            .min()
     }
 
     /// Bytes allocated, used or not.
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -19,7 +19,11 @@
 impl TokenBuckets {
     /// Full buckets of `burst` tokens that gain `rate_per_second`.
     pub fn new(rate_per_second: f64, burst: f64) -> TokenBuckets {
-        TokenBuckets { full_at: vec![0; BUCKET_COUNT], interval: MICROS_PER_SECOND / rate_per_second, burst }
+        TokenBuckets {
+            full_at: vec![0; BUCKET_COUNT],
+            interval: MICROS_PER_SECOND / rate_per_second,
+            burst,
+        }
     }
 
     /// Takes a token of the client. Where there is none, the error is the time at which there will be one.
--- a/crates/benchmarks/src/bin/counted.rs
+++ b/crates/benchmarks/src/bin/counted.rs
@@ -10,7 +10,10 @@
 fn counts() -> String {
     let seen = COUNTING.stats();
     let all = seen.allocations + seen.reallocations;
-    format!("allocations {all}\nallocated_bytes {}\n", seen.bytes_allocated)
+    format!(
+        "allocations {all}\nallocated_bytes {}\n",
+        seen.bytes_allocated
+    )
 }
 
 fn main() -> ExitCode {
--- a/crates/benchmarks/src/events.rs
+++ b/crates/benchmarks/src/events.rs
@@ -42,12 +42,17 @@
 }
 
 fn holder() -> PathBuf {
-    std::env::current_exe().unwrap_or_default().with_file_name("meadowrill-rig")
+    std::env::current_exe()
+        .unwrap_or_default()
+        .with_file_name("meadowrill-rig")
 }
 
 fn setup(subscribers: usize, scenario: &str, holder: &Path) -> Option<Setup> {
     let scenario = Scenario::named(scenario, Length::Full, RELAYS)?;
-    Some(Setup { relays: RELAYS, ..Setup::new(subscribers, scenario, holder) })
+    Some(Setup {
+        relays: RELAYS,
+        ..Setup::new(subscribers, scenario, holder)
+    })
 }
 
 /// Plays it; what did not hold is printed, and missed.
@@ -61,23 +66,33 @@
         }
     };
     let failures = outcome.failures();
-    failures.iter().for_each(|failure| println!("{what}: {failure}"));
+    failures
+        .iter()
+        .for_each(|failure| println!("{what}: {failure}"));
     let held = f64::from(u8::from(failures.is_empty()));
     figures.tell(&format!("{what}: held"), held, Goal::AtLeast(1.0));
     Some(outcome)
 }
 
 fn calm(figures: &mut Figures, size: usize) {
-    let Some(mut setup) = setup(size, "calm", &holder()) else { return };
+    let Some(mut setup) = setup(size, "calm", &holder()) else {
+        return;
+    };
     if size != TARGET {
         setup.scenario.calm_after = SHORT_CALM;
     }
     let what = format!("calm, {size}");
-    let Some(outcome) = play(figures, &what, setup) else { return };
+    let Some(outcome) = play(figures, &what, setup) else {
+        return;
+    };
     let within = DONE_WITHIN as f64 / 1e6;
     for (name, value) in outcome.figures() {
         let is_tail = name.starts_with("done everywhere, 99.9th");
-        let goal = if is_tail { Goal::AtMost(within) } else { Goal::Baseline };
+        let goal = if is_tail {
+            Goal::AtMost(within)
+        } else {
+            Goal::Baseline
+        };
         figures.tell(&format!("{what}: {name}"), value, goal);
     }
     costs(figures, &what, &outcome.subscriber);
@@ -89,27 +104,47 @@
     let bytes = format!("{what}: bytes a second of a subscriber, sent and received");
     figures.tell(&bytes, sent_and_received, Goal::AtMost(BYTES_MOST));
     let processor = format!("{what}: percent of a core of a subscriber");
-    figures.tell(&processor, costs.processor_share * 100.0, Goal::AtMost(CORE_PERCENT_MOST));
+    figures.tell(
+        &processor,
+        costs.processor_share * 100.0,
+        Goal::AtMost(CORE_PERCENT_MOST),
+    );
     let memory = format!("{what}: MB of a subscriber");
-    figures.tell(&memory, costs.resident_bytes / 1e6, Goal::AtMost(MEGABYTES_MOST));
+    figures.tell(
+        &memory,
+        costs.resident_bytes / 1e6,
+        Goal::AtMost(MEGABYTES_MOST),
+    );
 }
 
 fn faults(figures: &mut Figures, size: usize, name: &str) {
-    let Some(setup) = setup(size, name, &holder()) else { return };
+    let Some(setup) = setup(size, name, &holder()) else {
+        return;
+    };
     let what = format!("{name}, {size}");
-    let Some(outcome) = play(figures, &what, setup) else { return };
+    let Some(outcome) = play(figures, &what, setup) else {
+        return;
+    };
     for (name, value) in outcome.figures() {
         figures.tell(&format!("{what}: {name}"), value, Goal::Baseline);
     }
 }
 
 fn window(figures: &mut Figures) {
-    let Some(mut setup) = setup(WINDOW_SUBSCRIBERS, "calm", &holder()) else { return };
+    let Some(mut setup) = setup(WINDOW_SUBSCRIBERS, "calm", &holder()) else {
+        return;
+    };
     setup.purges_per_s = WINDOW_RATE;
     setup.scenario.calm_after = WINDOW_SPAN;
     let what = "a full window";
-    let Some(outcome) = play(figures, what, setup) else { return };
-    figures.tell(&format!("{what}: purges"), outcome.purges as f64, Goal::AtLeast(108_000.0));
+    let Some(outcome) = play(figures, what, setup) else {
+        return;
+    };
+    figures.tell(
+        &format!("{what}: purges"),
+        outcome.purges as f64,
+        Goal::AtLeast(108_000.0),
+    );
     let roles = [
         ("subscriber", &outcome.subscriber),
         ("publisher", &outcome.publisher),
@@ -117,6 +152,10 @@
     ];
     for (role, costs) in roles {
         let name = format!("{what}: MB of a {role}");
-        figures.tell(&name, costs.resident_bytes / 1e6, Goal::AtMost(MEGABYTES_MOST));
+        figures.tell(
+            &name,
+            costs.resident_bytes / 1e6,
+            Goal::AtMost(MEGABYTES_MOST),
+        );
     }
 }
--- a/crates/benchmarks/src/figures.rs
+++ b/crates/benchmarks/src/figures.rs
@@ -40,7 +40,10 @@
 impl Figures {
     pub fn tell(&mut self, name: &str, value: f64, goal: Goal) {
         let missed = !goal.met(value);
-        println!("{name}: {value:.4} ({goal}){}", if missed { " MISSED" } else { "" });
+        println!(
+            "{name}: {value:.4} ({goal}){}",
+            if missed { " MISSED" } else { "" }
+        );
         if missed {
             self.missed.push(name.to_string());
         }
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -67,7 +67,10 @@
 /// The program beside this one whose allocator counts: that would weigh on the figures of other areas.
 fn scale(options: &[String]) -> ExitCode {
     let here = std::env::current_exe().unwrap_or_default();
-    match Command::new(here.with_file_name("scale")).args(options).status() {
+    match Command::new(here.with_file_name("scale"))
+        .args(options)
+        .status()
+    {
         Ok(status) if status.success() => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(e) => {
@@ -80,10 +83,17 @@
 fn main() -> ExitCode {
     let mut figures = Figures::default();
     match Cli::parse().area {
-        Area::Events { subscribers, scenario } => {
+        Area::Events {
+            subscribers,
+            scenario,
+        } => {
             events::measure(&mut figures, subscribers, scenario.as_deref());
         }
-        Area::Fleet { fronts, processes, models } => {
+        Area::Fleet {
+            fronts,
+            processes,
+            models,
+        } => {
             if !processes {
                 fleet::model(&mut figures);
             }
--- a/crates/event-distribution/src/budget.rs
+++ b/crates/event-distribution/src/budget.rs
@@ -14,7 +14,11 @@
 impl Budget {
     pub fn new(per_second: u64, now: Micros) -> Budget {
         let per_second = i64::try_from(per_second).unwrap_or(i64::MAX / SECOND);
-        Budget { per_second, available: per_second * SECOND, at: now }
+        Budget {
+            per_second,
+            available: per_second * SECOND,
+            at: now,
+        }
     }
 
     /// Takes so many tokens, if they are there.
@@ -22,7 +26,9 @@
         let elapsed = (now - self.at).clamp(0, SECOND);
         self.at = now;
         self.available = (self.available + elapsed * self.per_second).min(self.per_second * SECOND);
-        let cost = i64::try_from(tokens).unwrap_or(i64::MAX / SECOND).saturating_mul(SECOND);
+        let cost = i64::try_from(tokens)
+            .unwrap_or(i64::MAX / SECOND)
+            .saturating_mul(SECOND);
         let enough = self.available >= cost;
         if enough {
             self.available -= cost;
--- a/crates/event-distribution/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -80,10 +80,15 @@
     /// would come up with a log that grows with each batch.
     pub fn report(&mut self, now: Micros, log: &EventLog, own: LogPosition) -> LogPosition {
         let due = log.reached_by(now - self.plan.lag_most);
+        let waiting = self
+            .subscriptions
+            .values()
+            .filter(|subscription| subscription.is_live(now, &self.plan));
         let waiting =
-            self.subscriptions.values().filter(|subscription| subscription.is_live(now, &self.plan));
-        let waiting = waiting.filter(|subscription| due.is_none_or(|due| subscription.at >= Some(due)));
-        let least = waiting.filter_map(|subscription| subscription.acknowledged).fold(own, LogPosition::min);
+            waiting.filter(|subscription| due.is_none_or(|due| subscription.at >= Some(due)));
+        let least = waiting
+            .filter_map(|subscription| subscription.acknowledged)
+            .fold(own, LogPosition::min);
         self.leases.report(least)
     }
 
@@ -109,7 +114,9 @@
             self.admit(now, &heartbeat, address, out)?;
         }
         let later = Some(Epoch(heartbeat.later_epoch)).filter(|later| *later > head.epoch);
-        let Some(subscription) = self.subscriptions.get_mut(&heartbeat.name) else { return Ok(None) };
+        let Some(subscription) = self.subscriptions.get_mut(&heartbeat.name) else {
+            return Ok(None);
+        };
         let at = heartbeat.at.map(LogPosition::from);
         if at.is_some_and(|at| at.epoch == head.epoch && at.position > head.position) {
             // It is ahead of a relay that lags; of a publisher nobody is. Nothing of it is believed, or leased to it.
@@ -118,7 +125,10 @@
         }
         subscription.renew(now, &heartbeat, address)?;
         self.counters.resent += u64::from(heartbeat.gap);
-        let holder = Holder { name: heartbeat.name.clone(), incarnation: heartbeat.incarnation };
+        let holder = Holder {
+            name: heartbeat.name.clone(),
+            incarnation: heartbeat.incarnation,
+        };
         if let Some(acknowledged) = subscription.acknowledged {
             self.leases.acknowledge(&holder, acknowledged);
         }
@@ -142,8 +152,16 @@
         hops: u32,
         out: &mut Vec<Output>,
     ) {
-        let grant = Grant { request: heartbeat.request, lease_us: 0, hops };
-        self.send(to, Body::Batch(empty_batch(head, head.position, Some(grant))), out);
+        let grant = Grant {
+            request: heartbeat.request,
+            lease_us: 0,
+            hops,
+        };
+        self.send(
+            to,
+            Body::Batch(empty_batch(head, head.position, Some(grant))),
+            out,
+        );
     }
 
     /// Takes in a new subscriber, or tells it when to come again.
@@ -172,15 +190,31 @@
             sent: None,
             unanswered_since: None,
         };
-        self.subscriptions.insert(heartbeat.name.clone(), subscription);
+        self.subscriptions
+            .insert(heartbeat.name.clone(), subscription);
         Ok(())
     }
 
-    fn refuse(&mut self, heartbeat: &Heartbeat, address: SocketAddr, full: bool, out: &mut Vec<Output>) {
+    fn refuse(
+        &mut self,
+        heartbeat: &Heartbeat,
+        address: SocketAddr,
+        full: bool,
+        out: &mut Vec<Output>,
+    ) {
         self.counters.busy += 1;
-        let spread = meadowrill_membership::rings::hash(&heartbeat.name, u64::from(heartbeat.request));
+        let spread =
+            meadowrill_membership::rings::hash(&heartbeat.name, u64::from(heartbeat.request));
         let retry_ms = (RETRY_LEAST_MS + spread % RETRY_SPREAD_MS) as u32;
-        self.send(address, Body::Busy(Busy { request: heartbeat.request, retry_ms, full }), out);
+        self.send(
+            address,
+            Body::Busy(Busy {
+                request: heartbeat.request,
+                retry_ms,
+                full,
+            }),
+            out,
+        );
     }
 
     /// Sends some parts of what still binds, from where the subscriber has come so far.
@@ -192,7 +226,10 @@
         log: &EventLog,
         out: &mut Vec<Output>,
     ) {
-        let mut cursor = heartbeat.cursor.filter(|_| heartbeat.snapshot).and_then(SnapshotPlace::cursor);
+        let mut cursor = heartbeat
+            .cursor
+            .filter(|_| heartbeat.snapshot)
+            .and_then(SnapshotPlace::cursor);
         for number in 0..PARTS_AT_ONCE {
             let part = snapshot_part(log, cursor, heartbeat.request, number + 1 == PARTS_AT_ONCE);
             if !self.snapshot_bytes.take(now, part.events.len() as u64) {
@@ -220,12 +257,18 @@
     }
 
     fn feed(&mut self, now: Micros, name: &str, supply: &Supply, out: &mut Vec<Output>) {
-        let Some(head) = supply.log.position() else { return };
-        let Some(mut subscription) = self.subscriptions.remove(name) else { return };
+        let Some(head) = supply.log.position() else {
+            return;
+        };
+        let Some(mut subscription) = self.subscriptions.remove(name) else {
+            return;
+        };
         if subscription.is_live(now, &self.plan) {
             let mut sent_any = false;
             for _ in 0..BATCHES_AT_ONCE {
-                let Some(mut batch) = subscription.next_batch(now, supply.log, head) else { break };
+                let Some(mut batch) = subscription.next_batch(now, supply.log, head) else {
+                    break;
+                };
                 if !sent_any {
                     batch.grant = self.grant(now, name, &mut subscription, supply);
                 }
@@ -233,13 +276,18 @@
                 self.counters.batches += 1;
                 self.send(subscription.address, Body::Batch(batch), out);
             }
-            let waited =
-                subscription.unanswered_since.is_some_and(|since| now >= since + self.plan.batch / 2);
+            let waited = subscription
+                .unanswered_since
+                .is_some_and(|since| now >= since + self.plan.batch / 2);
             if !sent_any && waited {
                 let grant = self.grant(now, name, &mut subscription, supply);
                 let place = subscription.sent.filter(|sent| sent.epoch == head.epoch);
                 let first = place.map_or(head.position, |sent| sent.position.min(head.position));
-                self.send(subscription.address, Body::Batch(empty_batch(head, first, grant)), out);
+                self.send(
+                    subscription.address,
+                    Body::Batch(empty_batch(head, first, grant)),
+                    out,
+                );
             }
         }
         self.subscriptions.insert(name.to_string(), subscription);
@@ -258,18 +306,29 @@
         let admitted = span > 0 && self.is_far_enough(now, subscription, supply.log);
         let lease = if admitted { span } else { 0 };
         if let Some(acknowledged) = subscription.acknowledged.filter(|_| admitted) {
-            let holder = Holder { name: name.into(), incarnation: subscription.incarnation };
-            self.leases.grant(holder, acknowledged, now + self.plan.with_drift(span));
+            let holder = Holder {
+                name: name.into(),
+                incarnation: subscription.incarnation,
+            };
+            self.leases
+                .grant(holder, acknowledged, now + self.plan.with_drift(span));
         }
         let lease_us = u32::try_from(lease).unwrap_or(u32::MAX);
-        Some(Grant { request: subscription.request, lease_us, hops: supply.hops })
+        Some(Grant {
+            request: subscription.request,
+            lease_us,
+            hops: supply.hops,
+        })
     }
 
     fn is_far_enough(&self, now: Micros, subscription: &Subscription, log: &EventLog) -> bool {
         let (Some(at), Some(acknowledged)) = (subscription.at, subscription.acknowledged) else {
             return false;
         };
-        let known = matches!(log.next_after(at), Next::Batch { .. } | Next::UpToDate | Next::Epoch { .. });
+        let known = matches!(
+            log.next_after(at),
+            Next::Batch { .. } | Next::UpToDate | Next::Epoch { .. }
+        );
         let due = log.reached_by(now - self.plan.lag_most);
         known && due.is_none_or(|due| at >= due) && self.leases.admits(acknowledged)
     }
@@ -281,7 +340,8 @@
             out.push(Output::Notice(Notice::SubscriberLate { name: holder.name }));
         }
         let patience = FORGET_AFTER_LEASES * self.plan.lease;
-        self.subscriptions.retain(|_, subscription| now < subscription.heard + patience);
+        self.subscriptions
+            .retain(|_, subscription| now < subscription.heard + patience);
     }
 
     fn send(&mut self, to: SocketAddr, body: Body, out: &mut Vec<Output>) {
@@ -298,7 +358,8 @@
             .iter()
             .map(|(name, subscription)| self.fed_status(now, name, subscription))
             .filter(|fed| {
-                fed.lease_left.is_none() || fed.acknowledged < log.reached_by(now - self.plan.lag_most)
+                fed.lease_left.is_none()
+                    || fed.acknowledged < log.reached_by(now - self.plan.lag_most)
             })
             .collect();
         late.sort_by_key(|fed| fed.heard_ago);
@@ -318,11 +379,18 @@
     }
 
     fn fed_status(&self, now: Micros, name: &str, subscription: &Subscription) -> FedStatus {
-        let holder = Holder { name: name.into(), incarnation: subscription.incarnation };
+        let holder = Holder {
+            name: name.into(),
+            incarnation: subscription.incarnation,
+        };
         FedStatus {
             name: name.into(),
             acknowledged: subscription.acknowledged,
-            lease_left: self.leases.until(&holder).map(|until| until - now).filter(|left| *left > 0),
+            lease_left: self
+                .leases
+                .until(&holder)
+                .map(|until| until - now)
+                .filter(|left| *left > 0),
             heard_ago: now - subscription.heard,
         }
     }
@@ -330,7 +398,12 @@
 
 impl Subscription {
     /// What a heartbeat says, if it is a newer one.
-    fn renew(&mut self, now: Micros, heartbeat: &Heartbeat, address: SocketAddr) -> Result<(), Rejected> {
+    fn renew(
+        &mut self,
+        now: Micros,
+        heartbeat: &Heartbeat,
+        address: SocketAddr,
+    ) -> Result<(), Rejected> {
         if heartbeat.incarnation < self.incarnation {
             return Err(Rejected::OldIncarnation);
         }
@@ -371,20 +444,53 @@
             return None;
         }
         match log.next_after(sent) {
-            Next::Batch { epoch, follows, batch } => {
-                self.sent = Some(LogPosition { epoch, position: batch.end() });
+            Next::Batch {
+                epoch,
+                follows,
+                batch,
+            } => {
+                self.sent = Some(LogPosition {
+                    epoch,
+                    position: batch.end(),
+                });
                 let follows = follows.filter(|_| batch.first == 0).map(Into::into);
                 // Of a former epoch all that is kept is told: whoever reads it learns of the next one by itself.
-                let known = if epoch == head.epoch { head.position } else { batch.end() };
+                let known = if epoch == head.epoch {
+                    head.position
+                } else {
+                    batch.end()
+                };
                 let (first, events) = (batch.first, batch.bytes.clone());
                 let age_ms = u32::try_from((now - batch.at) / MILLISECOND).unwrap_or(0);
-                Some(Batch { epoch: epoch.0, first, head: known, events, grant: None, follows, age_ms })
+                Some(Batch {
+                    epoch: epoch.0,
+                    first,
+                    head: known,
+                    events,
+                    grant: None,
+                    follows,
+                    age_ms,
+                })
             }
             Next::Epoch { epoch, follows } => {
                 self.sent = Some(LogPosition { epoch, position: 0 });
-                let head = if epoch == head.epoch { head.position } else { 0 };
-                let start = empty_batch(LogPosition { epoch, position: head }, 0, None);
-                Some(Batch { follows: Some(follows.into()), ..start })
+                let head = if epoch == head.epoch {
+                    head.position
+                } else {
+                    0
+                };
+                let start = empty_batch(
+                    LogPosition {
+                        epoch,
+                        position: head,
+                    },
+                    0,
+                    None,
+                );
+                Some(Batch {
+                    follows: Some(follows.into()),
+                    ..start
+                })
             }
             Next::UpToDate | Next::Missing | Next::Ahead => None,
         }
@@ -394,11 +500,24 @@
 /// No events: tells up to where all has been sent, and brings a grant.
 fn empty_batch(head: LogPosition, first: Position, grant: Option<Grant>) -> Batch {
     let LogPosition { epoch, position } = head;
-    Batch { epoch: epoch.0, first, head: position, events: Vec::new(), grant, follows: None, age_ms: 0 }
+    Batch {
+        epoch: epoch.0,
+        first,
+        head: position,
+        events: Vec::new(),
+        grant,
+        follows: None,
+        age_ms: 0,
+    }
 }
 
 /// One part of a snapshot, from behind a place on.
-fn snapshot_part(log: &EventLog, after: Option<Cursor>, request: u32, paused: bool) -> SnapshotPart {
+fn snapshot_part(
+    log: &EventLog,
+    after: Option<Cursor>,
+    request: u32,
+    paused: bool,
+) -> SnapshotPart {
     let mut packer = Packer::default();
     let mut last = after;
     let mut more = false;
--- a/crates/event-distribution/src/early.rs
+++ b/crates/event-distribution/src/early.rs
@@ -43,7 +43,11 @@
 
     /// The one that goes on at this position, if it is here.
     pub fn take(&mut self, at: Position) -> Option<EarlyBatch> {
-        if self.batches.first_key_value().is_some_and(|(first, _)| *first <= at) {
+        if self
+            .batches
+            .first_key_value()
+            .is_some_and(|(first, _)| *first <= at)
+        {
             return self.batches.pop_first().map(|(_, batch)| batch);
         }
         None
--- a/crates/event-distribution/src/fetch.rs
+++ b/crates/event-distribution/src/fetch.rs
@@ -48,7 +48,14 @@
 
 impl Fetch {
     pub fn new(began: Micros, at: LogPosition) -> Fetch {
-        Fetch { began, cursor: None, at, reached: at, purges: 0, early: BTreeMap::new() }
+        Fetch {
+            began,
+            cursor: None,
+            at,
+            reached: at,
+            purges: 0,
+            early: BTreeMap::new(),
+        }
     }
 
     /// A part that begins behind `after`. Where this makes progress, what it holds is to be applied.
@@ -84,7 +91,9 @@
         self.early.retain(|after, _| Some(*after) > cursor);
         match reach {
             Reach { next: None, .. } => Progress::Done,
-            Reach { is_paused: true, .. } => Progress::Paused,
+            Reach {
+                is_paused: true, ..
+            } => Progress::Paused,
             Reach { .. } => Progress::Going,
         }
     }
--- a/crates/event-distribution/src/leases.rs
+++ b/crates/event-distribution/src/leases.rs
@@ -44,7 +44,10 @@
 
     /// `until` has to be as late as the holder's clock can make it.
     pub fn grant(&mut self, holder: Holder, acknowledged: LogPosition, until: Micros) {
-        let lease = self.held.entry(holder).or_insert(Lease { until, acknowledged });
+        let lease = self.held.entry(holder).or_insert(Lease {
+            until,
+            acknowledged,
+        });
         lease.until = lease.until.max(until);
         lease.acknowledged = lease.acknowledged.max(acknowledged);
     }
@@ -57,8 +60,12 @@
 
     /// Takes out those that are over; their holders.
     pub fn expire(&mut self, now: Micros) -> Vec<Holder> {
-        let over: Vec<Holder> =
-            self.held.iter().filter(|(_, l)| l.until <= now).map(|(holder, _)| holder.clone()).collect();
+        let over: Vec<Holder> = self
+            .held
+            .iter()
+            .filter(|(_, l)| l.until <= now)
+            .map(|(holder, _)| holder.clone())
+            .collect();
         for holder in &over {
             self.held.remove(holder);
         }
@@ -67,7 +74,10 @@
 
     /// What all holders and this member itself have applied.
     pub fn least(&self, own: LogPosition) -> LogPosition {
-        self.held.values().map(|lease| lease.acknowledged).fold(own, LogPosition::min)
+        self.held
+            .values()
+            .map(|lease| lease.acknowledged)
+            .fold(own, LogPosition::min)
     }
 
     /// The same, told to others: no lease is granted to whoever is behind it from now on.
--- a/crates/event-distribution/src/log.rs
+++ b/crates/event-distribution/src/log.rs
@@ -40,8 +40,14 @@
 impl Segment {
     /// Its start, for whoever has applied enough of the former epoch.
     fn start_after(&self, from: LogPosition) -> Next<'_> {
-        match self.follows.filter(|f| f.epoch == from.epoch && from.position >= f.position) {
-            Some(follows) => Next::Epoch { epoch: self.epoch, follows },
+        match self
+            .follows
+            .filter(|f| f.epoch == from.epoch && from.position >= f.position)
+        {
+            Some(follows) => Next::Epoch {
+                epoch: self.epoch,
+                follows,
+            },
             None => Next::Missing,
         }
     }
@@ -51,7 +57,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next<'a> {
     /// These events; the first ones may be known already.
-    Batch { epoch: Epoch, follows: Option<LogPosition>, batch: &'a StoredBatch },
+    Batch {
+        epoch: Epoch,
+        follows: Option<LogPosition>,
+        batch: &'a StoredBatch,
+    },
     /// The former epoch ends here: on with the start of this one.
     Epoch { epoch: Epoch, follows: LogPosition },
     /// Nothing yet.
@@ -72,12 +82,20 @@
 
 impl EventLog {
     pub fn new(window_most: usize, purges: PurgeSet) -> EventLog {
-        EventLog { segments: VecDeque::new(), window_most, window_bytes: 0, purges }
+        EventLog {
+            segments: VecDeque::new(),
+            window_most,
+            window_bytes: 0,
+            purges,
+        }
     }
 
     /// Everything up to here has been applied; none before the first.
     pub fn position(&self) -> Option<LogPosition> {
-        self.segments.back().map(|s| LogPosition { epoch: s.epoch, position: s.head })
+        self.segments.back().map(|s| LogPosition {
+            epoch: s.epoch,
+            position: s.head,
+        })
     }
 
     pub fn window_bytes(&self) -> usize {
@@ -86,7 +104,13 @@
 
     /// A new epoch begins, with nothing in it yet.
     pub fn begin(&mut self, epoch: Epoch, follows: Option<LogPosition>) {
-        self.push_segment(Segment { epoch, follows, base: 0, head: 0, batches: VecDeque::new() });
+        self.push_segment(Segment {
+            epoch,
+            follows,
+            base: 0,
+            head: 0,
+            batches: VecDeque::new(),
+        });
     }
 
     /// All up to here is known by a snapshot: the window starts anew.
@@ -106,17 +130,26 @@
     fn push_segment(&mut self, segment: Segment) {
         self.segments.push_back(segment);
         while self.segments.len() > SEGMENTS {
-            let Some(old) = self.segments.pop_front() else { return };
+            let Some(old) = self.segments.pop_front() else {
+                return;
+            };
             self.window_bytes -= old.batches.iter().map(|b| b.bytes.len()).sum::<usize>();
         }
     }
 
     /// Adds events behind the last one of the current epoch; those that say something new.
     pub fn append(&mut self, now: Micros, events: &[Event], packed: Vec<u8>) -> Vec<Event> {
-        let Some(segment) = self.segments.back_mut() else { return Vec::new() };
+        let Some(segment) = self.segments.back_mut() else {
+            return Vec::new();
+        };
         let count = events.len() as u64;
         self.window_bytes += packed.len();
-        segment.batches.push_back(StoredBatch { first: segment.head, count, at: now, bytes: packed });
+        segment.batches.push_back(StoredBatch {
+            first: segment.head,
+            count,
+            at: now,
+            bytes: packed,
+        });
         segment.head += count;
         self.trim();
         let fresh = events.iter().filter(|event| {
@@ -127,7 +160,13 @@
     }
 
     /// Adds only what is behind the last event, of a batch that begins before it.
-    pub fn append_rest(&mut self, now: Micros, skip: usize, events: &[Event], packed: Vec<u8>) -> Vec<Event> {
+    pub fn append_rest(
+        &mut self,
+        now: Micros,
+        skip: usize,
+        events: &[Event],
+        packed: Vec<u8>,
+    ) -> Vec<Event> {
         if skip == 0 {
             return self.append(now, events, packed);
         }
@@ -141,8 +180,12 @@
 
     fn trim(&mut self) {
         while self.window_bytes > self.window_most {
-            let Some(segment) = self.segments.iter_mut().find(|s| !s.batches.is_empty()) else { return };
-            let Some(old) = segment.batches.pop_front() else { return };
+            let Some(segment) = self.segments.iter_mut().find(|s| !s.batches.is_empty()) else {
+                return;
+            };
+            let Some(old) = segment.batches.pop_front() else {
+                return;
+            };
             segment.base = old.end();
             self.window_bytes -= old.bytes.len();
         }
@@ -158,9 +201,15 @@
         let segment = &self.segments[at];
         // What is held of a former epoch goes first, also where the next one may do without it.
         if (segment.base..segment.head).contains(&from.position) {
-            let behind = segment.batches.partition_point(|batch| batch.end() <= from.position);
+            let behind = segment
+                .batches
+                .partition_point(|batch| batch.end() <= from.position);
             if let Some(batch) = segment.batches.get(behind) {
-                return Next::Batch { epoch: segment.epoch, follows: segment.follows, batch };
+                return Next::Batch {
+                    epoch: segment.epoch,
+                    follows: segment.follows,
+                    batch,
+                };
             }
         }
         match self.segments.get(at + 1) {
@@ -174,8 +223,16 @@
     /// The position of the current epoch that was reached by then.
     pub fn reached_by(&self, moment: Micros) -> Option<LogPosition> {
         let segment = self.segments.back()?;
-        let later = segment.batches.iter().rev().take_while(|batch| batch.at > moment).last();
+        let later = segment
+            .batches
+            .iter()
+            .rev()
+            .take_while(|batch| batch.at > moment)
+            .last();
         let position = later.map_or(segment.head, |batch| batch.first);
-        Some(LogPosition { epoch: segment.epoch, position })
+        Some(LogPosition {
+            epoch: segment.epoch,
+            position,
+        })
     }
 }
--- a/crates/event-distribution/src/output.rs
+++ b/crates/event-distribution/src/output.rs
@@ -24,40 +24,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
     /// A lease is held again; how long there was none.
-    Leased {
-        relay: String,
-        without: Micros,
-    },
+    Leased { relay: String, without: Micros },
     /// The lease has ended and was not renewed.
-    Lapsed {
-        relay: String,
-    },
+    Lapsed { relay: String },
     /// Another relay is asked from now on.
-    Switched {
-        from: String,
-        to: String,
-    },
+    Switched { from: String, to: String },
     /// What was missed is no longer in a relay's window: all that still binds is fetched.
-    SnapshotBegun {
-        relay: String,
-    },
+    SnapshotBegun { relay: String },
     SnapshotDone {
         purges: u64,
         took: Micros,
         at: LogPosition,
     },
     /// The publisher has started anew.
-    NewEpoch {
-        at: LogPosition,
-    },
+    NewEpoch { at: LogPosition },
     /// The bound on purges was reached: copies from before this stamp are refused.
-    FloorRaised {
-        floor: Micros,
-    },
+    FloorRaised { floor: Micros },
     /// A subscriber of this relay has lost its lease.
-    SubscriberLate {
-        name: String,
-    },
+    SubscriberLate { name: String },
 }
 
 /// Why a datagram was dropped.
--- a/crates/event-distribution/src/plan.rs
+++ b/crates/event-distribution/src/plan.rs
@@ -98,25 +98,49 @@
         }
         for (at, relay) in self.relays.iter().enumerate() {
             if relay.name.is_empty() || relay.name.len() > TEXT_MOST {
-                return wrong("relay", format!("name {:?}: has to be of 1 to {TEXT_MOST} bytes", relay.name));
+                return wrong(
+                    "relay",
+                    format!("name {:?}: has to be of 1 to {TEXT_MOST} bytes", relay.name),
+                );
             }
             if relay.region.len() > TEXT_MOST || relay.zone.len() > TEXT_MOST {
                 return wrong(
                     "relay",
-                    format!("{}: region or zone is longer than {TEXT_MOST} bytes", relay.name),
+                    format!(
+                        "{}: region or zone is longer than {TEXT_MOST} bytes",
+                        relay.name
+                    ),
                 );
             }
-            if self.relays[..at].iter().any(|other| other.name == relay.name) {
+            if self.relays[..at]
+                .iter()
+                .any(|other| other.name == relay.name)
+            {
                 return wrong("relay", format!("{:?} is told twice", relay.name));
             }
         }
         let spans = [
-            ("batch_ms", self.batch, 10 * MILLISECOND, 1_000 * MILLISECOND),
-            ("heartbeat_ms", self.heartbeat, 50 * MILLISECOND, 10 * SECOND),
+            (
+                "batch_ms",
+                self.batch,
+                10 * MILLISECOND,
+                1_000 * MILLISECOND,
+            ),
+            (
+                "heartbeat_ms",
+                self.heartbeat,
+                50 * MILLISECOND,
+                10 * SECOND,
+            ),
             ("retry_ms", self.retry, 20 * MILLISECOND, self.heartbeat),
             ("lease_ms", self.lease, 2 * self.heartbeat, 60 * SECOND),
             ("lag_most_ms", self.lag_most, 2 * self.batch, 60 * SECOND),
-            ("copy_age_ms", self.copy_age, 100 * MILLISECOND, 600 * SECOND),
+            (
+                "copy_age_ms",
+                self.copy_age,
+                100 * MILLISECOND,
+                600 * SECOND,
+            ),
             ("keep_s", self.keep, 10 * SECOND, 86_400 * SECOND),
         ];
         for (key, value, least, most) in spans {
@@ -124,7 +148,12 @@
                 let ms = |span: Micros| span / MILLISECOND;
                 return wrong(
                     key,
-                    format!("{} ms is not within {} to {} ms", ms(value), ms(least), ms(most)),
+                    format!(
+                        "{} ms is not within {} to {} ms",
+                        ms(value),
+                        ms(least),
+                        ms(most)
+                    ),
                 );
             }
         }
@@ -164,7 +193,12 @@
 
 impl RelayPlan {
     pub fn check(&self) -> Result<(), Faulty> {
-        let wrong = |key, what: &str| Err(Faulty { key, what: what.into() });
+        let wrong = |key, what: &str| {
+            Err(Faulty {
+                key,
+                what: what.into(),
+            })
+        };
         if !(1..=100_000).contains(&self.subscribers_most) {
             return wrong("subscribers_most", "is not within 1 to 100000");
         }
