--- a/crates/event-distribution/src/publisher.rs
+++ b/crates/event-distribution/src/publisher.rs
@@ -77,7 +77,8 @@
 impl Publisher {
     pub fn new(plan: Plan, relay: RelayPlan, me: Identity, now: Micros, seed: u64) -> Publisher {
         let alone = plan.relays.iter().all(|other| other.name == me.name);
-        let recovery = (!alone).then(|| Subscriber::with_role(plan.clone(), me, Role::Relay, 0, now, seed));
+        let recovery =
+            (!alone).then(|| Subscriber::with_role(plan.clone(), me, Role::Relay, 0, now, seed));
         let purges = PurgeSet::new(plan.purges_most, plan.keep);
         let mut publisher = Publisher {
             recovery,
@@ -135,11 +136,17 @@
     /// Everything that was told, with what is not in a batch yet.
     pub fn published(&self) -> LogPosition {
         let head = self.log.position().unwrap_or_default();
-        LogPosition { position: head.position + self.pending.len() as Position, ..head }
+        LogPosition {
+            position: head.position + self.pending.len() as Position,
+            ..head
+        }
     }
 
     pub fn next_wake(&self) -> Micros {
-        let recovery = self.recovery.as_ref().map(|r| r.next_wake().min(self.recovery_until));
+        let recovery = self
+            .recovery
+            .as_ref()
+            .map(|r| r.next_wake().min(self.recovery_until));
         recovery.map_or(self.next_batch, |at| at.min(self.next_batch))
     }
 
@@ -150,7 +157,11 @@
         match wire::read(self.plan.fleet, bytes) {
             Ok(Body::Heartbeat(heartbeat)) => {
                 let supply = self.supply_lease(now);
-                let supply = Supply { log: &self.log, lease: supply, hops: 0 };
+                let supply = Supply {
+                    log: &self.log,
+                    lease: supply,
+                    hops: 0,
+                };
                 let heard = self.distributor.heartbeat(now, heartbeat, &supply, out);
                 self.answer(now, heard, out);
             }
@@ -163,13 +174,23 @@
         self.recover(now, out);
     }
 
-    fn answer(&mut self, now: Micros, heard: Result<Option<Epoch>, Rejected>, out: &mut Vec<Output>) {
+    fn answer(
+        &mut self,
+        now: Micros,
+        heard: Result<Option<Epoch>, Rejected>,
+        out: &mut Vec<Output>,
+    ) {
         match heard {
             Ok(None) => {}
             // Somebody has followed a later publisher than this one thought to be: its clock stepped back.
-            Ok(Some(later)) if later >= EPOCH_MOST => self.distributor.counters.reject(Rejected::Future),
+            Ok(Some(later)) if later >= EPOCH_MOST => {
+                self.distributor.counters.reject(Rejected::Future)
+            }
             Ok(Some(later)) if self.recovery.is_none() => {
-                let at = LogPosition { epoch: self.epoch_behind(later), position: 0 };
+                let at = LogPosition {
+                    epoch: self.epoch_behind(later),
+                    position: 0,
+                };
                 // What is not in force yet is so once all have come to the new epoch, which takes a snapshot of it, and
                 // copies from before now are too old: `done` stays where it is.
                 self.log.begin(at.epoch, None);
@@ -183,7 +204,9 @@
 
     /// Goes over from recovery to publishing, once all is there or the time is over.
     fn recover(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some(recovery) = &mut self.recovery else { return };
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
         let is_room = self.pending.len() < self.plan.purges_most;
         if let Some(fetched_at) = recovery.fetched_at().filter(|_| is_room) {
             let until = (fetched_at + RECOVERY_MOST).min(self.started + RECOVERY_LONGEST);
@@ -221,7 +244,11 @@
             self.note_told_all();
             self.update_done(now, out);
         }
-        let supply = Supply { log: &self.log, lease: self.supply_lease(now), hops: 0 };
+        let supply = Supply {
+            log: &self.log,
+            lease: self.supply_lease(now),
+            hops: 0,
+        };
         self.distributor.flush(now, &supply, out);
     }
 
@@ -231,10 +258,19 @@
         let mut events: Vec<Event> = Vec::new();
         for Pending { event, told } in std::mem::take(&mut self.pending) {
             let Event::Purge(purge) = event;
-            if self.log.purges.kept_from(now).is_some_and(|kept_from| purge.stamp < kept_from) {
+            if self
+                .log
+                .purges
+                .kept_from(now)
+                .is_some_and(|kept_from| purge.stamp < kept_from)
+            {
                 continue;
             }
-            let known = self.log.purges.stamp(purge.key).is_some_and(|stamp| stamp >= purge.stamp);
+            let known = self
+                .log
+                .purges
+                .stamp(purge.key)
+                .is_some_and(|stamp| stamp >= purge.stamp);
             if !known && !packer.push(&event) {
                 self.append(now, &mut events, std::mem::take(&mut packer));
                 // An empty one has room for any event.
@@ -277,7 +313,10 @@
     /// Waits for an event to be in force: it is there for whoever has come past what is in the log and these behind it.
     fn follow(&mut self, event: Event, told: Micros, behind_head: Position) {
         let head = self.log.position().unwrap_or_default();
-        let end = LogPosition { position: head.position + behind_head, ..head };
+        let end = LogPosition {
+            position: head.position + behind_head,
+            ..head
+        };
         self.unfinished.push_back(Unfinished { event, told, end });
         if self.unfinished.len() > UNFINISHED_MOST {
             self.unfinished.pop_front();
@@ -296,11 +335,19 @@
 
     /// What is in force everywhere only grows.
     fn update_done(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some(head) = self.log.position() else { return };
+        let Some(head) = self.log.position() else {
+            return;
+        };
         let moment = now - self.plan.with_drift(self.plan.copy_age);
-        let Some(old) = self.cuts.front().filter(|cut| cut.at <= moment) else { return };
+        let Some(old) = self.cuts.front().filter(|cut| cut.at <= moment) else {
+            return;
+        };
         let reported = self.distributor.report(now, &self.log, old.head);
-        let acknowledged = if mutant("done-without-acknowledgement") { old.head } else { reported };
+        let acknowledged = if mutant("done-without-acknowledgement") {
+            old.head
+        } else {
+            reported
+        };
         // Leases of an earlier start of the publisher may still be held.
         let earlier_leases_over =
             now >= self.started + self.plan.with_drift(self.plan.lease) + self.plan.batch;
@@ -308,9 +355,18 @@
             return;
         }
         self.done = self.done.max(acknowledged.min(old.head));
-        while self.unfinished.front().is_some_and(|first| first.end <= self.done) {
-            let Some(Unfinished { event, told, .. }) = self.unfinished.pop_front() else { return };
-            out.push(Output::InForce { event, took: now - told });
+        while self
+            .unfinished
+            .front()
+            .is_some_and(|first| first.end <= self.done)
+        {
+            let Some(Unfinished { event, told, .. }) = self.unfinished.pop_front() else {
+                return;
+            };
+            out.push(Output::InForce {
+                event,
+                took: now - told,
+            });
         }
     }
 
--- a/crates/event-distribution/src/purges.rs
+++ b/crates/event-distribution/src/purges.rs
@@ -24,7 +24,14 @@
 
 impl PurgeSet {
     pub fn new(most: usize, keep: Micros) -> PurgeSet {
-        PurgeSet { stamps: BTreeMap::new(), order: BTreeSet::new(), most, keep, floor: None, newest: None }
+        PurgeSet {
+            stamps: BTreeMap::new(),
+            order: BTreeSet::new(),
+            most,
+            keep,
+            floor: None,
+            newest: None,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -74,7 +81,9 @@
 
     fn keep_bound(&mut self) {
         while self.order.len() > self.most {
-            let Some((stamp, key)) = self.order.pop_first() else { return };
+            let Some((stamp, key)) = self.order.pop_first() else {
+                return;
+            };
             self.stamps.remove(&key);
             if !mutant("silent-drop") {
                 // A copy from the very moment of the stamp is not older than the purge.
@@ -91,7 +100,9 @@
 
     /// Forgets those older than what is kept.
     pub fn expire(&mut self, now: Micros) {
-        let Some(kept_from) = self.kept_from(now) else { return };
+        let Some(kept_from) = self.kept_from(now) else {
+            return;
+        };
         self.floor = self.floor.filter(|floor| *floor >= kept_from);
         while let Some(&(stamp, key)) = self.order.first() {
             if stamp >= kept_from {
@@ -106,6 +117,8 @@
     /// so a reader that continues from its last place, here or at another member, misses none.
     pub fn after(&self, cursor: Option<Cursor>) -> impl Iterator<Item = Purge> + '_ {
         let from = cursor.map_or(Bound::Unbounded, Bound::Excluded);
-        self.order.range((from, Bound::Unbounded)).map(|&(stamp, key)| Purge { key, stamp })
+        self.order
+            .range((from, Bound::Unbounded))
+            .map(|&(stamp, key)| Purge { key, stamp })
     }
 }
--- a/crates/event-distribution/src/relay.rs
+++ b/crates/event-distribution/src/relay.rs
@@ -20,7 +20,12 @@
         let window = relay.window_bytes;
         let distributor = Distributor::new(plan.clone(), relay, now);
         let follower = Subscriber::with_role(plan.clone(), me, Role::Relay, window, now, seed);
-        Relay { plan, follower, distributor, next_flush: now }
+        Relay {
+            plan,
+            follower,
+            distributor,
+            next_flush: now,
+        }
     }
 
     pub fn next_wake(&self) -> Micros {
@@ -59,7 +64,8 @@
         if now >= self.follower.next_wake() {
             if let Some(own) = self.follower.position() {
                 // What is reported here binds: nobody behind it gets a lease any more.
-                self.follower.acknowledged = Some(self.distributor.report(now, &self.follower.log, own));
+                self.follower.acknowledged =
+                    Some(self.distributor.report(now, &self.follower.log, own));
             }
             self.follower.tick(now, out);
         }
@@ -83,5 +89,9 @@
 /// What a relay can hand on: its own lease, less what clocks may differ.
 fn supply<'a>(plan: &Plan, follower: &'a Subscriber, now: Micros) -> Supply<'a> {
     let left = follower.lease_left(now).unwrap_or(0);
-    Supply { log: &follower.log, lease: lease_to_hand_on(plan, left), hops: follower.hops() }
+    Supply {
+        log: &follower.log,
+        lease: lease_to_hand_on(plan, left),
+        hops: follower.hops(),
+    }
 }
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -152,7 +152,9 @@
 
     fn draw(&mut self, least: Micros, most: Micros) -> Micros {
         self.draws += 1;
-        let mixed = self.seed.wrapping_add(self.draws.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mixed = self
+            .seed
+            .wrapping_add(self.draws.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         fastrand::Rng::with_seed(mixed).i64(least..=most)
     }
 
@@ -163,7 +165,9 @@
 
     /// The own position, once all purges that are held are of events before it.
     pub(crate) fn complete_position(&self) -> Option<LogPosition> {
-        self.log.position().filter(|at| Some(*at) >= self.snapshot_reached)
+        self.log
+            .position()
+            .filter(|at| Some(*at) >= self.snapshot_reached)
     }
 
     /// When the last part of a snapshot that is under way came.
@@ -176,7 +180,9 @@
     }
 
     pub fn lease_left(&self, now: Micros) -> Option<Micros> {
-        self.lease_until.map(|until| until - now).filter(|left| *left > 0)
+        self.lease_until
+            .map(|until| until - now)
+            .filter(|left| *left > 0)
     }
 
     /// Members between the publisher and this one.
@@ -186,7 +192,10 @@
 
     pub fn copy_bound(&self, now: Micros) -> CopyBound {
         let age = (!self.leased(now)).then_some(self.plan.copy_age);
-        CopyBound { not_before: self.log.purges.floor(), age }
+        CopyBound {
+            not_before: self.log.purges.floor(),
+            age,
+        }
     }
 
     pub fn next_wake(&self) -> Micros {
@@ -213,7 +222,10 @@
     }
 
     fn relay_name(&self) -> String {
-        self.relays.get(self.current).map(|relay| relay.name.clone()).unwrap_or_default()
+        self.relays
+            .get(self.current)
+            .map(|relay| relay.name.clone())
+            .unwrap_or_default()
     }
 
     /// Another relay where this one fails, and now and then the preferred one again.
@@ -229,7 +241,9 @@
             let next = self.next_relay();
             return self.switch(now, next, out);
         }
-        let fresh = self.lease_left(now).is_some_and(|left| left > self.plan.lease / 2);
+        let fresh = self
+            .lease_left(now)
+            .is_some_and(|left| left > self.plan.lease / 2);
         if self.current != 0 && fresh && now >= self.home_at {
             self.switch(now, 0, out);
         }
@@ -239,7 +253,11 @@
     /// would else wait for each other.
     fn next_relay(&mut self) -> usize {
         // Where the preferred one does not answer, back to the one that did.
-        if let Some(granted_by) = self.granted_by.take().filter(|relay| *relay != self.current) {
+        if let Some(granted_by) = self
+            .granted_by
+            .take()
+            .filter(|relay| *relay != self.current)
+        {
             return granted_by;
         }
         if self.role == Role::Relay && self.current != 0 {
@@ -274,7 +292,9 @@
     }
 
     fn send_heartbeat(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some(to) = self.relays.get(self.current).map(|relay| relay.address) else { return };
+        let Some(to) = self.relays.get(self.current).map(|relay| relay.address) else {
+            return;
+        };
         let at = self.log.position().map(Into::into);
         let gap = std::mem::take(&mut self.gap);
         if gap {
@@ -288,11 +308,18 @@
             at,
             acknowledged: self.acknowledged.map(Into::into),
             gap,
-            cursor: self.fetch.as_ref().and_then(|fetch| fetch.cursor).map(SnapshotPlace::of),
+            cursor: self
+                .fetch
+                .as_ref()
+                .and_then(|fetch| fetch.cursor)
+                .map(SnapshotPlace::of),
             snapshot: self.fetch.is_some(),
             later_epoch: self.later_epoch.map_or(0, |epoch| epoch.0),
         };
-        self.requests.push_back(Request { number: self.next_request, sent: now });
+        self.requests.push_back(Request {
+            number: self.next_request,
+            sent: now,
+        });
         if self.requests.len() > REQUESTS_MOST {
             self.requests.pop_front();
         }
@@ -323,7 +350,13 @@
         }
     }
 
-    pub(crate) fn receive_body(&mut self, now: Micros, body: Body, length: usize, out: &mut Vec<Output>) {
+    pub(crate) fn receive_body(
+        &mut self,
+        now: Micros,
+        body: Body,
+        length: usize,
+        out: &mut Vec<Output>,
+    ) {
         self.counters.received += 1;
         self.counters.received_bytes += length as u64;
         // One that was stopped has to know that before it takes anything for granted.
@@ -338,26 +371,49 @@
         if let Err(why) = taken {
             self.counters.reject(why);
         }
-        let raised = self.log.purges.floor().filter(|now| floor.is_none_or(|before| *now > before));
+        let raised = self
+            .log
+            .purges
+            .floor()
+            .filter(|now| floor.is_none_or(|before| *now > before));
         if let Some(floor) = raised {
             out.push(Output::Notice(Notice::FloorRaised { floor }));
         }
     }
 
-    fn receive_batch(&mut self, now: Micros, batch: Batch, out: &mut Vec<Output>) -> Result<(), Rejected> {
+    fn receive_batch(
+        &mut self,
+        now: Micros,
+        batch: Batch,
+        out: &mut Vec<Output>,
+    ) -> Result<(), Rejected> {
         let events = wire::unpack(&batch.events)?;
-        let place = LogPosition { epoch: Epoch(batch.epoch), position: batch.first };
-        let end = batch.first.checked_add(events.len() as u64).ok_or(Rejected::Bounds)?;
+        let place = LogPosition {
+            epoch: Epoch(batch.epoch),
+            position: batch.first,
+        };
+        let end = batch
+            .first
+            .checked_add(events.len() as u64)
+            .ok_or(Rejected::Bounds)?;
         if batch.head < end {
             return Err(Rejected::Bounds);
         }
         let published = now - Micros::from(batch.age_ms) * MILLISECOND;
         let taken = self.follow_epoch(now, place, &batch, out);
         if taken.is_ok() {
-            let early = EarlyBatch { first: place.position, events, packed: batch.events, published };
+            let early = EarlyBatch {
+                first: place.position,
+                events,
+                packed: batch.events,
+                published,
+            };
             self.take_events(now, place.epoch, early, out);
         }
-        self.head = self.head.max(Some(LogPosition { position: batch.head, ..place }));
+        self.head = self.head.max(Some(LogPosition {
+            position: batch.head,
+            ..place
+        }));
         if let Some(grant) = batch.grant {
             self.take_grant(now, grant, out)?;
         }
@@ -372,7 +428,9 @@
         batch: &Batch,
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
-        let Some(at) = self.log.position() else { return Ok(()) };
+        let Some(at) = self.log.position() else {
+            return Ok(());
+        };
         if place.epoch == at.epoch {
             return Ok(());
         }
@@ -384,7 +442,10 @@
         if (linked && place.position == 0) || place.epoch < at.epoch {
             self.log.begin(place.epoch, follows);
             self.early.clear();
-            let at = LogPosition { position: 0, ..place };
+            let at = LogPosition {
+                position: 0,
+                ..place
+            };
             out.push(Output::Notice(Notice::NewEpoch { at }));
             return Ok(());
         }
@@ -397,7 +458,9 @@
     }
 
     fn take_events(&mut self, now: Micros, epoch: Epoch, batch: EarlyBatch, out: &mut Vec<Output>) {
-        let Some(at) = self.log.position().filter(|at| at.epoch == epoch) else { return };
+        let Some(at) = self.log.position().filter(|at| at.epoch == epoch) else {
+            return;
+        };
         // A batch without events tells what was sent before it.
         let tolerated = u64::from(mutant("resume-off-by-one"));
         if batch.first > at.position + tolerated {
@@ -407,7 +470,11 @@
             return;
         }
         self.take_in_order(batch, out);
-        while let Some(batch) = self.log.position().and_then(|at| self.early.take(at.position)) {
+        while let Some(batch) = self
+            .log
+            .position()
+            .and_then(|at| self.early.take(at.position))
+        {
             self.take_in_order(batch, out);
         }
         if self.log.position() > Some(at) {
@@ -418,57 +485,92 @@
     /// A batch that begins no later than the log ends: what of it is new.
     fn take_in_order(&mut self, batch: EarlyBatch, out: &mut Vec<Output>) {
         let at = self.log.position().map_or(0, |at| at.position);
-        let EarlyBatch { first, events, packed, published } = batch;
+        let EarlyBatch {
+            first,
+            events,
+            packed,
+            published,
+        } = batch;
         let known = at.saturating_sub(first);
         if known >= events.len() as u64 {
             return;
         }
         self.counters.batches += 1;
         self.counters.events += events.len() as u64 - known;
-        let fresh = self.log.append_rest(published, known as usize, &events, packed);
+        let fresh = self
+            .log
+            .append_rest(published, known as usize, &events, packed);
         out.extend(fresh.into_iter().map(Output::Apply));
     }
 
     /// A heartbeat at once, but not before what the last one asked for can be here: it would all be sent once more.
     fn ask_again(&mut self, now: Micros) {
         self.gap = true;
-        let answered = self.asked_again.map_or(now, |asked| asked + self.plan.retry);
+        let answered = self
+            .asked_again
+            .map_or(now, |asked| asked + self.plan.retry);
         let soonest = now.max(self.last_sent + self.plan.batch / 2).max(answered);
         self.next_heartbeat = self.next_heartbeat.min(soonest);
     }
 
     fn answered(&mut self, request: u32) -> Result<Request, Rejected> {
         let found = self.requests.iter().position(|sent| sent.number == request);
-        let request = found.and_then(|at| self.requests.remove(at)).ok_or(Rejected::Unexpected)?;
+        let request = found
+            .and_then(|at| self.requests.remove(at))
+            .ok_or(Rejected::Unexpected)?;
         (self.unanswered, self.unanswered_by_all) = (0, 0);
         Ok(request)
     }
 
-    fn take_grant(&mut self, now: Micros, grant: Grant, out: &mut Vec<Output>) -> Result<(), Rejected> {
+    fn take_grant(
+        &mut self,
+        now: Micros,
+        grant: Grant,
+        out: &mut Vec<Output>,
+    ) -> Result<(), Rejected> {
         let request = self.answered(grant.request)?;
         let too_far = self.role == Role::Relay && grant.hops >= RELAYS_IN_LINE;
         if grant.lease_us == 0 || too_far {
-            self.next_heartbeat = self.next_heartbeat.min(request.sent + self.plan.retry).max(now);
+            self.next_heartbeat = self
+                .next_heartbeat
+                .min(request.sent + self.plan.retry)
+                .max(now);
             return Ok(());
         }
         self.hops = grant.hops.saturating_add(1);
         (self.refused_since, self.refusals) = (now, 0);
         self.granted_by = Some(self.current);
-        let from = if mutant("lease-from-arrival") { now } else { request.sent };
+        let from = if mutant("lease-from-arrival") {
+            now
+        } else {
+            request.sent
+        };
         let until = from + Micros::from(grant.lease_us).min(self.plan.lease);
         self.lease_until = self.lease_until.max(Some(until));
-        let pause = if self.role == Role::Relay { self.plan.batch } else { self.plan.heartbeat };
+        let pause = if self.role == Role::Relay {
+            self.plan.batch
+        } else {
+            self.plan.heartbeat
+        };
         if !self.gap {
             self.next_heartbeat = (request.sent + pause).max(now);
         }
         if let Some(since) = self.without_since.take_if(|_| until > now) {
             let relay = self.relay_name();
-            out.push(Output::Notice(Notice::Leased { relay, without: now - since }));
+            out.push(Output::Notice(Notice::Leased {
+                relay,
+                without: now - since,
+            }));
         }
         Ok(())
     }
 
-    fn receive_busy(&mut self, now: Micros, busy: Busy, out: &mut Vec<Output>) -> Result<(), Rejected> {
+    fn receive_busy(
+        &mut self,
+        now: Micros,
+        busy: Busy,
+        out: &mut Vec<Output>,
+    ) -> Result<(), Rejected> {
         self.answered(busy.request)?;
         let has_other = self.granted_by.is_some_and(|relay| relay != self.current);
         if (busy.full || has_other) && self.relays.len() > 1 {
@@ -487,26 +589,47 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Rejected> {
         let writer = part.at.map(LogPosition::from).ok_or(Rejected::Bounds)?;
-        if self.log.position().is_some_and(|at| writer.epoch < at.epoch) {
+        if self
+            .log
+            .position()
+            .is_some_and(|at| writer.epoch < at.epoch)
+        {
             return Err(Rejected::OldEpoch);
         }
         // A late one of a relay that was asked before. Where the one that is asked now is in an older epoch than the
         // snapshot that was begun, it is begun anew: nothing of it is held to be applied.
         let is_late = part.request.checked_add(1) != Some(self.next_request);
-        if is_late && self.fetch.as_ref().is_some_and(|fetch| writer.epoch < fetch.at.epoch) {
+        if is_late
+            && self
+                .fetch
+                .as_ref()
+                .is_some_and(|fetch| writer.epoch < fetch.at.epoch)
+        {
             return Err(Rejected::OldEpoch);
         }
         let events = wire::unpack(&part.events)?;
         if self.answered(part.request).is_err() && self.fetch.is_none() {
             return Err(Rejected::Unexpected);
         }
-        if self.fetch.as_ref().is_none_or(|fetch| fetch.at.epoch != writer.epoch) {
+        if self
+            .fetch
+            .as_ref()
+            .is_none_or(|fetch| fetch.at.epoch != writer.epoch)
+        {
             self.begin_fetch(now, writer, out);
         }
-        let Some(fetch) = self.fetch.as_mut() else { return Err(Rejected::Unexpected) };
+        let Some(fetch) = self.fetch.as_mut() else {
+            return Err(Rejected::Unexpected);
+        };
         let after = part.after.and_then(SnapshotPlace::cursor);
         let next = part.next.and_then(SnapshotPlace::cursor);
-        let progress = fetch.take(after, Reach { next, is_paused: part.paused });
+        let progress = fetch.take(
+            after,
+            Reach {
+                next,
+                is_paused: part.paused,
+            },
+        );
         if progress == Progress::None {
             return Err(Rejected::Unexpected);
         }
@@ -535,13 +658,20 @@
         let began = self.fetch.as_ref().map_or(now, |fetch| fetch.began);
         self.fetch = Some(Fetch::new(began, at));
         self.counters.snapshots += 1;
-        out.push(Output::Notice(Notice::SnapshotBegun { relay: self.relay_name() }));
+        out.push(Output::Notice(Notice::SnapshotBegun {
+            relay: self.relay_name(),
+        }));
     }
 
     fn finish_fetch(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some(mut fetch) = self.fetch.take() else { return };
+        let Some(mut fetch) = self.fetch.take() else {
+            return;
+        };
         // A relay that is behind this one may have written a part: what was applied before still counts.
-        fetch.at = self.log.position().map_or(fetch.at, |own| own.max(fetch.at));
+        fetch.at = self
+            .log
+            .position()
+            .map_or(fetch.at, |own| own.max(fetch.at));
         self.log.reset(fetch.at);
         self.snapshot_reached = Some(fetch.reached);
         self.early.clear();
@@ -569,8 +699,12 @@
 /// The relays in the order in which a member asks them: a relay those that publish first; then the own zone, the own
 /// region, the others; within each by rendezvous hashing, so that those who follow a failed one spread over the rest.
 fn by_preference(plan: &Plan, me: &Identity, role: Role) -> Vec<RelayAddress> {
-    let mut relays: Vec<RelayAddress> =
-        plan.relays.iter().filter(|relay| role == Role::Front || relay.name != me.name).cloned().collect();
+    let mut relays: Vec<RelayAddress> = plan
+        .relays
+        .iter()
+        .filter(|relay| role == Role::Front || relay.name != me.name)
+        .cloned()
+        .collect();
     let weight = |relay: &RelayAddress| hash(&format!("{} {}", me.name, relay.name), 0);
     let distance = |relay: &RelayAddress| match (relay.zone == me.zone, relay.region == me.region) {
         (true, true) => 0,
@@ -578,7 +712,11 @@
         (_, false) => 2,
     };
     relays.sort_by_cached_key(|relay| {
-        (role == Role::Relay && !relay.publishes, distance(relay), Reverse(weight(relay)))
+        (
+            role == Role::Relay && !relay.publishes,
+            distance(relay),
+            Reverse(weight(relay)),
+        )
     });
     relays
 }
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -62,13 +62,19 @@
 
 impl From<LogPosition> for Place {
     fn from(at: LogPosition) -> Place {
-        Place { epoch: at.epoch.0, position: at.position }
+        Place {
+            epoch: at.epoch.0,
+            position: at.position,
+        }
     }
 }
 
 impl From<Place> for LogPosition {
     fn from(place: Place) -> LogPosition {
-        LogPosition { epoch: Epoch(place.epoch), position: place.position }
+        LogPosition {
+            epoch: Epoch(place.epoch),
+            position: place.position,
+        }
     }
 }
 
@@ -164,7 +170,10 @@
             PurgeKey::Object(object) => PlaceKey::Object(object),
             PurgeKey::Group(group) => PlaceKey::Group(group),
         };
-        SnapshotPlace { stamp, key: Some(key) }
+        SnapshotPlace {
+            stamp,
+            key: Some(key),
+        }
     }
 
     pub fn cursor(self) -> Option<Cursor> {
@@ -214,12 +223,21 @@
 
 pub fn write(fleet: u64, body: Body) -> Vec<u8> {
     let mut bytes = Vec::new();
-    envelope::write(MARK, VERSION, &Packet { fleet: fleet as u32, body: Some(body) }, &mut bytes);
+    envelope::write(
+        MARK,
+        VERSION,
+        &Packet {
+            fleet: fleet as u32,
+            body: Some(body),
+        },
+        &mut bytes,
+    );
     bytes
 }
 
 pub fn read(fleet: u64, bytes: &[u8]) -> Result<Body, Rejected> {
-    let packet: Packet = envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| Rejected::Envelope)?;
+    let packet: Packet =
+        envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| Rejected::Envelope)?;
     if packet.fleet != fleet as u32 {
         return Err(Rejected::Fleet);
     }
@@ -249,9 +267,12 @@
 
 impl Heartbeat {
     fn is_within_bounds(&self) -> bool {
-        let text = !self.name.is_empty() && self.name.len() <= TEXT_MOST && self.address.len() <= TEXT_MOST;
+        let text = !self.name.is_empty()
+            && self.name.len() <= TEXT_MOST
+            && self.address.len() <= TEXT_MOST;
         // All that a relay feeds are no farther than the relay.
-        let acknowledged = self.acknowledged.map(LogPosition::from) <= self.at.map(LogPosition::from);
+        let acknowledged =
+            self.acknowledged.map(LogPosition::from) <= self.at.map(LogPosition::from);
         let cursor = self.cursor.is_none_or(|cursor| cursor.cursor().is_some());
         let epoch = self.later_epoch <= EPOCH_MOST.0;
         text && acknowledged && cursor && epoch && self.at.is_none_or(|at| at.is_within_bounds())
@@ -260,15 +281,26 @@
 
 impl Batch {
     fn is_within_bounds(&self) -> bool {
-        let first = Place { epoch: self.epoch, position: self.first };
-        let head = Place { position: self.head, ..first };
-        [Some(first), Some(head), self.follows].into_iter().flatten().all(|place| place.is_within_bounds())
+        let first = Place {
+            epoch: self.epoch,
+            position: self.first,
+        };
+        let head = Place {
+            position: self.head,
+            ..first
+        };
+        [Some(first), Some(head), self.follows]
+            .into_iter()
+            .flatten()
+            .all(|place| place.is_within_bounds())
     }
 }
 
 impl SnapshotPart {
     fn is_within_bounds(&self) -> bool {
-        let floor = self.floor.is_none_or(|floor| is_stamp(to_milliseconds(floor)));
+        let floor = self
+            .floor
+            .is_none_or(|floor| is_stamp(to_milliseconds(floor)));
         let after = self.after.map(SnapshotPlace::cursor);
         let next = self.next.map(SnapshotPlace::cursor);
         let whole = after != Some(None) && next != Some(None);
@@ -332,7 +364,9 @@
     let mut stamp_ms = 0i64;
     while !rest.is_empty() {
         let word = decode_varint(&mut rest).map_err(|_| Rejected::Bounds)?;
-        stamp_ms = stamp_ms.checked_add(unzigzag(word >> KIND_BITS)).ok_or(Rejected::Bounds)?;
+        stamp_ms = stamp_ms
+            .checked_add(unzigzag(word >> KIND_BITS))
+            .ok_or(Rejected::Bounds)?;
         if !is_stamp(stamp_ms) {
             return Err(Rejected::Bounds);
         }
@@ -348,7 +382,10 @@
             }
             _ => return Err(Rejected::Bounds),
         };
-        events.push(Event::Purge(Purge { key, stamp: stamp_ms * MILLISECOND }));
+        events.push(Event::Purge(Purge {
+            key,
+            stamp: stamp_ms * MILLISECOND,
+        }));
     }
     Ok(events)
 }
--- a/crates/fault-injection/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -41,7 +41,10 @@
 
 impl Peer for Heartbeats {
     fn hear(&mut self, now: Micros, bytes: &[u8], _: &mut Vec<Act>) {
-        if let Some(from) = bytes.first_chunk::<4>().map(|b| u32::from_le_bytes(*b) as usize) {
+        if let Some(from) = bytes
+            .first_chunk::<4>()
+            .map(|b| u32::from_le_bytes(*b) as usize)
+        {
             if from < self.many && bytes.len() == LENGTH {
                 self.heard.insert(from, now);
             }
@@ -58,7 +61,10 @@
         bytes[..4].copy_from_slice(&(self.me as u32).to_le_bytes());
         for to in (0..self.many).filter(|to| *to != self.me) {
             self.sent += LENGTH as u64;
-            out.push(Act::Send { to: address(to), bytes: bytes.clone() });
+            out.push(Act::Send {
+                to: address(to),
+                bytes: bytes.clone(),
+            });
         }
     }
 
@@ -132,7 +138,11 @@
         told.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
         let mut records = Vec::new();
         for (_, n) in told.into_iter().take(NEWS) {
-            let claim = if n == self.me { self.own() } else { self.claims[n].0 };
+            let claim = if n == self.me {
+                self.own()
+            } else {
+                self.claims[n].0
+            };
             let (start, incarnation, state) = (claim.start, claim.incarnation, claim.state as u32);
             records.push(Record {
                 name: self.names[n].clone(),
@@ -147,19 +157,33 @@
         }
         self.news.retain(|_, left| *left > 0);
         let from = self.names[self.me].clone();
-        let packet = Packet { from, said: Some(said), records, ..Packet::default() };
+        let packet = Packet {
+            from,
+            said: Some(said),
+            records,
+            ..Packet::default()
+        };
         let mut bytes = Vec::new();
         wire::write(&packet, &mut bytes);
         self.sent += bytes.len() as u64;
-        out.push(Act::Send { to: address(to), bytes });
+        out.push(Act::Send {
+            to: address(to),
+            bytes,
+        });
     }
 
     fn own(&self) -> Claim {
-        Claim { incarnation: self.incarnation, ..Claim::alive(1) }
+        Claim {
+            incarnation: self.incarnation,
+            ..Claim::alive(1)
+        }
     }
 
     fn number(&self, name: &str) -> Option<usize> {
-        name.strip_prefix("front-")?.parse().ok().filter(|n| *n < self.claims.len())
+        name.strip_prefix("front-")?
+            .parse()
+            .ok()
+            .filter(|n| *n < self.claims.len())
     }
 
     fn take(&mut self, n: usize, claim: Claim, now: Micros, out: &mut Vec<Act>) {
@@ -177,15 +201,27 @@
             let (from, to) = (Some(former.state), claim.state);
             let (name, by) = (self.names[n].clone(), String::new());
             let (start, incarnation) = (claim.start, claim.incarnation);
-            out.push(Act::Tell(Change::Member { name, from, to, start, incarnation, why: Why::Heard, by }));
+            out.push(Act::Tell(Change::Member {
+                name,
+                from,
+                to,
+                start,
+                incarnation,
+                why: Why::Heard,
+                by,
+            }));
         }
     }
 }
 
 impl Peer for Swim {
     fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Act>) {
-        let Ok(packet) = wire::read(bytes, 0) else { return };
-        let Some(from) = self.number(&packet.from) else { return };
+        let Ok(packet) = wire::read(bytes, 0) else {
+            return;
+        };
+        let Some(from) = self.number(&packet.from) else {
+            return;
+        };
         for record in &packet.records {
             if let (Some(n), Some(claim)) = (self.number(&record.name), record.claim()) {
                 self.take(n, claim, now, out);
@@ -205,7 +241,14 @@
                     self.seq += 1;
                     self.errands.insert(self.seq, (ask.seq, from));
                     self.errands.retain(|seq, _| seq + 1000 > self.seq);
-                    self.send(target, Said::Ping(Ping { seq: self.seq, to: ask.target }), out);
+                    self.send(
+                        target,
+                        Said::Ping(Ping {
+                            seq: self.seq,
+                            to: ask.target,
+                        }),
+                        out,
+                    );
                 }
             }
             _ => {}
@@ -226,15 +269,23 @@
                         let target = self.names[target].clone();
                         self.send(
                             helper,
-                            Said::PingRequest(PingRequest { seq, target, address: String::new() }),
+                            Said::PingRequest(PingRequest {
+                                seq,
+                                target,
+                                address: String::new(),
+                            }),
                             out,
                         );
                     }
                 }
             }
         }
-        let over = |(claim, at): &(Claim, Micros)| claim.state == State::Suspected && now - at >= self.wait;
-        let over: Vec<usize> = (0..self.claims.len()).filter(|n| over(&self.claims[*n])).collect();
+        let over = |(claim, at): &(Claim, Micros)| {
+            claim.state == State::Suspected && now - at >= self.wait
+        };
+        let over: Vec<usize> = (0..self.claims.len())
+            .filter(|n| over(&self.claims[*n]))
+            .collect();
         for n in over {
             self.take(n, self.claims[n].0.with(State::Dead), now, out);
         }
@@ -250,22 +301,35 @@
                 self.seq += 1;
                 let third = self.period / 3;
                 self.probe = Some((self.seq, target, now + third, now + self.period - 1));
-                self.send(target, Said::Ping(Ping { seq: self.seq, to: String::new() }), out);
+                self.send(
+                    target,
+                    Said::Ping(Ping {
+                        seq: self.seq,
+                        to: String::new(),
+                    }),
+                    out,
+                );
             }
         }
     }
 
     fn next(&self) -> Micros {
-        self.probe.map_or(self.at, |(_, _, ask, end)| self.at.min(if ask > 0 { ask } else { end }))
+        self.probe.map_or(self.at, |(_, _, ask, end)| {
+            self.at.min(if ask > 0 { ask } else { end })
+        })
     }
 
     fn here(&self) -> Vec<&str> {
         let here = |n: &usize| *n != self.me && self.claims[*n].0.state.here();
-        (0..self.claims.len()).filter(here).map(|n| self.names[n].as_str()).collect()
+        (0..self.claims.len())
+            .filter(here)
+            .map(|n| self.names[n].as_str())
+            .collect()
     }
 
     fn holds(&self, name: &str) -> bool {
-        self.number(name).is_some_and(|n| n != self.me && self.claims[n].0.state.here())
+        self.number(name)
+            .is_some_and(|n| n != self.me && self.claims[n].0.state.here())
     }
 
     fn sent_bytes(&self) -> u64 {
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -22,19 +22,33 @@
                 return Some(format!("front {front} is {}", sight.state));
             }
             let here: BTreeSet<String> = sight.here.iter().cloned().collect();
-            let want: BTreeSet<String> = running.iter().filter(|n| *n != front).map(|n| name(*n)).collect();
+            let want: BTreeSet<String> = running
+                .iter()
+                .filter(|n| *n != front)
+                .map(|n| name(*n))
+                .collect();
             if here != want {
                 let more: Vec<_> = here.difference(&want).collect();
                 let less: Vec<_> = want.difference(&here).collect();
-                return Some(format!("front {front} sees {more:?} too many, {less:?} too few"));
+                return Some(format!(
+                    "front {front} sees {more:?} too many, {less:?} too few"
+                ));
             }
-            if sight.states.values().any(|s| s == "suspected" || s == "joining") {
+            if sight
+                .states
+                .values()
+                .any(|s| s == "suspected" || s == "joining")
+            {
                 return Some(format!("front {front} is in doubt of some"));
             }
             digests.insert(sight.digest);
         }
         if digests.len() > 1 {
-            return Some(format!("{} digests among {} fronts", digests.len(), running.len()));
+            return Some(format!(
+                "{} digests among {} fronts",
+                digests.len(),
+                running.len()
+            ));
         }
     }
     None
@@ -63,19 +77,33 @@
     for by in 0..fleet.plan.fronts {
         let text = std::fs::read_to_string(fleet.log(by)).unwrap_or_default();
         for line in text.lines() {
-            let Ok(line) = serde_json::from_str::<Value>(line) else { continue };
+            let Ok(line) = serde_json::from_str::<Value>(line) else {
+                continue;
+            };
             let word = |key: &str| line[key].as_str().unwrap_or_default().to_string();
-            let Some(at) = time(&word("ts")) else { continue };
+            let Some(at) = time(&word("ts")) else {
+                continue;
+            };
             let msg = word("msg");
             let (of, from, to) = (word("who"), word("from"), word("to"));
             let by_whom = word("by");
             let text = if msg == "member" {
-                format!("holds {of} {to}, was {from} ({}, by {by_whom:?})", word("why"))
+                format!(
+                    "holds {of} {to}, was {from} ({}, by {by_whom:?})",
+                    word("why")
+                )
             } else {
                 line.to_string()
             };
             let to = if msg == "member" { to } else { msg };
-            all.push(Belief { at, by, of, from, to, text });
+            all.push(Belief {
+                at,
+                by,
+                of,
+                from,
+                to,
+                text,
+            });
         }
     }
     all.sort_by_key(|b| b.at);
@@ -93,7 +121,10 @@
 pub fn deaths(beliefs: &[Belief], of: usize, since: Duration) -> BTreeMap<usize, Duration> {
     let of = name(of);
     let mut first = BTreeMap::new();
-    for b in beliefs.iter().filter(|b| b.at >= since && b.to == "dead" && b.of == of) {
+    for b in beliefs
+        .iter()
+        .filter(|b| b.at >= since && b.to == "dead" && b.of == of)
+    {
         first.entry(b.by).or_insert(b.at - since);
     }
     first
@@ -101,7 +132,10 @@
 
 /// How often any front changed its mind about any other, since then.
 pub fn swings(beliefs: &[Belief], since: Duration) -> usize {
-    beliefs.iter().filter(|b| b.at >= since && !b.of.is_empty() && !b.from.is_empty()).count()
+    beliefs
+        .iter()
+        .filter(|b| b.at >= since && !b.of.is_empty() && !b.from.is_empty())
+        .count()
 }
 
 /// What a front says of the shared state.
@@ -113,7 +147,9 @@
 pub fn unequal(fleet: &Fleet, urgent: bool) -> Option<String> {
     let mut digests = BTreeMap::new();
     for front in (0..fleet.plan.fronts).filter(|n| fleet.runs(*n) && !fleet.is_older(*n)) {
-        let Some(told) = shared(fleet, front) else { return Some(format!("front {front} does not tell")) };
+        let Some(told) = shared(fleet, front) else {
+            return Some(format!("front {front} does not tell"));
+        };
         let digest = if urgent {
             format!("{} {}", told["roots"][0], told["roots"][1])
         } else {
--- a/crates/fault-injection/src/effects.rs
+++ b/crates/fault-injection/src/effects.rs
@@ -16,7 +16,11 @@
 const PATIENCE: Duration = Duration::from_secs(4);
 const CONNECT: Duration = Duration::from_millis(300);
 /// When a client comes again, after the try before.
-const AGAIN: [Duration; 3] = [Duration::ZERO, Duration::from_secs(1), Duration::from_secs(5)];
+const AGAIN: [Duration; 3] = [
+    Duration::ZERO,
+    Duration::from_secs(1),
+    Duration::from_secs(5),
+];
 
 #[derive(Debug, Default)]
 pub struct Counts {
@@ -45,7 +49,8 @@
             ("unasked", &self.unasked),
             ("twice", &self.twice),
         ];
-        all.map(|(name, count)| format!("{name} {}", count.load(Relaxed))).join(", ")
+        all.map(|(name, count)| format!("{name} {}", count.load(Relaxed)))
+            .join(", ")
     }
 }
 
@@ -79,13 +84,31 @@
         let tasks = Arc::<Mutex<Tasks>>::default();
         let threads = (0..WORKERS)
             .map(|n| {
-                let (counts, over, tasks) = (Arc::clone(&counts), Arc::clone(&over), Arc::clone(&tasks));
+                let (counts, over, tasks) =
+                    (Arc::clone(&counts), Arc::clone(&over), Arc::clone(&tasks));
                 let doors = doors.to_vec();
                 let rng = fastrand::Rng::with_seed(seed ^ n as u64);
-                thread::spawn(move || Worker { n, doors, counts, tasks, over, rng, number: 0 }.run())
+                thread::spawn(move || {
+                    Worker {
+                        n,
+                        doors,
+                        counts,
+                        tasks,
+                        over,
+                        rng,
+                        number: 0,
+                    }
+                    .run()
+                })
             })
             .collect();
-        Effects { counts, tasks, over, threads, marks: 0 }
+        Effects {
+            counts,
+            tasks,
+            over,
+            threads,
+            marks: 0,
+        }
     }
 
     /// So many new marks, spread over that time.
@@ -139,7 +162,10 @@
     fn run(mut self) {
         while !self.over.load(Relaxed) {
             let next = self.tasks.lock().ok().and_then(|mut tasks| {
-                let due = tasks.due.peek().is_some_and(|Reverse((at, ..))| *at <= Instant::now());
+                let due = tasks
+                    .due
+                    .peek()
+                    .is_some_and(|Reverse((at, ..))| *at <= Instant::now());
                 due.then(|| tasks.due.pop()).flatten()
             });
             let Some(Reverse((_, _, mark, tries))) = next else {
@@ -168,18 +194,33 @@
         for _ in 0..10 {
             let at = self.rng.usize(0..self.doors.len());
             // A fresh one each time tells what was asked from what was not.
-            let Ok(mut stream) = TcpStream::connect_timeout(&self.doors[at], CONNECT) else { continue };
+            let Ok(mut stream) = TcpStream::connect_timeout(&self.doors[at], CONNECT) else {
+                continue;
+            };
             let _ = stream.set_nodelay(true);
             let _ = stream.set_read_timeout(Some(PATIENCE));
             self.number += 1;
-            let (txn, unique) = (format!("{:08x}{:08x}", self.n + 1000, self.number), format!("{mark:032x}"));
-            let more =
-                [("txn", txn.as_str()), ("unique", unique.as_str()), ("item", &unique[16..]), ("slice", "0")];
+            let (txn, unique) = (
+                format!("{:08x}{:08x}", self.n + 1000, self.number),
+                format!("{mark:032x}"),
+            );
+            let more = [
+                ("txn", txn.as_str()),
+                ("unique", unique.as_str()),
+                ("item", &unique[16..]),
+                ("slice", "0"),
+            ];
             let request = ask(self.number, "book", &more, b"");
             self.counts.asked.fetch_add(1, Relaxed);
-            let got = stream.write_all(&request).and_then(|()| answer(&mut stream));
+            let got = stream
+                .write_all(&request)
+                .and_then(|()| answer(&mut stream));
             // A front that parts says so first.
-            let got = if matches!(got, Ok((90, ..))) { answer(&mut stream) } else { got };
+            let got = if matches!(got, Ok((90, ..))) {
+                answer(&mut stream)
+            } else {
+                got
+            };
             let count = match got {
                 Ok((ANSWER, of, code)) if of == self.number => match code {
                     0 => &self.counts.served,
@@ -188,7 +229,10 @@
                 },
                 Ok(_) => &self.counts.twice,
                 Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
+                    if matches!(
+                        e.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ) =>
                 {
                     &self.counts.late
                 }
--- a/crates/fault-injection/src/events/check.rs
+++ b/crates/fault-injection/src/events/check.rs
@@ -37,7 +37,9 @@
 
 impl Lags {
     fn add(&mut self, lag: Micros) {
-        let bucket = usize::try_from(lag / MICROS_PER_MILLI).unwrap_or(0).min(LAG_BUCKETS - 1);
+        let bucket = usize::try_from(lag / MICROS_PER_MILLI)
+            .unwrap_or(0)
+            .min(LAG_BUCKETS - 1);
         if bucket >= self.counts.len() {
             self.counts.resize(bucket + 1, 0);
         }
@@ -86,7 +88,12 @@
 
 impl Findings {
     pub fn wrong(&self) -> u64 {
-        self.lost + self.unheard + self.done_untrue + self.done_too_soon + self.unknown + self.unbounded
+        self.lost
+            + self.unheard
+            + self.done_untrue
+            + self.done_too_soon
+            + self.unknown
+            + self.unbounded
     }
 
     pub fn merge(&mut self, other: &Findings) {
@@ -112,8 +119,12 @@
     findings.unknown += life.unknown;
     findings.unbounded += life.unbounded;
     if life.unknown + life.unbounded > 0 {
-        findings
-            .note(|| format!("{name}: {} unknown purges, {} times unbounded", life.unknown, life.unbounded));
+        findings.note(|| {
+            format!(
+                "{name}: {} unknown purges, {} times unbounded",
+                life.unknown, life.unbounded
+            )
+        });
     }
     for (number, purge) in timeline.purges.iter().enumerate() {
         check_purge(name, life, number, purge, timeline, findings);
@@ -148,17 +159,21 @@
     };
     if lacks_with_lease(purge.told + timeline.done_within) {
         findings.unheard += 1;
-        findings.note(|| format!("{name}: purge {number} un-heard, in force {in_force:?}, {purge:?}"));
+        findings
+            .note(|| format!("{name}: purge {number} un-heard, in force {in_force:?}, {purge:?}"));
     }
     let Some(done) = purge.done else { return };
     if lacks_with_lease(done) {
         findings.done_untrue += 1;
-        findings.note(|| format!("{name}: purge {number} was not done, in force {in_force:?}, {purge:?}"));
+        findings.note(|| {
+            format!("{name}: purge {number} was not done, in force {in_force:?}, {purge:?}")
+        });
     }
     let there = life.begun <= done && done < end;
     let lacks = in_force.is_none_or(|at| at > done);
     if there && lacks && !life.leased_at(done) && done - purge.told < timeline.copy_age {
         findings.done_too_soon += 1;
-        findings.note(|| format!("{name}: purge {number} done before copies were too old, {purge:?}"));
+        findings
+            .note(|| format!("{name}: purge {number} done before copies were too old, {purge:?}"));
     }
 }
--- a/crates/fault-injection/src/events/clock.rs
+++ b/crates/fault-injection/src/events/clock.rs
@@ -21,7 +21,9 @@
     /// Unix time as of now.
     pub fn start() -> SharedClock {
         let unix = micros(clock_gettime(ClockId::Realtime));
-        SharedClock { offset: unix - micros(clock_gettime(ClockId::Monotonic)) }
+        SharedClock {
+            offset: unix - micros(clock_gettime(ClockId::Monotonic)),
+        }
     }
 
     pub fn with_offset(offset: Micros) -> SharedClock {
--- a/crates/fault-injection/src/events/costs.rs
+++ b/crates/fault-injection/src/events/costs.rs
@@ -33,11 +33,23 @@
 impl Costs {
     pub fn figures(&self, role: &str) -> [(String, f64); 6] {
         [
-            (format!("{role}, bytes a second sent, with headers"), self.sent_with_headers()),
-            (format!("{role}, bytes a second received, with headers"), self.received_with_headers()),
+            (
+                format!("{role}, bytes a second sent, with headers"),
+                self.sent_with_headers(),
+            ),
+            (
+                format!("{role}, bytes a second received, with headers"),
+                self.received_with_headers(),
+            ),
             (format!("{role}, datagrams a second sent"), self.sent),
-            (format!("{role}, datagrams a second received"), self.received),
-            (format!("{role}, percent of a core"), self.processor_share * 100.0),
+            (
+                format!("{role}, datagrams a second received"),
+                self.received,
+            ),
+            (
+                format!("{role}, percent of a core"),
+                self.processor_share * 100.0,
+            ),
             (format!("{role}, MB resident"), self.resident_bytes / 1e6),
         ]
     }
@@ -62,13 +74,16 @@
     let many = after.subscribers as f64;
     let per_second = |before: u64, after: u64| after.saturating_sub(before) as f64 / seconds / many;
     let (first, last) = (before.traffic, after.traffic);
-    let resident = after.resident_bytes.saturating_sub(after.record_bytes + after.resident_at_first);
+    let resident = after
+        .resident_bytes
+        .saturating_sub(after.record_bytes + after.resident_at_first);
     Costs {
         sent_bytes: per_second(first.sent_bytes, last.sent_bytes),
         received_bytes: per_second(first.received_bytes, last.received_bytes),
         sent: per_second(first.sent, last.sent),
         received: per_second(first.received, last.received),
-        processor_share: per_second(before.processor_micros, after.processor_micros) / SECOND as f64,
+        processor_share: per_second(before.processor_micros, after.processor_micros)
+            / SECOND as f64,
         resident_bytes: resident as f64 / many,
     }
 }
@@ -85,7 +100,8 @@
         received_bytes: per_second(status.received_bytes, status_after.received_bytes),
         sent: per_second(status.sent, status_after.sent),
         received: per_second(status.received, status_after.received),
-        processor_share: per_second(usage.processor_micros, usage_after.processor_micros) / SECOND as f64,
+        processor_share: per_second(usage.processor_micros, usage_after.processor_micros)
+            / SECOND as f64,
         resident_bytes: usage_after.resident_bytes as f64,
     }
 }
--- a/crates/fault-injection/src/events/done.rs
+++ b/crates/fault-injection/src/events/done.rs
@@ -28,7 +28,10 @@
 
 impl DoneWatch {
     pub fn start(socket: PathBuf, clock: SharedClock) -> DoneWatch {
-        let (over, words) = (Arc::new(AtomicBool::new(false)), Arc::<Mutex<Vec<DoneWord>>>::default());
+        let (over, words) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::<Mutex<Vec<DoneWord>>>::default(),
+        );
         let (ended, all) = (Arc::clone(&over), Arc::clone(&words));
         let thread = thread::spawn(move || {
             while !ended.load(Relaxed) {
@@ -42,12 +45,20 @@
                 thread::sleep(DONE_LOOK);
             }
         });
-        DoneWatch { over, words, thread: Some(thread) }
+        DoneWatch {
+            over,
+            words,
+            thread: Some(thread),
+        }
     }
 
     /// How many purges are done by now.
     pub fn done(&self) -> usize {
-        self.words.lock().ok().and_then(|words| words.last().map(|word| word.purges)).unwrap_or(0)
+        self.words
+            .lock()
+            .ok()
+            .and_then(|words| words.last().map(|word| word.purges))
+            .unwrap_or(0)
     }
 
     pub fn end(&mut self) -> Vec<DoneWord> {
@@ -55,7 +66,10 @@
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        self.words.lock().map(|words| words.clone()).unwrap_or_default()
+        self.words
+            .lock()
+            .map(|words| words.clone())
+            .unwrap_or_default()
     }
 }
 
--- a/crates/fault-injection/src/events/faults.rs
+++ b/crates/fault-injection/src/events/faults.rs
@@ -33,7 +33,11 @@
 impl DatagramFaults {
     pub fn new(seed: u64) -> DatagramFaults {
         let rng = fastrand::Rng::with_seed(seed);
-        DatagramFaults { loss: 0.0, cut_off: RelaySet::default(), rng }
+        DatagramFaults {
+            loss: 0.0,
+            cut_off: RelaySet::default(),
+            rng,
+        }
     }
 
     pub fn heal(&mut self) {
--- a/crates/fault-injection/src/events/hollow.rs
+++ b/crates/fault-injection/src/events/hollow.rs
@@ -146,20 +146,26 @@
     pub fn receive_all(&mut self, now: Micros) {
         let mut bytes = [0; DATAGRAM_MOST];
         while self.reads {
-            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { break };
+            let Ok((length, from)) = self.socket.recv_from(&mut bytes) else {
+                break;
+            };
             let relay = self.relay_at(from);
             if !self.faults.passes(relay) {
                 continue;
             }
             self.traffic.received += 1;
             self.traffic.received_bytes += length as u64;
-            self.subscriber.receive(now, &bytes[..length], &mut self.outputs);
+            self.subscriber
+                .receive(now, &bytes[..length], &mut self.outputs);
             self.carry_out(now);
         }
     }
 
     fn relay_at(&self, address: SocketAddr) -> Option<usize> {
-        self.plan.relays.iter().position(|relay| relay.address == address)
+        self.plan
+            .relays
+            .iter()
+            .position(|relay| relay.address == address)
     }
 
     fn carry_out(&mut self, now: Micros) {
@@ -177,7 +183,9 @@
 
     fn apply(&mut self, key: PurgeKey, now: Micros) {
         let number = match key {
-            PurgeKey::Object(object) => Some(number_of(object)).filter(|number| *number < NUMBERS_MOST),
+            PurgeKey::Object(object) => {
+                Some(number_of(object)).filter(|number| *number < NUMBERS_MOST)
+            }
             PurgeKey::Group(_) => None,
         };
         let Some(number) = number.map(|number| number as usize) else {
@@ -225,7 +233,9 @@
     }
 
     fn extend_lease(&mut self, now: Micros) {
-        let Some(left) = self.subscriber.status(now).lease_left else { return };
+        let Some(left) = self.subscriber.status(now).lease_left else {
+            return;
+        };
         let until = match self.sabotage {
             Some(Sabotage::LeaseNeverEnds) => Micros::MAX,
             _ => now + left,
--- a/crates/fault-injection/src/events/protocol.rs
+++ b/crates/fault-injection/src/events/protocol.rs
@@ -46,7 +46,10 @@
             zone: zone_name(zone_of(number)),
             publishes: number == PUBLISHER,
         };
-        Plan::new(self.fleet, self.relays.iter().enumerate().map(relay).collect())
+        Plan::new(
+            self.fleet,
+            self.relays.iter().enumerate().map(relay).collect(),
+        )
     }
 }
 
@@ -56,11 +59,17 @@
     /// Each ends without a word and begins anew, at another port.
     Restart { subscribers: Vec<usize> },
     /// Each does nothing for so long, as under SIGSTOP.
-    Stop { subscribers: Vec<usize>, span_ms: i64 },
+    Stop {
+        subscribers: Vec<usize>,
+        span_ms: i64,
+    },
     /// Each goes on, but reads nothing.
     StopReading { subscribers: Vec<usize> },
     /// Each is cut off from these relays, in both directions.
-    CutOff { subscribers: Vec<usize>, relays: RelaySet },
+    CutOff {
+        subscribers: Vec<usize>,
+        relays: RelaySet,
+    },
     /// All lose this share of their datagrams, in both directions.
     Lose { share: f64 },
     /// All faults end, but for stops that are not over.
@@ -68,12 +77,18 @@
     /// Answered by [`Reply::Report`].
     Report { purges: usize },
     /// Answered by [`Reply::Checked`]. Recording ends with it.
-    Check { timeline: Timeline, marks: Vec<Micros> },
+    Check {
+        timeline: Timeline,
+        marks: Vec<Micros>,
+    },
 }
 
 impl Command {
     pub fn stop(subscribers: Vec<usize>, span: Micros) -> Command {
-        Command::Stop { subscribers, span_ms: span / MILLISECOND }
+        Command::Stop {
+            subscribers,
+            span_ms: span / MILLISECOND,
+        }
     }
 }
 
@@ -156,5 +171,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
     Report(GroupReport),
-    Checked { findings: Findings, returns: Vec<Return> },
+    Checked {
+        findings: Findings,
+        returns: Vec<Return>,
+    },
 }
--- a/crates/fault-injection/src/events/record.rs
+++ b/crates/fault-injection/src/events/record.rs
@@ -51,7 +51,9 @@
         if number >= self.applied.len() {
             self.applied.resize(number + 1, NEVER);
         }
-        let since = u32::try_from(now - self.begun).unwrap_or(NEVER - 1).min(NEVER - 1);
+        let since = u32::try_from(now - self.begun)
+            .unwrap_or(NEVER - 1)
+            .min(NEVER - 1);
         self.applied[number] = self.applied[number].min(since);
     }
 
@@ -87,24 +89,38 @@
     }
 
     pub fn leased_at(&self, moment: Micros) -> bool {
-        self.leases.iter().any(|lease| lease.from <= moment && moment < lease.until)
+        self.leases
+            .iter()
+            .any(|lease| lease.from <= moment && moment < lease.until)
     }
 
     /// When this purge was applied.
     pub fn applied(&self, number: usize) -> Option<Micros> {
-        let since = self.applied.get(number).copied().filter(|since| *since != NEVER)?;
+        let since = self
+            .applied
+            .get(number)
+            .copied()
+            .filter(|since| *since != NEVER)?;
         Some(self.begun + Micros::from(since))
     }
 
     /// From when on no copy from before this purge was served: it was applied, or the floor covers its stamp.
     pub fn in_force(&self, number: usize, stamp: Micros) -> Option<Micros> {
-        let covered = self.floors.iter().find(|(_, floor)| *floor >= stamp).map(|(at, _)| *at);
+        let covered = self
+            .floors
+            .iter()
+            .find(|(_, floor)| *floor >= stamp)
+            .map(|(at, _)| *at);
         [self.applied(number), covered].into_iter().flatten().min()
     }
 
     /// How many of the first so many purges were applied.
     pub fn count_applied(&self, many: usize) -> usize {
-        self.applied.iter().take(many).filter(|since| **since != NEVER).count()
+        self.applied
+            .iter()
+            .take(many)
+            .filter(|since| **since != NEVER)
+            .count()
     }
 
     pub fn bytes(&self) -> usize {
--- a/crates/fault-injection/src/events/relays.rs
+++ b/crates/fault-injection/src/events/relays.rs
@@ -119,12 +119,18 @@
         std::fs::write(&settings, &self.settings)?;
         let log = File::options().create(true).append(true).open(self.log())?;
         let mut command = Command::new(holder);
-        command.arg("hold").arg(std::process::id().to_string()).arg(program);
+        command
+            .arg("hold")
+            .arg(std::process::id().to_string())
+            .arg(program);
         command.args(["relay", "--settings"]).arg(settings);
         if let Some(mutant) = mutant {
             command.env("MEADOWRILL_MUTANT", mutant);
         }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         self.child = Some(command.spawn()?);
         Ok(())
     }
@@ -149,12 +155,17 @@
 
     /// It ended without being told to.
     pub fn crashed(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
     pub fn status(&self) -> Option<RelayStatus> {
         let text = ask(&self.path("sock"), "fleet events json").ok()?;
-        serde_json::from_str(&text).ok().as_ref().and_then(RelayStatus::read)
+        serde_json::from_str(&text)
+            .ok()
+            .as_ref()
+            .and_then(RelayStatus::read)
     }
 
     pub fn usage(&self) -> Option<ProcessUsage> {
@@ -193,7 +204,11 @@
     pub fn of(pid: u32) -> Option<ProcessUsage> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-        let ticks = |field: usize| fields.get(field).and_then(|ticks| ticks.parse::<u64>().ok());
+        let ticks = |field: usize| {
+            fields
+                .get(field)
+                .and_then(|ticks| ticks.parse::<u64>().ok())
+        };
         let micros_per_tick = 1_000_000 / rustix::param::clock_ticks_per_second();
         let memory = std::fs::read_to_string(format!("/proc/{pid}/statm")).ok()?;
         let pages: u64 = memory.split(' ').nth(1)?.parse().ok()?;
@@ -213,7 +228,10 @@
 
 impl ToldPosition {
     fn read(value: &Value) -> Option<ToldPosition> {
-        Some(ToldPosition { epoch: value["epoch"].as_u64()?, position: value["position"].as_u64()? })
+        Some(ToldPosition {
+            epoch: value["epoch"].as_u64()?,
+            position: value["position"].as_u64()?,
+        })
     }
 }
 
@@ -287,8 +305,9 @@
         let events = events_settings(&all, more);
         // The proxies know who sends by the last octet.
         let listen_at = |relay: usize| Ipv4Addr::new(127, high, low, (relay + 1) as u8);
-        let listen: Vec<SocketAddr> =
-            (0..many).map(|relay| SocketAddr::new(listen_at(relay).into(), PORT)).collect();
+        let listen: Vec<SocketAddr> = (0..many)
+            .map(|relay| SocketAddr::new(listen_at(relay).into(), PORT))
+            .collect();
         let process = |(number, relay): (usize, &RelayAddress)| {
             proxies.expect_at(number, listen[number]);
             RelayProcess::new(&RelayPlace {
@@ -303,7 +322,15 @@
             })
         };
         let processes = all.iter().enumerate().map(process).collect();
-        Ok(RelayFleet { journal, proxies, processes, listen, folder, tools, _port: port })
+        Ok(RelayFleet {
+            journal,
+            proxies,
+            processes,
+            listen,
+            folder,
+            tools,
+            _port: port,
+        })
     }
 
     /// Where subscribers reach them: not through the proxies, whose work would be counted with theirs.
@@ -325,7 +352,9 @@
     }
 
     pub fn crashed(&mut self) -> Vec<usize> {
-        (0..self.many()).filter(|relay| self.processes[*relay].crashed()).collect()
+        (0..self.many())
+            .filter(|relay| self.processes[*relay].crashed())
+            .collect()
     }
 
     pub fn status(&self, relay: usize) -> Option<RelayStatus> {
@@ -343,10 +372,15 @@
 
     /// Nothing passes between these relays and all others.
     pub fn cut_off(&self, inside: &[usize]) {
-        let outside: Vec<usize> = (0..self.many()).filter(|relay| !inside.contains(relay)).collect();
+        let outside: Vec<usize> = (0..self.many())
+            .filter(|relay| !inside.contains(relay))
+            .collect();
         for near in inside {
             for far in &outside {
-                let cut = Fault { cut: true, ..Fault::default() };
+                let cut = Fault {
+                    cut: true,
+                    ..Fault::default()
+                };
                 self.proxies.set(*near, *far, cut.clone());
                 self.proxies.set(*far, *near, cut);
             }
@@ -357,7 +391,14 @@
     pub fn lose(&self, share: f64) {
         for from in 0..self.many() {
             for to in (0..self.many()).filter(|to| *to != from) {
-                self.proxies.set(from, to, Fault { loss: share, ..Fault::default() });
+                self.proxies.set(
+                    from,
+                    to,
+                    Fault {
+                        loss: share,
+                        ..Fault::default()
+                    },
+                );
             }
         }
     }
@@ -391,7 +432,9 @@
     let text = ask(socket, "fleet events json").ok()?;
     let told: Value = serde_json::from_str(&text).ok()?;
     let status = RelayStatus::read(&told)?;
-    let done = status.done.filter(|done| done.epoch == status.head.epoch && done.position > 0)?;
+    let done = status
+        .done
+        .filter(|done| done.epoch == status.head.epoch && done.position > 0)?;
     let found = status.purges.checked_sub(status.head.position)?;
     usize::try_from(found + done.position).ok()
 }
--- a/crates/fault-injection/src/events/run.rs
+++ b/crates/fault-injection/src/events/run.rs
@@ -113,9 +113,21 @@
     let mut relays = RelayFleet::new(setup.relays, setup.seed, &setup.relay_settings, tools)?;
     (0..relays.many()).try_for_each(|relay| relays.start(relay))?;
     let begun = clock.now();
-    let groups = Groups::start(&group_plan(&setup, &relays, clock), setup.processes, &setup.holder)?;
+    let groups = Groups::start(
+        &group_plan(&setup, &relays, clock),
+        setup.processes,
+        &setup.holder,
+    )?;
     let rng = fastrand::Rng::with_seed(setup.seed);
-    let mut run = Run { setup, clock, relays, groups, gaps: Vec::new(), marks: Vec::new(), rng };
+    let mut run = Run {
+        setup,
+        clock,
+        relays,
+        groups,
+        gaps: Vec::new(),
+        marks: Vec::new(),
+        rng,
+    };
     run.wait_for_all(0, START_MOST)?;
     let joined_after = clock.now() - begun;
     let mut outcome = run.play()?;
@@ -141,7 +153,11 @@
 /// The name of the fleet as it stands in every message.
 fn fleet_number() -> u64 {
     let nowhere = SocketAddr::new(Ipv4Addr::UNSPECIFIED.into(), 0);
-    MembersPlan { fleet: FLEET.into(), ..MembersPlan::new(nowhere) }.number()
+    MembersPlan {
+        fleet: FLEET.into(),
+        ..MembersPlan::new(nowhere)
+    }
+    .number()
 }
 
 impl Run {
@@ -197,7 +213,11 @@
                 let now = self.clock.now();
                 if some.contains(&PUBLISHER) {
                     let all_gone = some.len() == self.relays.many();
-                    self.gaps.push(PublisherGap { from: now, until: Micros::MAX, all_gone });
+                    self.gaps.push(PublisherGap {
+                        from: now,
+                        until: Micros::MAX,
+                        all_gone,
+                    });
                 }
                 some.iter().for_each(|relay| self.relays.kill(*relay));
             }
@@ -205,9 +225,13 @@
                 if let Some(gap) = self.gaps.last_mut().filter(|_| some.contains(&PUBLISHER)) {
                     gap.until = self.clock.now();
                 }
-                some.iter().try_for_each(|relay| self.relays.start(*relay))?;
+                some.iter()
+                    .try_for_each(|relay| self.relays.start(*relay))?;
             }
-            Action::RestartSubscribers { per_second, seconds } => self.restart_all(*per_second, *seconds)?,
+            Action::RestartSubscribers {
+                per_second,
+                seconds,
+            } => self.restart_all(*per_second, *seconds)?,
             Action::CutZone(zone) => {
                 let subscribers = in_zone(*zone, self.setup.subscribers);
                 self.cut(&in_zone(*zone, self.setup.relays), subscribers)?;
@@ -222,7 +246,8 @@
             }
             Action::StopSubscribers { many, span } => {
                 let subscribers = self.draw_subscribers(*many);
-                self.groups.send(&Command::stop(subscribers, span.as_micros() as Micros))?;
+                self.groups
+                    .send(&Command::stop(subscribers, span.as_micros() as Micros))?;
             }
             Action::StopReading { many } => {
                 let subscribers = self.draw_subscribers(*many);
@@ -249,7 +274,9 @@
         let begun = self.clock.now();
         for turn in 0..per_second * seconds {
             let due = begun + turn as Micros * SECOND / per_second as Micros;
-            thread::sleep(Duration::from_micros((due - self.clock.now()).max(0).unsigned_abs()));
+            thread::sleep(Duration::from_micros(
+                (due - self.clock.now()).max(0).unsigned_abs(),
+            ));
             let subscribers = vec![order[turn % order.len()]];
             self.groups.send(&Command::Restart { subscribers })?;
         }
@@ -259,11 +286,19 @@
     /// Parts these relays and subscribers from all others.
     fn cut(&mut self, relays: &[usize], inside: Vec<usize>) -> io::Result<()> {
         self.relays.cut_off(relays);
-        let outside = (0..self.setup.subscribers).filter(|subscriber| !inside.contains(subscriber)).collect();
+        let outside = (0..self.setup.subscribers)
+            .filter(|subscriber| !inside.contains(subscriber))
+            .collect();
         let far = RelaySet::of((0..self.setup.relays).filter(|relay| !relays.contains(relay)));
-        self.groups.send(&Command::CutOff { subscribers: inside, relays: far })?;
+        self.groups.send(&Command::CutOff {
+            subscribers: inside,
+            relays: far,
+        })?;
         let near = RelaySet::of(relays.iter().copied());
-        self.groups.send(&Command::CutOff { subscribers: outside, relays: near })
+        self.groups.send(&Command::CutOff {
+            subscribers: outside,
+            relays: near,
+        })
     }
 
     fn judge(&mut self, told: &[Micros], words: &[DoneWord]) -> io::Result<Outcome> {
@@ -273,28 +308,58 @@
             word.peek().map(|word| word.at)
         };
         let done: Vec<Option<Micros>> = (0..told.len()).map(done_at).collect();
-        let purges: Vec<PurgeTimes> =
-            told.iter().zip(&done).map(|(told, done)| PurgeTimes { told: *told, done: *done }).collect();
+        let purges: Vec<PurgeTimes> = told
+            .iter()
+            .zip(&done)
+            .map(|(told, done)| PurgeTimes {
+                told: *told,
+                done: *done,
+            })
+            .collect();
         let done = self.done_times(&purges);
         let copy_age = Plan::new(0, Vec::new()).copy_age;
-        let timeline = Timeline { purges, done_within: DONE_WITHIN, copy_age, end: self.clock.now() };
+        let timeline = Timeline {
+            purges,
+            done_within: DONE_WITHIN,
+            copy_age,
+            end: self.clock.now(),
+        };
         let (findings, returns) = self.groups.check(&timeline, &self.marks)?;
-        let texts = self.setup.scenario.steps.iter().map(|step| step.action.text());
-        let steps = texts.zip(returns).map(|(what, returned)| StepOutcome { what, returned }).collect();
-        Ok(Outcome { purges: told.len(), findings, done, steps, ..Outcome::default() })
+        let texts = self
+            .setup
+            .scenario
+            .steps
+            .iter()
+            .map(|step| step.action.text());
+        let steps = texts
+            .zip(returns)
+            .map(|(what, returned)| StepOutcome { what, returned })
+            .collect();
+        Ok(Outcome {
+            purges: told.len(),
+            findings,
+            done,
+            steps,
+            ..Outcome::default()
+        })
     }
 
     fn done_times(&self, purges: &[PurgeTimes]) -> DoneTimes {
-        let mut spans: Vec<Micros> =
-            purges.iter().filter_map(|purge| Some(purge.done? - purge.told)).collect();
+        let mut spans: Vec<Micros> = purges
+            .iter()
+            .filter_map(|purge| Some(purge.done? - purge.told))
+            .collect();
         spans.sort_unstable();
         let quantile = |share: f64| {
             let rank = (spans.len() as f64 * share).ceil() as usize;
             spans.get(rank.saturating_sub(1)).copied().unwrap_or(0)
         };
         let begun = purges.first().map_or(0, |first| first.told);
-        let late: Vec<Micros> =
-            purges.iter().filter(|purge| self.is_late(purge)).map(|purge| purge.told - begun).collect();
+        let late: Vec<Micros> = purges
+            .iter()
+            .filter(|purge| self.is_late(purge))
+            .map(|purge| purge.told - begun)
+            .collect();
         DoneTimes {
             p50: quantile(0.5),
             p99: quantile(0.99),
@@ -309,9 +374,14 @@
 
     fn is_late(&self, purge: &PurgeTimes) -> bool {
         let Some(done) = purge.done else { return false };
-        let in_gap =
-            |gap: &&PublisherGap| purge.told + DONE_WITHIN > gap.from && purge.told < gap.publishes_again();
-        let counts_from = self.gaps.iter().find(in_gap).map_or(purge.told, PublisherGap::publishes_again);
+        let in_gap = |gap: &&PublisherGap| {
+            purge.told + DONE_WITHIN > gap.from && purge.told < gap.publishes_again()
+        };
+        let counts_from = self
+            .gaps
+            .iter()
+            .find(in_gap)
+            .map_or(purge.told, PublisherGap::publishes_again);
         done - counts_from > DONE_WITHIN
     }
 
@@ -319,14 +389,20 @@
         let relays = (0..self.relays.many())
             .map(|relay| Some((self.relays.status(relay)?, self.relays.usage(relay)?)))
             .collect();
-        Ok(Sample { at: self.clock.now(), group: self.groups.report(0)?, relays })
+        Ok(Sample {
+            at: self.clock.now(),
+            group: self.groups.report(0)?,
+            relays,
+        })
     }
 
     fn cost(&self, before: &Sample, after: &Sample, outcome: &mut Outcome) {
         let seconds = (after.at - before.at) as f64 / SECOND as f64;
         outcome.subscriber = subscriber_costs(&before.group, &after.group, seconds);
         for relay in 0..self.relays.many() {
-            let (Some(begin), Some(end)) = (&before.relays[relay], &after.relays[relay]) else { continue };
+            let (Some(begin), Some(end)) = (&before.relays[relay], &after.relays[relay]) else {
+                continue;
+            };
             let costs = relay_costs(begin, end, seconds);
             if relay == PUBLISHER {
                 outcome.publisher = costs;
--- a/crates/fault-injection/src/events/subscribers.rs
+++ b/crates/fault-injection/src/events/subscribers.rs
@@ -70,7 +70,11 @@
 
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
+    let pages: u64 = text
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse().ok())
+        .unwrap_or(0);
     pages * rustix::param::page_size() as u64
 }
 
@@ -118,7 +122,9 @@
 
     fn register(&mut self, index: usize) -> io::Result<()> {
         let socket = &mut self.subscribers[index].socket;
-        self.poll.registry().register(socket, Token(index), Interest::READABLE)
+        self.poll
+            .registry()
+            .register(socket, Token(index), Interest::READABLE)
     }
 
     fn schedule(&mut self, index: usize) {
@@ -132,9 +138,15 @@
     /// Waits for datagrams, commands and the next due time, and takes in what has come.
     fn wait(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
-        let next = self.wakes.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
+        let next = self
+            .wakes
+            .peek()
+            .map_or(Micros::MAX, |Reverse((at, _))| *at);
         let wait = next.saturating_sub(now).clamp(0, LOOK);
-        match self.poll.poll(events, Some(Duration::from_micros(wait.unsigned_abs()))) {
+        match self
+            .poll
+            .poll(events, Some(Duration::from_micros(wait.unsigned_abs())))
+        {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
@@ -155,7 +167,11 @@
     fn tick_due(&mut self) {
         loop {
             let now = self.clock.now();
-            let Some(Reverse((at, index))) = self.wakes.peek().copied().filter(|Reverse((at, _))| *at <= now)
+            let Some(Reverse((at, index))) = self
+                .wakes
+                .peek()
+                .copied()
+                .filter(|Reverse((at, _))| *at <= now)
             else {
                 return;
             };
@@ -183,7 +199,11 @@
     /// Those of the numbers that are held here, by their places.
     fn held(&self, numbers: &[usize]) -> Vec<usize> {
         let own = self.plan.first..self.plan.first + self.plan.many;
-        numbers.iter().filter(|number| own.contains(number)).map(|number| number - self.plan.first).collect()
+        numbers
+            .iter()
+            .filter(|number| own.contains(number))
+            .map(|number| number - self.plan.first)
+            .collect()
     }
 
     fn obey(&mut self, command: Command) -> io::Result<()> {
@@ -193,7 +213,10 @@
                     self.restart(index)?;
                 }
             }
-            Command::Stop { subscribers, span_ms } => {
+            Command::Stop {
+                subscribers,
+                span_ms,
+            } => {
                 let until = self.clock.now() + span_ms * MILLISECOND;
                 for index in self.held(&subscribers) {
                     self.subscribers[index].stopped_until = until;
@@ -204,14 +227,19 @@
                     self.subscribers[index].reads = false;
                 }
             }
-            Command::CutOff { subscribers, relays } => {
+            Command::CutOff {
+                subscribers,
+                relays,
+            } => {
                 for index in self.held(&subscribers) {
                     let faults = &mut self.subscribers[index].faults;
                     faults.cut_off = faults.cut_off.with(relays);
                 }
             }
             Command::Lose { share } => {
-                self.subscribers.iter_mut().for_each(|subscriber| subscriber.faults.loss = share);
+                self.subscribers
+                    .iter_mut()
+                    .for_each(|subscriber| subscriber.faults.loss = share);
             }
             Command::Heal => self.heal(),
             Command::Report { purges } => answer(&Reply::Report(self.report(purges)))?,
@@ -254,10 +282,15 @@
         };
         for subscriber in &self.subscribers {
             report.leased += usize::from(subscriber.leased(now));
-            report.complete += usize::from(subscriber.latest_life().count_applied(purges) == purges);
+            report.complete +=
+                usize::from(subscriber.latest_life().count_applied(purges) == purges);
             report.traffic.add(subscriber.traffic);
             report.unsent += subscriber.unsent;
-            report.record_bytes += subscriber.lives().iter().map(|life| life.bytes() as u64).sum::<u64>();
+            report.record_bytes += subscriber
+                .lives()
+                .iter()
+                .map(|life| life.bytes() as u64)
+                .sum::<u64>();
             for counters in subscriber.counters(now) {
                 report.gaps += counters.gaps;
                 report.snapshots += counters.snapshots;
@@ -283,21 +316,29 @@
     fn returns(&self, marks: &[Micros], end: Micros) -> Vec<Return> {
         let ends = marks.iter().skip(1).copied().chain([end]);
         let spans = marks.iter().copied().zip(ends);
-        spans.map(|(from, until)| self.returned(from, until)).collect()
+        spans
+            .map(|(from, until)| self.returned(from, until))
+            .collect()
     }
 
     fn returned(&self, from: Micros, until: Micros) -> Return {
         let mut without_lease = BTreeSet::new();
         let mut leased_after = 0;
         for (index, subscriber) in self.subscribers.iter().enumerate() {
-            if let Some(at) =
-                subscriber.lives().iter().filter_map(|life| last_return(life, from, until)).max()
+            if let Some(at) = subscriber
+                .lives()
+                .iter()
+                .filter_map(|life| last_return(life, from, until))
+                .max()
             {
                 without_lease.insert(index);
                 leased_after = leased_after.max(at - from);
             }
         }
-        Return { without_lease: without_lease.len() as u64, leased_after }
+        Return {
+            without_lease: without_lease.len() as u64,
+            leased_after,
+        }
     }
 }
 
--- a/crates/fault-injection/src/events/teller.rs
+++ b/crates/fault-injection/src/events/teller.rs
@@ -20,7 +20,10 @@
 
 impl Teller {
     pub fn start(journal: Speaking, per_second: u32, clock: SharedClock) -> Teller {
-        let (over, told) = (Arc::new(AtomicBool::new(false)), Arc::<Mutex<Vec<Micros>>>::default());
+        let (over, told) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::<Mutex<Vec<Micros>>>::default(),
+        );
         let (ended, all) = (Arc::clone(&over), Arc::clone(&told));
         let thread = thread::spawn(move || {
             let begun = clock.now();
@@ -41,7 +44,11 @@
                     .tell(json!({"expire": {"name": format!("{:016x}", object_of(number)), "stamp": stamp}}));
             }
         });
-        Teller { over, told, thread: Some(thread) }
+        Teller {
+            over,
+            told,
+            thread: Some(thread),
+        }
     }
 
     /// When each purge was told.
@@ -50,7 +57,10 @@
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        self.told.lock().map(|told| told.clone()).unwrap_or_default()
+        self.told
+            .lock()
+            .map(|told| told.clone())
+            .unwrap_or_default()
     }
 }
 
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,6 +1,8 @@
 //! Processes of the program, each at an address of its own, with settings written for it.
 
-use crate::events::relays::{events_settings, RelayAddress, RelayPlace, RelayProcess, FLEET, PUBLISHER};
+use crate::events::relays::{
+    events_settings, RelayAddress, RelayPlace, RelayProcess, FLEET, PUBLISHER,
+};
 use crate::relay::{Relays, FRONTS};
 use crate::{name, unix};
 use meadowrill_test_servers::journal::Speaking;
@@ -122,25 +124,42 @@
     /// `program` is the front, `holder` this rig's own tool, which ends what it started when it ends.
     pub fn new(plan: Plan, program: &Path, holder: &Path) -> io::Result<Fleet> {
         if plan.fronts == 0 || plan.fronts + plan.relays > FRONTS {
-            return Err(io::Error::other(format!("{} fronts: 1 to {FRONTS} go", plan.fronts)));
+            return Err(io::Error::other(format!(
+                "{} fronts: 1 to {FRONTS} go",
+                plan.fronts
+            )));
         }
         let port = TcpListener::bind("127.0.0.1:0")?;
         let subnet = port.local_addr()?.port().to_be_bytes();
         let directory = Directory::default();
         let machine = |workers, each, empty| {
-            Service::start(workers, Duration::from_millis(each), SIZE, empty, &directory)
+            Service::start(
+                workers,
+                Duration::from_millis(each),
+                SIZE,
+                empty,
+                &directory,
+            )
         };
         let boxes: Vec<Service> = (0..BOXES).map(|_| machine(8, 2, true)).collect();
         let (parent, origin) = (machine(16, 3, true), machine(16, 3, false));
         if let Ok(mut directory) = directory.lock() {
-            directory.extend([("s-p".into(), parent.address), ("s-o".into(), origin.address)]);
+            directory.extend([
+                ("s-p".into(), parent.address),
+                ("s-o".into(), origin.address),
+            ]);
         }
         let mut fleet = Fleet {
             relays: Relays::start(plan.fronts + plan.relays, plan.seed)?,
             folder: tempfile::tempdir()?,
             subnet,
             fronts: (0..plan.fronts)
-                .map(|_| Front { child: None, moved: false, stopped: false, started: Duration::ZERO })
+                .map(|_| Front {
+                    child: None,
+                    moved: false,
+                    stopped: false,
+                    started: Duration::ZERO,
+                })
                 .collect(),
             program: program.into(),
             holder: holder.into(),
@@ -162,7 +181,9 @@
         if self.plan.relays == 0 {
             return;
         }
-        self.boxes.iter().for_each(|cache| cache.heed_within(HEED_OF_EVENTS));
+        self.boxes
+            .iter()
+            .for_each(|cache| cache.heed_within(HEED_OF_EVENTS));
         let events = self.events_settings();
         for relay in 0..self.plan.relays {
             let member = self.plan.fronts + relay;
@@ -201,7 +222,9 @@
 
     /// The relay of that number among all members.
     fn event_relay(&mut self, member: usize) -> Option<&mut RelayProcess> {
-        member.checked_sub(self.plan.fronts).and_then(|relay| self.event_relays.get_mut(relay))
+        member
+            .checked_sub(self.plan.fronts)
+            .and_then(|relay| self.event_relays.get_mut(relay))
     }
 
     /// Fronts and relays.
@@ -213,7 +236,12 @@
         // Ports from the kernel are 32768 and up, so no other run has the half below.
         let is_moved = self.fronts.get(front).is_some_and(|front| front.moved);
         let moved = if is_moved { 0x80 } else { 0 };
-        Ipv4Addr::new(127, self.subnet[0] ^ moved, self.subnet[1], (front + 1) as u8)
+        Ipv4Addr::new(
+            127,
+            self.subnet[0] ^ moved,
+            self.subnet[1],
+            (front + 1) as u8,
+        )
     }
 
     /// Where clients reach it.
@@ -264,7 +292,11 @@
         if self.event_relays.is_empty() || self.is_older(front) {
             return String::new();
         }
-        format!("  region: \"zone-{}\"\n{}", self.zone(front), self.events_settings())
+        format!(
+            "  region: \"zone-{}\"\n{}",
+            self.zone(front),
+            self.events_settings()
+        )
     }
 
     /// Every second front is of an earlier build, where there is one, which may not know settings of today.
@@ -275,8 +307,10 @@
     /// The front's configuration, as the platform writes it.
     fn config(&self, front: usize) -> String {
         let names = ["s-a", "s-b", "s-c"];
-        let caches: Vec<(&str, SocketAddr)> =
-            names.into_iter().zip(self.boxes.iter().map(|b| b.address)).collect();
+        let caches: Vec<(&str, SocketAddr)> = names
+            .into_iter()
+            .zip(self.boxes.iter().map(|b| b.address))
+            .collect();
         let site = Site {
             caches: &caches,
             parent: self.parent.address,
@@ -301,19 +335,39 @@
         if self.fronts[front].child.is_some() {
             return Ok(());
         }
-        let program = self.plan.older.as_ref().filter(|_| self.is_older(front)).unwrap_or(&self.program);
+        let program = self
+            .plan
+            .older
+            .as_ref()
+            .filter(|_| self.is_older(front))
+            .unwrap_or(&self.program);
         let folder = self.folder.path();
-        let (config, own) = (folder.join(format!("{front}.json")), folder.join(format!("{front}.textproto")));
+        let (config, own) = (
+            folder.join(format!("{front}.json")),
+            folder.join(format!("{front}.textproto")),
+        );
         std::fs::write(&config, self.config(front))?;
         std::fs::write(&own, self.settings(front))?;
-        let log = File::options().create(true).append(true).open(self.log(front))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log(front))?;
         let mut command = Command::new(&self.holder);
-        command.arg("hold").arg(std::process::id().to_string()).arg(program);
-        command.args(["serve", "--settings"]).arg(&own).env("BALANCER_CONFIG", &config);
+        command
+            .arg("hold")
+            .arg(std::process::id().to_string())
+            .arg(program);
+        command
+            .args(["serve", "--settings"])
+            .arg(&own)
+            .env("BALANCER_CONFIG", &config);
         if let Some(mutant) = &self.plan.mutant {
             command.env("MEADOWRILL_MUTANT", mutant);
         }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         let began = unix();
         let child = command.spawn()?;
         let front = &mut self.fronts[front];
@@ -324,7 +378,9 @@
     /// The journal service of the first front (or that of all others as well) tells of something.
     pub fn tell(&self, event: &Value, all: bool) {
         let journals = &self.journals[..if all { 2 } else { 1 }];
-        journals.iter().for_each(|journal| journal.tell(event.clone()));
+        journals
+            .iter()
+            .for_each(|journal| journal.tell(event.clone()));
     }
 
     /// An object is purged now, as the first front alone is told; the relay that publishes alone, where there is one.
@@ -361,7 +417,10 @@
     pub fn drain(&self, cache: usize, all: bool) {
         let id = ["s-a", "s-b", "s-c"][cache % BOXES];
         let machine = member(id, "std", self.boxes[cache % BOXES].address, "DRAINING");
-        self.tell(&json!({"hosts": {"complete": false, "members": [machine]}}), all);
+        self.tell(
+            &json!({"hosts": {"complete": false, "members": [machine]}}),
+            all,
+        );
     }
 
     /// What that cache has answered so far.
@@ -421,7 +480,9 @@
         self.signal(front, Signal::TERM);
         let end = Instant::now() + most;
         while Instant::now() < end {
-            let Some(child) = &mut self.fronts[front].child else { return true };
+            let Some(child) = &mut self.fronts[front].child else {
+                return true;
+            };
             if matches!(child.try_wait(), Ok(Some(_))) {
                 self.fronts[front].child = None;
                 return true;
@@ -434,12 +495,18 @@
 
     pub fn stop(&mut self, front: usize) {
         self.signal(front, Signal::STOP);
-        self.fronts.get_mut(front).into_iter().for_each(|front| front.stopped = true);
+        self.fronts
+            .get_mut(front)
+            .into_iter()
+            .for_each(|front| front.stopped = true);
     }
 
     pub fn go_on(&mut self, front: usize) {
         self.signal(front, Signal::CONT);
-        self.fronts.get_mut(front).into_iter().for_each(|front| front.stopped = false);
+        self.fronts
+            .get_mut(front)
+            .into_iter()
+            .for_each(|front| front.stopped = false);
     }
 
     /// Started and not stopped.
@@ -453,22 +520,39 @@
 
     /// Those that ended without being told to.
     pub fn crashed(&mut self) -> Vec<usize> {
-        let gone = |f: &mut Front| f.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))));
-        (0..self.fronts.len()).filter(|n| gone(&mut self.fronts[*n])).collect()
+        let gone = |f: &mut Front| {
+            f.child
+                .as_mut()
+                .is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
+        };
+        (0..self.fronts.len())
+            .filter(|n| gone(&mut self.fronts[*n]))
+            .collect()
     }
 
     pub fn sight(&self, front: usize) -> Option<Sight> {
         let seen: Value = serde_json::from_str(&self.word(front, "fleet json")?).ok()?;
         let members = seen["members"].as_array()?;
         let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
-        let here =
-            |m: &&Value| ["alive", "joining", "suspected"].contains(&m["state"].as_str().unwrap_or(""));
+        let here = |m: &&Value| {
+            ["alive", "joining", "suspected"].contains(&m["state"].as_str().unwrap_or(""))
+        };
         Some(Sight {
             digest: text(&seen["digest"]),
             state: text(&seen["state"]),
-            here: members.iter().filter(here).map(|m| text(&m["name"])).collect(),
-            states: members.iter().map(|m| (text(&m["name"]), text(&m["state"]))).collect(),
-            starts: members.iter().map(|m| (text(&m["name"]), m["start"].as_u64().unwrap_or(0))).collect(),
+            here: members
+                .iter()
+                .filter(here)
+                .map(|m| text(&m["name"]))
+                .collect(),
+            states: members
+                .iter()
+                .map(|m| (text(&m["name"]), text(&m["state"])))
+                .collect(),
+            starts: members
+                .iter()
+                .map(|m| (text(&m["name"]), m["start"].as_u64().unwrap_or(0)))
+                .collect(),
         })
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -20,5 +20,7 @@
 
 /// Since the Unix epoch, by this machine's clock.
 pub fn unix() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -117,7 +117,9 @@
 }
 
 fn subscribers(plan: &str) -> ExitCode {
-    let held = serde_json::from_str(plan).map_err(std::io::Error::other).and_then(hold_subscribers);
+    let held = serde_json::from_str(plan)
+        .map_err(std::io::Error::other)
+        .and_then(hold_subscribers);
     match held {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -129,13 +131,26 @@
 
 /// Plays one run; what it found goes to standard output.
 fn events(setup: Setup) -> ExitCode {
-    let what = format!("{}, {} subscribers, seed {}", setup.scenario.name, setup.subscribers, setup.seed);
+    let what = format!(
+        "{}, {} subscribers, seed {}",
+        setup.scenario.name, setup.subscribers, setup.seed
+    );
     match play_run(setup) {
         Ok(outcome) => {
             let failures = outcome.failures();
-            println!("{what}: {}", if failures.is_empty() { "held" } else { "did NOT hold" });
+            println!(
+                "{what}: {}",
+                if failures.is_empty() {
+                    "held"
+                } else {
+                    "did NOT hold"
+                }
+            );
             failures.iter().for_each(|failure| println!("  {failure}"));
-            outcome.figures().iter().for_each(|(name, value)| println!("  {name}: {value:.3}"));
+            outcome
+                .figures()
+                .iter()
+                .for_each(|(name, value)| println!("  {name}: {value:.3}"));
             ExitCode::from(u8::from(!failures.is_empty()))
         }
         Err(e) => {
@@ -148,18 +163,31 @@
 /// How many broken builds were not found.
 fn mutants(list: &Path, here: &Path) -> std::io::Result<u32> {
     let mut missed = 0;
-    for line in std::fs::read_to_string(list)?.lines().filter(|line| !line.starts_with('#')) {
+    for line in std::fs::read_to_string(list)?
+        .lines()
+        .filter(|line| !line.starts_with('#'))
+    {
         let (mutant, script) = line.split_once(' ').unwrap_or((line, ""));
         if script == "model" {
-            let told = Command::new(here).arg("model").env("MEADOWRILL_MUTANT", mutant).output()?;
+            let told = Command::new(here)
+                .arg("model")
+                .env("MEADOWRILL_MUTANT", mutant)
+                .output()?;
             let said = String::from_utf8_lossy(&told.stdout).trim().to_string();
             missed += u32::from(told.status.success());
-            let found = if told.status.success() { "NOT found" } else { "found" };
+            let found = if told.status.success() {
+                "NOT found"
+            } else {
+                "found"
+            };
             println!("{mutant}: {found} by {script}: {said}");
             continue;
         }
         let text = std::fs::read_to_string(list.with_file_name(format!("{script}.txt")))?;
-        let tools = Tools { mutant: Some(mutant.into()), ..Tools::beside(here) };
+        let tools = Tools {
+            mutant: Some(mutant.into()),
+            ..Tools::beside(here)
+        };
         match play(&text, &tools) {
             Err(failed) if !failed.text.starts_with('+') => {
                 println!(
@@ -169,7 +197,10 @@
             }
             Err(failed) => {
                 missed += 1;
-                println!("{mutant}: {script} could not be played: {}: {}", failed.text, failed.why);
+                println!(
+                    "{mutant}: {script} could not be played: {}: {}",
+                    failed.text, failed.why
+                );
             }
             Ok(_) => {
                 missed += 1;
@@ -210,24 +241,53 @@
             }
             let mut setup = Setup::new(subscribers, scenario, &here);
             setup.processes = processes.unwrap_or(setup.processes);
-            setup = Setup { relays, purges_per_s: rate, seed, sabotage, mutant, ..setup };
-            setup = Setup { relay_settings: settings, keep, ..setup };
+            setup = Setup {
+                relays,
+                purges_per_s: rate,
+                seed,
+                sabotage,
+                mutant,
+                ..setup
+            };
+            setup = Setup {
+                relay_settings: settings,
+                keep,
+                ..setup
+            };
             return events(setup);
         }
-        What::Play { files, keep, mutant, older } => {
+        What::Play {
+            files,
+            keep,
+            mutant,
+            older,
+        } => {
             for file in files {
                 let stem = file.file_stem().unwrap_or_default().to_os_string();
                 let (keep, mutant, older) = (Some(keep.join(stem)), mutant.clone(), older.clone());
-                let tools = Tools { keep, mutant, older, ..Tools::beside(&here) };
+                let tools = Tools {
+                    keep,
+                    mutant,
+                    older,
+                    ..Tools::beside(&here)
+                };
                 let played = std::fs::read_to_string(&file).map(|text| play(&text, &tools));
                 match played {
                     Ok(Ok(figures)) => {
                         println!("{}: held", file.display());
-                        figures.iter().for_each(|(what, figure)| println!("  {what}: {figure:.3}"));
+                        figures
+                            .iter()
+                            .for_each(|(what, figure)| println!("  {what}: {figure:.3}"));
                     }
                     Ok(Err(failed)) => {
                         bad += 1;
-                        println!("{}, line {}: {}: {}", file.display(), failed.line, failed.text, failed.why);
+                        println!(
+                            "{}, line {}: {}: {}",
+                            file.display(),
+                            failed.line,
+                            failed.text,
+                            failed.why
+                        );
                     }
                     Err(e) => {
                         bad += 1;
@@ -249,16 +309,27 @@
                 println!("{wrong}");
             }
         }
-        What::Draw { seed, runs, fronts, keep } => {
+        What::Draw {
+            seed,
+            runs,
+            fronts,
+            keep,
+        } => {
             for seed in seed..seed + runs {
                 let text = draw(seed, fronts);
-                let tools = Tools { keep: Some(keep.join(seed.to_string())), ..Tools::beside(&here) };
+                let tools = Tools {
+                    keep: Some(keep.join(seed.to_string())),
+                    ..Tools::beside(&here)
+                };
                 let Err(failed) = play(&text, &tools) else {
                     println!("seed {seed}: held");
                     continue;
                 };
                 bad += 1;
-                println!("seed {seed}, line {}: {}: {}", failed.line, failed.text, failed.why);
+                println!(
+                    "seed {seed}, line {}: {}: {}",
+                    failed.line, failed.text, failed.why
+                );
                 let quiet = Tools::beside(&here);
                 let short = shrink(&text, |text| play(text, &quiet).is_err());
                 let at = keep.join(format!("{seed}.txt"));
