--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -96,15 +96,23 @@
             sockets.push(socket);
             listeners.push(listener);
         }
-        let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let addresses = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
         let mut poll = Poll::new()?;
         for (at, socket) in sockets.iter_mut().enumerate() {
-            poll.registry().register(socket, Token(at), Interest::READABLE)?;
+            poll.registry()
+                .register(socket, Token(at), Interest::READABLE)?;
         }
         for (at, listener) in listeners.iter_mut().enumerate() {
-            poll.registry().register(listener, Token(many + at), Interest::READABLE)?;
+            poll.registry()
+                .register(listener, Token(many + at), Interest::READABLE)?;
         }
-        let (shared, over) = (Arc::<Mutex<Shared>>::default(), Arc::new(AtomicBool::new(false)));
+        let (shared, over) = (
+            Arc::<Mutex<Shared>>::default(),
+            Arc::new(AtomicBool::new(false)),
+        );
         let begun = Instant::now();
         let mut wire = Wire {
             sockets,
@@ -121,8 +129,13 @@
             let mut events = Events::with_capacity(256);
             while !ends.load(Relaxed) {
                 let now = Instant::now();
-                let next = wire.due.peek().map(|Reverse((at, ..))| at.saturating_duration_since(now));
-                let wait = next.unwrap_or(Duration::from_millis(20)).min(Duration::from_millis(20));
+                let next = wire
+                    .due
+                    .peek()
+                    .map(|Reverse((at, ..))| at.saturating_duration_since(now));
+                let wait = next
+                    .unwrap_or(Duration::from_millis(20))
+                    .min(Duration::from_millis(20));
                 if poll.poll(&mut events, Some(wait)).is_err() {
                     continue;
                 }
@@ -136,7 +149,12 @@
                 wire.send();
             }
         });
-        Ok(Relays { shared, over, thread: Some(thread), addresses })
+        Ok(Relays {
+            shared,
+            over,
+            thread: Some(thread),
+            addresses,
+        })
     }
 
     /// Where others reach this front.
@@ -165,7 +183,10 @@
 
     /// Counts of the links that carried anything.
     pub fn counts(&self) -> BTreeMap<(usize, usize), Count> {
-        self.shared.lock().map(|shared| shared.counts.clone()).unwrap_or_default()
+        self.shared
+            .lock()
+            .map(|shared| shared.counts.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -218,19 +239,33 @@
     while let Ok((stream, address)) = listener.accept() {
         let Some(from) = front(address) else { continue };
         let home = {
-            let Ok(mut shared) = shared.lock() else { return };
+            let Ok(mut shared) = shared.lock() else {
+                return;
+            };
             shared.counts.entry((from, to)).or_default().streams += 1;
-            let passes = |link| shared.faults.get(&link).is_none_or(|f: &Fault| f.passes(begun));
+            let passes = |link| {
+                shared
+                    .faults
+                    .get(&link)
+                    .is_none_or(|f: &Fault| f.passes(begun))
+            };
             // Where nothing passes it does not come up; whoever opened it finds that out by waiting or, here, sooner.
-            let open = Arc::strong_count(over) < 2 * STREAMS && passes((from, to)) && passes((to, from));
+            let open =
+                Arc::strong_count(over) < 2 * STREAMS && passes((from, to)) && passes((to, from));
             shared.homes.get(&to).copied().filter(|_| open)
         };
         let near = std::net::TcpStream::from(stream);
-        let Some(far) = home.and_then(|home| std::net::TcpStream::connect_timeout(&home, AGAIN).ok()) else {
+        let Some(far) =
+            home.and_then(|home| std::net::TcpStream::connect_timeout(&home, AGAIN).ok())
+        else {
+            continue;
+        };
+        let ready = near
+            .set_nonblocking(false)
+            .and_then(|()| Ok((near.try_clone()?, far.try_clone()?)));
+        let Ok((near_too, far_too)) = ready else {
             continue;
         };
-        let ready = near.set_nonblocking(false).and_then(|()| Ok((near.try_clone()?, far.try_clone()?)));
-        let Ok((near_too, far_too)) = ready else { continue };
         for (link, source, sink) in [((from, to), near, far), ((to, from), far_too, near_too)] {
             let (shared, over) = (Arc::clone(shared), Arc::clone(over));
             thread::spawn(move || pump(link, source, sink, &shared, &over, begun));
@@ -253,7 +288,10 @@
     let mut bytes = [0; 8192];
     let _ = source.set_read_timeout(Some(QUIET));
     while !over.load(Relaxed) {
-        let Ok(fault) = shared.lock().map(|s| s.faults.get(&link).cloned().unwrap_or_default()) else {
+        let Ok(fault) = shared
+            .lock()
+            .map(|s| s.faults.get(&link).cloned().unwrap_or_default())
+        else {
             return;
         };
         if !fault.passes(begun) {
@@ -263,7 +301,14 @@
         let length = match source.read(&mut bytes) {
             Ok(0) => break,
             Ok(length) => length,
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) =>
+            {
+                continue
+            }
             Err(_) => break,
         };
         if fault.reset {
@@ -275,7 +320,8 @@
         if rng.f64() < fault.flipped {
             bytes[rng.usize(0..length)] ^= 1 << rng.u8(0..8);
         }
-        let mut wait = Duration::from_secs_f64((fault.delay_ms + fault.jitter_ms * rng.f64()) / 1e3);
+        let mut wait =
+            Duration::from_secs_f64((fault.delay_ms + fault.jitter_ms * rng.f64()) / 1e3);
         if fault.slow > 0.0 {
             wait += Duration::from_secs_f64(length as f64 / fault.slow);
         }
@@ -299,13 +345,17 @@
     fn read(&mut self, to: usize) {
         let mut bytes = [0; 2048];
         while let Ok((length, address)) = self.sockets[to].recv_from(&mut bytes) {
-            let Some(from) = front(address).filter(|from| *from < self.sockets.len()) else { continue };
+            let Some(from) = front(address).filter(|from| *from < self.sockets.len()) else {
+                continue;
+            };
             self.take(from, to, address, bytes[..length].to_vec());
         }
     }
 
     fn take(&mut self, from: usize, to: usize, address: SocketAddr, mut bytes: Vec<u8>) {
-        let Ok(mut shared) = self.shared.lock() else { return };
+        let Ok(mut shared) = self.shared.lock() else {
+            return;
+        };
         shared.homes.insert(from, address);
         let fault = shared.faults.get(&(from, to)).cloned().unwrap_or_default();
         let count = shared.counts.entry((from, to)).or_default();
@@ -316,7 +366,11 @@
             true
         } else {
             let lost = self.rng.f64() < fault.loss;
-            *burst = if lost { fault.burst.saturating_sub(1) } else { 0 };
+            *burst = if lost {
+                fault.burst.saturating_sub(1)
+            } else {
+                0
+            };
             lost
         };
         if !fault.passes(self.begun) || lost {
@@ -336,23 +390,32 @@
         count.bytes += bytes.len() as u64;
         let many = if self.rng.f64() < fault.doubled { 2 } else { 1 };
         for _ in 0..many {
-            let mut at =
-                now + Duration::from_secs_f64((fault.delay_ms + fault.jitter_ms * self.rng.f64()) / 1e3);
+            let mut at = now
+                + Duration::from_secs_f64(
+                    (fault.delay_ms + fault.jitter_ms * self.rng.f64()) / 1e3,
+                );
             if fault.slow > 0.0 {
                 let busy = self.busy.entry((from, to)).or_insert(now);
                 *busy = (*busy).max(now) + Duration::from_secs_f64(bytes.len() as f64 / fault.slow);
                 at = at.max(*busy);
             }
             self.serial += 1;
-            self.due.push(Reverse((at, self.serial, from, to, bytes.clone())));
+            self.due
+                .push(Reverse((at, self.serial, from, to, bytes.clone())));
         }
     }
 
     fn send(&mut self) {
         let now = Instant::now();
         while self.due.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((_, _, _, to, bytes))) = self.due.pop() else { return };
-            let home = self.shared.lock().ok().and_then(|shared| shared.homes.get(&to).copied());
+            let Some(Reverse((_, _, _, to, bytes))) = self.due.pop() else {
+                return;
+            };
+            let home = self
+                .shared
+                .lock()
+                .ok()
+                .and_then(|shared| shared.homes.get(&to).copied());
             if let Some(home) = home {
                 // One that is not there loses it, as on any network.
                 let _ = self.sockets[to].send_to(&bytes, home);
--- a/crates/fault-injection/src/serving.rs
+++ b/crates/fault-injection/src/serving.rs
@@ -42,7 +42,11 @@
                 thread::spawn(move || client(n, &doors, each, &counts, &over))
             })
             .collect();
-        Clients { counts, over, threads }
+        Clients {
+            counts,
+            over,
+            threads,
+        }
     }
 
     pub fn end(&mut self) {
@@ -70,7 +74,9 @@
                     let _ = open.set_nodelay(true);
                     let _ = open.set_read_timeout(Some(PATIENCE));
                     // Clients take in a front once it says that it is ready: before that it may not know of purges.
-                    let ready = open.write_all(&frame(80, 0, &[0])).and_then(|()| answer(&mut open));
+                    let ready = open
+                        .write_all(&frame(80, 0, &[0]))
+                        .and_then(|()| answer(&mut open));
                     match ready {
                         Ok((81, _, 0)) => stream = Some(open),
                         _ => {
@@ -86,8 +92,16 @@
         };
         number += 1;
         counts.asked.fetch_add(1, Relaxed);
-        let (txn, item) = (format!("{n:08x}{number:08x}"), format!("{:016x}", rng.u64(0..400)));
-        let request = ask(number, "map", &[("txn", &txn), ("item", &item), ("slice", "0")], b"");
+        let (txn, item) = (
+            format!("{n:08x}{number:08x}"),
+            format!("{:016x}", rng.u64(0..400)),
+        );
+        let request = ask(
+            number,
+            "map",
+            &[("txn", &txn), ("item", &item), ("slice", "0")],
+            b"",
+        );
         let got = open.write_all(&request).and_then(|()| answer(open));
         match got {
             Ok((kind, of, code)) if kind == ANSWER && of == number => match code {
@@ -99,7 +113,11 @@
             Ok((90, ..)) => {
                 let rest = answer(open);
                 let good = matches!(rest, Ok((ANSWER, of, _)) if of == number);
-                let count = if good { &counts.satisfied } else { &counts.lost };
+                let count = if good {
+                    &counts.satisfied
+                } else {
+                    &counts.lost
+                };
                 stream = None;
                 at = rng.usize(0..doors.len());
                 count.fetch_add(1, Relaxed)
--- a/crates/fault-injection/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -133,10 +133,22 @@
 
     pub fn start(&mut self, n: usize) {
         let start = self.now as u64;
-        let replica = Replica::new(self.plan.clone(), &name(n), start, self.now, self.seed ^ n as u64);
+        let replica = Replica::new(
+            self.plan.clone(),
+            &name(n),
+            start,
+            self.now,
+            self.seed ^ n as u64,
+        );
         let reached = BTreeMap::new();
-        self.nodes[n] =
-            Node { replica: Some(replica), start, paused: 0, kept: Vec::new(), armed: 0, reached };
+        self.nodes[n] = Node {
+            replica: Some(replica),
+            start,
+            paused: 0,
+            kept: Vec::new(),
+            armed: 0,
+            reached,
+        };
         self.at(self.now, Next::Look(n, start));
         self.arm(n);
     }
@@ -173,7 +185,10 @@
     /// Something that a front itself says.
     pub fn say<T>(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
         let now = self.now;
-        let said = self.nodes[n].replica.as_mut().map(|replica| step(replica, now));
+        let said = self.nodes[n]
+            .replica
+            .as_mut()
+            .map(|replica| step(replica, now));
         self.arm(n);
         said
     }
@@ -183,7 +198,9 @@
     }
 
     fn arm(&mut self, n: usize) {
-        let Some(replica) = &self.nodes[n].replica else { return };
+        let Some(replica) = &self.nodes[n].replica else {
+            return;
+        };
         let at = replica.next().max(self.now + 1);
         if self.nodes[n].armed != at {
             self.nodes[n].armed = at;
@@ -210,7 +227,12 @@
     }
 
     fn post(&mut self, from: usize, to: &str, bytes: Vec<u8>, loss: f64) {
-        let Some(to) = to.strip_prefix("front-").and_then(|n| n.parse::<usize>().ok()) else { return };
+        let Some(to) = to
+            .strip_prefix("front-")
+            .and_then(|n| n.parse::<usize>().ok())
+        else {
+            return;
+        };
         if to < self.many() && self.reaches(from, to) && self.rng.f64() >= loss {
             let at = self.now + DELAY + self.rng.i64(0..JITTER);
             self.at(at, Next::Arrive(to, bytes));
@@ -230,7 +252,11 @@
         self.tokens += 1;
         let (token, start) = (self.tokens, self.nodes[n].start);
         self.open.insert(token, Open { start, key });
-        let terms = Terms { expires: self.now + PATIENCE, budget: BUDGET, window: WINDOW };
+        let terms = Terms {
+            expires: self.now + PATIENCE,
+            budget: BUDGET,
+            window: WINDOW,
+        };
         let name = key.to_be_bytes();
         let has = self.plan.ledger.is_some();
         if has {
@@ -238,14 +264,23 @@
                 replica.ask(now, token, &name, terms, acts);
             });
         } else {
-            self.word(n, Word::Go { token, until: terms.expires, again: false });
+            self.word(
+                n,
+                Word::Go {
+                    token,
+                    until: terms.expires,
+                    again: false,
+                },
+            );
         }
     }
 
     fn word(&mut self, n: usize, word: Word) {
         match word {
             Word::Go { token, .. } => {
-                let Some(open) = self.open.get(&token) else { return self.seen.twice += 1 };
+                let Some(open) = self.open.get(&token) else {
+                    return self.seen.twice += 1;
+                };
                 let start = open.start;
                 let at = self.now + DELAY + self.rng.i64(0..JITTER);
                 self.at(at, Next::Run(n, start, token));
@@ -265,14 +300,24 @@
 
     /// The send is at the origin, whatever became of the front since.
     fn run_at_origin(&mut self, n: usize, start: u64, token: u64) {
-        let Some(key) = self.open.get(&token).map(|open| open.key) else { return };
-        let fresh = self.ran_at.get(&key).is_none_or(|at| self.now > at + WINDOW);
+        let Some(key) = self.open.get(&token).map(|open| open.key) else {
+            return;
+        };
+        let fresh = self
+            .ran_at
+            .get(&key)
+            .is_none_or(|at| self.now > at + WINDOW);
         if fresh {
             self.ran_at.insert(key, self.now);
             *self.seen.runs.entry(key).or_default() += 1;
         }
         let lost = self.rng.f64() < self.answers_lost;
-        let at = self.now + if lost { PATIENCE - 100_000 } else { RUN + DELAY };
+        let at = self.now
+            + if lost {
+                PATIENCE - 100_000
+            } else {
+                RUN + DELAY
+            };
         self.at(at, Next::Ended(n, start, token, !lost));
     }
 
@@ -285,9 +330,22 @@
             let at = self.nodes[n].paused + 1;
             return self.at(at, Next::Ended(n, start, token, good));
         }
-        let end = if good { End::Ran { current: false, body: vec![7; 20] } } else { End::MayHaveRun };
+        let end = if good {
+            End::Ran {
+                current: false,
+                body: vec![7; 20],
+            }
+        } else {
+            End::MayHaveRun
+        };
         self.step(n, |replica, now, acts| replica.end(now, token, end, acts));
-        self.final_word(token, |seen| if good { &mut seen.served } else { &mut seen.failed });
+        self.final_word(token, |seen| {
+            if good {
+                &mut seen.served
+            } else {
+                &mut seen.failed
+            }
+        });
     }
 
     /// What the view of the fleet would say.
@@ -310,7 +368,9 @@
         };
         let peers: Vec<Peer> = self.nodes[n].reached.iter().map(peer).collect();
         let joined = !peers.is_empty() || self.many() == 1;
-        self.step(n, |replica, now, acts| replica.fleet(now, joined, peers, acts));
+        self.step(n, |replica, now, acts| {
+            replica.fleet(now, joined, peers, acts)
+        });
     }
 
     pub fn run(&mut self, span: Micros) {
@@ -331,7 +391,9 @@
                 }
                 look += 20_000;
             }
-            let Some(Reverse((_, _, next))) = self.queue.pop() else { break };
+            let Some(Reverse((_, _, next))) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.take(at, next);
         }
@@ -379,13 +441,21 @@
 
     /// Whether all that run hold the same.
     pub fn equal(&self) -> bool {
-        let mut digests = self.nodes.iter().filter_map(|n| n.replica.as_ref()).map(|r| r.map().digest());
+        let mut digests = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.replica.as_ref())
+            .map(|r| r.map().digest());
         let first = digests.next();
         digests.all(|d| Some(d) == first)
     }
 
     pub fn sent_bytes(&self) -> u64 {
-        self.nodes.iter().filter_map(|n| n.replica.as_ref()).map(|r| r.counts.sent_bytes).sum()
+        self.nodes
+            .iter()
+            .filter_map(|n| n.replica.as_ref())
+            .map(|r| r.counts.sent_bytes)
+            .sum()
     }
 
     /// Whether all that run have caught up and vouch.
@@ -397,30 +467,58 @@
     }
 
     pub fn maps(&self) -> impl Iterator<Item = &Map> {
-        self.nodes.iter().filter_map(|n| n.replica.as_ref()).map(Replica::map)
+        self.nodes
+            .iter()
+            .filter_map(|n| n.replica.as_ref())
+            .map(Replica::map)
     }
 }
 
 /// What the state says has to hold in one process, for broken builds: the first thing that does not.
 pub fn first_wrong(seeds: u64) -> Option<String> {
-    let plan = Plan { ledger: Some(meadowrill_replication::plan::Ledger::default()), ..Plan::default() };
+    let plan = Plan {
+        ledger: Some(meadowrill_replication::plan::Ledger::default()),
+        ..Plan::default()
+    };
     for seed in 0..seeds {
         let mut shared = Shared::new(12, Plan::default(), seed);
         shared.start_all();
         shared.run(5 * SEC);
         let stamp = shared.now;
-        shared.say(3, |replica, now| replica.put_purge(now, Some(seed), 0, stamp));
+        shared.say(3, |replica, now| {
+            replica.put_purge(now, Some(seed), 0, stamp)
+        });
         // The same object again, from another that has not heard yet: the latest stands at all.
-        shared.say(7, |replica, now| replica.put_purge(now, Some(seed), 0, stamp - 5 * SEC));
+        shared.say(7, |replica, now| {
+            replica.put_purge(now, Some(seed), 0, stamp - 5 * SEC)
+        });
         shared.run(SEC / 2);
-        let latest = |m: &Map| m.of_kind(Kind::Purge).all(|(_, e)| e.rank.0 == stamp as u64);
-        if !shared.maps().all(|map| map.of_kind(Kind::Purge).count() == 1 && latest(map)) {
-            return Some(format!("seed {seed}: a purge is not known to all after half a second"));
+        let latest = |m: &Map| {
+            m.of_kind(Kind::Purge)
+                .all(|(_, e)| e.rank.0 == stamp as u64)
+        };
+        if !shared
+            .maps()
+            .all(|map| map.of_kind(Kind::Purge).count() == 1 && latest(map))
+        {
+            return Some(format!(
+                "seed {seed}: a purge is not known to all after half a second"
+            ));
         }
-        let faults = Faults { many: 8, seconds: 30, keys_per_s: 50, kills: true, splits: true, pauses: true };
+        let faults = Faults {
+            many: 8,
+            seconds: 30,
+            keys_per_s: 50,
+            kills: true,
+            splits: true,
+            pauses: true,
+        };
         let mut run = effects(faults, plan.clone(), seed);
         if run.seen.ran_twice() > 0 {
-            return Some(format!("seed {seed}: {} marks ran twice", run.seen.ran_twice()));
+            return Some(format!(
+                "seed {seed}: {} marks ran twice",
+                run.seen.ran_twice()
+            ));
         }
         if run.run_until(run.now + 5 * SEC, Shared::equal).is_none() {
             return Some(format!("seed {seed}: not equal 5 s after the last lookup"));
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -13,7 +13,9 @@
 impl State {
     /// The state with this number on the wire.
     pub fn of(number: u32) -> Option<State> {
-        [State::Alive, State::Suspected, State::Dead, State::Left].get(number as usize).copied()
+        [State::Alive, State::Suspected, State::Dead, State::Left]
+            .get(number as usize)
+            .copied()
     }
 
     /// Its name in logs and tables.
@@ -46,7 +48,11 @@
 impl Claim {
     /// The first claim of a process about itself.
     pub fn alive(start: u64) -> Claim {
-        Claim { start, incarnation: 0, state: State::Alive }
+        Claim {
+            start,
+            incarnation: 0,
+            state: State::Alive,
+        }
     }
 
     /// The same process and incarnation in another state.
@@ -69,7 +75,10 @@
         return None;
     }
     let wrong = heard.state != State::Alive && heard.incarnation >= own.incarnation;
-    wrong.then(|| Claim { incarnation: heard.incarnation.saturating_add(1), ..own })
+    wrong.then(|| Claim {
+        incarnation: heard.incarnation.saturating_add(1),
+        ..own
+    })
 }
 
 /// A claim that supersedes this start, of another process or of one that was forgotten, unless `own` does already.
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -22,7 +22,9 @@
 
 impl Default for Digest {
     fn default() -> Digest {
-        Digest { buckets: [0; BUCKETS] }
+        Digest {
+            buckets: [0; BUCKETS],
+        }
     }
 }
 
@@ -39,12 +41,17 @@
 
     /// Hash over all buckets.
     pub fn root(&self) -> u64 {
-        self.buckets.iter().fold(7, |h, b| (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23))
+        self.buckets.iter().fold(7, |h, b| {
+            (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23)
+        })
     }
 
     /// The buckets, folded to 32 bits each. A difference that this hides is found by another pair of fronts, or after the
     /// next change.
     pub fn bucket_digests(&self) -> Vec<u32> {
-        self.buckets.iter().map(|b| (b ^ (b >> 32)) as u32).collect()
+        self.buckets
+            .iter()
+            .map(|b| (b ^ (b >> 32)) as u32)
+            .collect()
     }
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -73,9 +73,18 @@
 }
 
 /// Encodes a compressed message.
-pub fn write_packed(mark: [u8; 2], version: u8, level: u8, message: &impl Message, into: &mut Vec<u8>) {
+pub fn write_packed(
+    mark: [u8; 2],
+    version: u8,
+    level: u8,
+    message: &impl Message,
+    into: &mut Vec<u8>,
+) {
     head(mark, version, into);
-    into.extend(miniz_oxide::deflate::compress_to_vec(&message.encode_to_vec(), level));
+    into.extend(miniz_oxide::deflate::compress_to_vec(
+        &message.encode_to_vec(),
+        level,
+    ));
     seal(into);
 }
 
@@ -103,7 +112,9 @@
     version: u8,
     bytes: &[u8],
 ) -> Result<M, Dropped> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else { return Err(Dropped::Short) };
+    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
+        return Err(Dropped::Short);
+    };
     let chunk = head[..2] == packed;
     if head[..2] != plain && !chunk {
         return Err(Dropped::Mark);
@@ -114,7 +125,8 @@
     if head[3..] != crc32fast::hash(rest).to_le_bytes() {
         return Err(Dropped::Checksum);
     }
-    let unpacked = chunk.then(|| miniz_oxide::inflate::decompress_to_vec_with_limit(rest, UNPACKED_MOST));
+    let unpacked =
+        chunk.then(|| miniz_oxide::inflate::decompress_to_vec_with_limit(rest, UNPACKED_MOST));
     let unpacked = unpacked.transpose().map_err(|_| Dropped::Garbled)?;
     M::decode(unpacked.as_deref().unwrap_or(rest)).map_err(|_| Dropped::Garbled)
 }
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -31,7 +31,9 @@
 impl Rings {
     /// So many empty rings.
     pub fn new(count: usize) -> Rings {
-        Rings { rings: vec![BTreeSet::new(); count] }
+        Rings {
+            rings: vec![BTreeSet::new(); count],
+        }
     }
 
     /// Adds a member to each ring.
@@ -55,7 +57,11 @@
         for (number, ring) in (0u64..).zip(&self.rings) {
             let position = (hash(name, number), name.to_string());
             let after = ring.range((Bound::Excluded(&position), Bound::Unbounded));
-            walk(after.chain(ring.range(..&position)), &is_unhealthy, &mut observed);
+            walk(
+                after.chain(ring.range(..&position)),
+                &is_unhealthy,
+                &mut observed,
+            );
         }
         observed
     }
@@ -66,7 +72,9 @@
         for (number, ring) in (0u64..).zip(&self.rings) {
             let position = (hash(name, number), name.to_string());
             let before = ring.range(..&position).rev();
-            let after = ring.range((Bound::Excluded(&position), Bound::Unbounded)).rev();
+            let after = ring
+                .range((Bound::Excluded(&position), Bound::Unbounded))
+                .rev();
             walk(before.chain(after), &is_unhealthy, &mut observers);
         }
         observers
--- a/crates/membership/src/rumors.rs
+++ b/crates/membership/src/rumors.rs
@@ -30,7 +30,13 @@
         self.last_number += 1;
         let doublings = usize::BITS - (members + 1).leading_zeros();
         let transmissions_left = TRANSMISSIONS_PER_DOUBLING * doublings;
-        self.queue.insert(self.last_number, Rumor { name: name.to_string(), transmissions_left });
+        self.queue.insert(
+            self.last_number,
+            Rumor {
+                name: name.to_string(),
+                transmissions_left,
+            },
+        );
         self.numbers.insert(name.to_string(), self.last_number);
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -152,7 +152,9 @@
 
     /// All known members but this front, with those that are dead or have left until they are forgotten.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
-        self.members.iter().map(|(name, member)| (name.as_str(), member))
+        self.members
+            .iter()
+            .map(|(name, member)| (name.as_str(), member))
     }
 
     /// The member of that name, if it is known and not this front.
@@ -162,7 +164,11 @@
 
     /// Number of present members, this front included.
     pub fn here(&self) -> usize {
-        self.members.values().filter(|m| m.claim.state.here()).count() + 1
+        self.members
+            .values()
+            .filter(|m| m.claim.state.here())
+            .count()
+            + 1
     }
 
     /// Hash over the present members and their revisions: equal at all fronts whose views agree.
@@ -178,7 +184,10 @@
 
     /// When the membership last changed; none while a member is suspected or this front has not joined.
     pub fn settled_since(&self) -> Option<Micros> {
-        let suspects = self.members.values().any(|m| m.claim.state == State::Suspected);
+        let suspects = self
+            .members
+            .values()
+            .any(|m| m.claim.state == State::Suspected);
         (!suspects && self.joined).then_some(self.membership_changed_at)
     }
 
@@ -199,12 +208,15 @@
 
     /// Whether a departure is complete: enough members have confirmed it, or its deadline has passed.
     pub fn left(&self) -> bool {
-        self.departure.as_ref().is_some_and(|departure| departure.is_complete(self.now))
+        self.departure
+            .as_ref()
+            .is_some_and(|departure| departure.is_complete(self.now))
     }
 
     /// Names of those that probe this member.
     pub fn observers_of(&self, name: &str) -> Vec<&str> {
-        self.rings.observers_of(name, |name| self.is_unhealthy(name))
+        self.rings
+            .observers_of(name, |name| self.is_unhealthy(name))
     }
 
     /// Publishes a value of another module with this front's body, in place of an earlier one of the same kind. False,
@@ -221,7 +233,8 @@
     /// Reports that a stream to this address failed: datagrams are used in its place for a while.
     pub fn unstreamed(&mut self, now: Micros, to: SocketAddr) {
         if self.failed_streams.len() < self.plan.members_most {
-            self.failed_streams.insert(to, now + STREAM_RETRY_PERIODS * self.plan.period);
+            self.failed_streams
+                .insert(to, now + STREAM_RETRY_PERIODS * self.plan.period);
         }
     }
 
@@ -234,9 +247,17 @@
         let timers = [self.maintenance.next_at, self.schedule.next_at].into_iter();
         timers
             .chain(self.probes.values().map(Probe::next_deadline))
-            .chain(self.relayed_probes.values().map(RelayedProbe::next_deadline))
+            .chain(
+                self.relayed_probes
+                    .values()
+                    .map(RelayedProbe::next_deadline),
+            )
             .chain(self.push_at)
-            .chain(self.departure.iter().map(|departure| departure.next_announcement_at))
+            .chain(
+                self.departure
+                    .iter()
+                    .map(|departure| departure.next_announcement_at),
+            )
             .fold(Micros::MAX, Micros::min)
     }
 
@@ -248,7 +269,9 @@
             self.maintenance.next_at = now + self.plan.period;
             return;
         }
-        if let Some(span) = pause_length(due, now, self.plan.period).filter(|_| self.plan.own_health) {
+        if let Some(span) =
+            pause_length(due, now, self.plan.period).filter(|_| self.plan.own_health)
+        {
             self.recover_from_pause(span, out);
         }
         self.process_probe_deadlines(out);
@@ -261,7 +284,11 @@
         if self.push_at.is_some_and(|at| now >= at) {
             self.push_rumors(out);
         }
-        if self.departure.as_ref().is_some_and(|departure| now >= departure.next_announcement_at) {
+        if self
+            .departure
+            .as_ref()
+            .is_some_and(|departure| now >= departure.next_announcement_at)
+        {
             self.announce_departure(out);
         }
     }
@@ -273,7 +300,11 @@
         if !mutant("trusts-itself") {
             self.probes.clear();
             self.relayed_probes.clear();
-            for suspicion in self.members.values_mut().filter_map(|member| member.suspicion.as_mut()) {
+            for suspicion in self
+                .members
+                .values_mut()
+                .filter_map(|member| member.suspicion.as_mut())
+            {
                 suspicion.by.remove(&self.own.name);
                 suspicion.since = self.now;
             }
@@ -285,7 +316,9 @@
 
     /// Whether a known member is not alive; false for unknown names and for this front.
     fn is_unhealthy(&self, name: &str) -> bool {
-        self.members.get(name).is_some_and(|member| !member.is_alive())
+        self.members
+            .get(name)
+            .is_some_and(|member| !member.is_alive())
     }
 
     fn next_sequence(&mut self) -> u64 {
@@ -296,13 +329,18 @@
     /// Adds a present member's claim and revision to the digest, or removes them if they are in it: to be called
     /// before and after each change of either.
     fn toggle_digest(&mut self, name: &str) {
-        if let Some(member) = self.members.get(name).filter(|member| member.claim.state.here()) {
+        if let Some(member) = self
+            .members
+            .get(name)
+            .filter(|member| member.claim.state.here())
+        {
             self.digest.toggle(name, &member.claim, member.rev);
         }
     }
 
     /// The same for this front, whatever its state.
     fn toggle_own_digest(&mut self) {
-        self.digest.toggle(&self.own.name, &self.own.claim, self.own.revision);
+        self.digest
+            .toggle(&self.own.name, &self.own.claim, self.own.revision);
     }
 }
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -14,7 +14,12 @@
 
 impl View {
     /// The digest of another front's whole view.
-    pub(super) fn receive_root_digest(&mut self, sender: Recipient, root: RootDigest, out: &mut Vec<Act>) {
+    pub(super) fn receive_root_digest(
+        &mut self,
+        sender: Recipient,
+        root: RootDigest,
+        out: &mut Vec<Act>,
+    ) {
         if root.digest == self.digest.root() {
             return self.mark_joined(out);
         }
@@ -26,16 +31,27 @@
             self.bootstrap(sender, root.count as usize, out);
         } else {
             let digests = self.digest.bucket_digests();
-            self.send(sender, Some(Said::BucketDigests(BucketDigests { digests })), out);
+            self.send(
+                sender,
+                Some(Said::BucketDigests(BucketDigests { digests })),
+                out,
+            );
         }
     }
 
     /// Sends records of random members to a front that knows few. It learns of others from those, so that a few contacts
     /// need not send the whole view to all that join.
     fn bootstrap(&mut self, to: Recipient, known: usize, out: &mut Vec<Act>) {
-        let count =
-            if self.can_stream(to.address) { BOOTSTRAP_RECORDS.max(known) } else { BOOTSTRAP_RECORDS };
-        let names = self.random_peers(count, to.name).into_iter().map(|peer| peer.name).collect();
+        let count = if self.can_stream(to.address) {
+            BOOTSTRAP_RECORDS.max(known)
+        } else {
+            BOOTSTRAP_RECORDS
+        };
+        let names = self
+            .random_peers(count, to.name)
+            .into_iter()
+            .map(|peer| peer.name)
+            .collect();
         self.send_records(to, names, out);
     }
 
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -27,7 +27,11 @@
 impl SendBudget {
     /// A full bucket.
     pub fn new(bytes_per_s: u64, now: Micros) -> SendBudget {
-        let mut budget = SendBudget { bytes_per_s, available: 0.0, refilled_at: now };
+        let mut budget = SendBudget {
+            bytes_per_s,
+            available: 0.0,
+            refilled_at: now,
+        };
         budget.available = budget.capacity();
         budget
     }
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -45,7 +45,11 @@
         self.toggle_own_digest();
         self.own.claim = self.own.claim.with(State::Left);
         let deadline = now + MAX_WAIT_PERIODS * self.plan.period;
-        let departure = Departure { deadline, next_announcement_at: now, confirmed: BTreeSet::new() };
+        let departure = Departure {
+            deadline,
+            next_announcement_at: now,
+            confirmed: BTreeSet::new(),
+        };
         self.departure = Some(departure);
         self.announce_departure(out);
     }
@@ -53,15 +57,21 @@
     /// Tells random members, or reports the end where the departure is complete.
     pub(super) fn announce_departure(&mut self, out: &mut Vec<Act>) {
         let now = self.now;
-        let Some(departure) = &mut self.departure else { return };
+        let Some(departure) = &mut self.departure else {
+            return;
+        };
         if departure.is_complete(now) {
             departure.next_announcement_at = Micros::MAX;
-            out.push(Act::Tell(Change::Gone { confirmed: departure.confirmed.len() }));
+            out.push(Act::Tell(Change::Gone {
+                confirmed: departure.confirmed.len(),
+            }));
             return;
         }
         departure.next_announcement_at = now + self.plan.period / ANNOUNCEMENT_DIVISOR;
         for peer in self.unconfirmed_peers() {
-            let announcement = Seq { seq: ANNOUNCEMENT_SEQUENCE };
+            let announcement = Seq {
+                seq: ANNOUNCEMENT_SEQUENCE,
+            };
             self.send(peer.recipient(), Some(Said::Leaving(announcement)), out);
         }
     }
@@ -90,10 +100,25 @@
         sequence: u64,
         out: &mut Vec<Act>,
     ) {
-        let body = Body { address, ..Body::default() };
-        let published = PublishedBody { body, ..PublishedBody::default() };
+        let body = Body {
+            address,
+            ..Body::default()
+        };
+        let published = PublishedBody {
+            body,
+            ..PublishedBody::default()
+        };
         // Where there is no room for another member there is nothing to forget either.
-        let _ = self.learn(Report { name: sender.name, claim, by: "", why: Why::Said }, published, out);
+        let _ = self.learn(
+            Report {
+                name: sender.name,
+                claim,
+                by: "",
+                why: Why::Said,
+            },
+            published,
+            out,
+        );
         self.send(sender, Some(Said::Confirmed(Seq { seq: sequence })), out);
     }
 }
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -36,7 +36,10 @@
     /// What came by anti-entropy is spread by it as well, but for returns; and of a member without a published body
     /// there is nothing to spread yet.
     fn is_spread(&self, report: Report, former: Option<Claim>) -> bool {
-        let has_body = self.members.get(report.name).is_some_and(|m| !m.encoded_body.is_empty());
+        let has_body = self
+            .members
+            .get(report.name)
+            .is_some_and(|m| !m.encoded_body.is_empty());
         let is_bare = report.claim.state == State::Alive && !has_body;
         (report.why != Why::Caught && !is_bare) || has_returned(former)
     }
--- a/crates/membership/src/view/forgotten.rs
+++ b/crates/membership/src/view/forgotten.rs
@@ -21,7 +21,10 @@
 
 impl ForgottenMembers {
     pub fn new(members_most: usize) -> ForgottenMembers {
-        ForgottenMembers { tombstones: BTreeMap::new(), capacity: CAPACITY_FACTOR * members_most }
+        ForgottenMembers {
+            tombstones: BTreeMap::new(),
+            capacity: CAPACITY_FACTOR * members_most,
+        }
     }
 
     /// The start of the process that was forgotten under this name.
@@ -31,11 +34,18 @@
 
     /// Whether this process, or a later one of its name, was forgotten.
     pub fn covers(&self, name: &str, start: u64) -> bool {
-        self.start_of(name).is_some_and(|forgotten| start <= forgotten)
+        self.start_of(name)
+            .is_some_and(|forgotten| start <= forgotten)
     }
 
     pub fn insert(&mut self, name: &str, start: u64, now: Micros) {
-        self.tombstones.insert(name.into(), Tombstone { start, forgotten_at: now });
+        self.tombstones.insert(
+            name.into(),
+            Tombstone {
+                start,
+                forgotten_at: now,
+            },
+        );
     }
 
     pub fn remove(&mut self, name: &str) {
@@ -45,8 +55,13 @@
     /// Drops the oldest ones above the capacity.
     pub fn drop_oldest(&mut self) {
         while self.tombstones.len() > self.capacity {
-            let oldest = self.tombstones.iter().min_by_key(|(_, tombstone)| tombstone.forgotten_at);
-            let Some(name) = oldest.map(|(name, _)| name.clone()) else { return };
+            let oldest = self
+                .tombstones
+                .iter()
+                .min_by_key(|(_, tombstone)| tombstone.forgotten_at);
+            let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+                return;
+            };
             self.tombstones.remove(&name);
         }
     }
--- a/crates/membership/src/view/inventory.rs
+++ b/crates/membership/src/view/inventory.rs
@@ -22,7 +22,10 @@
 
 impl BucketItems {
     fn encoded_length(&self) -> usize {
-        self.items.iter().map(|item| prost::Message::encoded_len(item) + ITEM_OVERHEAD).sum()
+        self.items
+            .iter()
+            .map(|item| prost::Message::encoded_len(item) + ITEM_OVERHEAD)
+            .sum()
     }
 
     fn append_to(self, inventory: &mut Inventory) {
@@ -42,7 +45,12 @@
 
 impl View {
     /// Another front's bucket digests: replies with an inventory of the buckets that differ.
-    pub(super) fn receive_bucket_digests(&mut self, sender: Recipient, digests: &[u32], out: &mut Vec<Act>) {
+    pub(super) fn receive_bucket_digests(
+        &mut self,
+        sender: Recipient,
+        digests: &[u32],
+        out: &mut Vec<Act>,
+    ) {
         let differing = self.differing_buckets(digests);
         if differing.is_empty() {
             return self.mark_joined(out);
@@ -78,8 +86,10 @@
                 list.push(member.record(name, &self.own.name));
             }
         }
-        let take =
-            |bucket: &usize| BucketItems { bucket: *bucket, items: items.remove(bucket).unwrap_or_default() };
+        let take = |bucket: &usize| BucketItems {
+            bucket: *bucket,
+            items: items.remove(bucket).unwrap_or_default(),
+        };
         buckets.iter().map(take).collect()
     }
 
@@ -109,7 +119,11 @@
                 if !self.may_send_deferrable() {
                     return;
                 }
-                self.send(to, Some(Said::Inventory(std::mem::take(&mut inventory))), out);
+                self.send(
+                    to,
+                    Some(Said::Inventory(std::mem::take(&mut inventory))),
+                    out,
+                );
             }
             if length <= DATAGRAM_ROOM {
                 bucket.append_to(&mut inventory);
@@ -124,12 +138,20 @@
 
     /// Sends a bucket that is too large for one datagram; none of its parts claims to be complete. False where the
     /// budget did not allow all of them.
-    fn send_bucket_in_parts(&mut self, to: Recipient, bucket: &BucketItems, out: &mut Vec<Act>) -> bool {
+    fn send_bucket_in_parts(
+        &mut self,
+        to: Recipient,
+        bucket: &BucketItems,
+        out: &mut Vec<Act>,
+    ) -> bool {
         for items in bucket.items.chunks(ITEMS_PER_DATAGRAM) {
             if !self.may_send_deferrable() {
                 return false;
             }
-            let part = Inventory { buckets: Vec::new(), items: items.to_vec() };
+            let part = Inventory {
+                buckets: Vec::new(),
+                items: items.to_vec(),
+            };
             self.send(to, Some(Said::Inventory(part)), out);
         }
         true
@@ -137,8 +159,17 @@
 
     /// Another front's inventory: takes in its claims, requests records that are newer there, and sends those that are
     /// newer here.
-    pub(super) fn receive_inventory(&mut self, sender: Recipient, inventory: Inventory, out: &mut Vec<Act>) {
-        let listed: BTreeSet<String> = inventory.items.iter().map(|item| item.name.clone()).collect();
+    pub(super) fn receive_inventory(
+        &mut self,
+        sender: Recipient,
+        inventory: Inventory,
+        out: &mut Vec<Act>,
+    ) {
+        let listed: BTreeSet<String> = inventory
+            .items
+            .iter()
+            .map(|item| item.name.clone())
+            .collect();
         let mut difference = Difference::default();
         for item in inventory.items {
             let Some(claim) = item.claim() else { continue };
@@ -148,8 +179,14 @@
                 self.compare_item(item, claim, &mut difference, out);
             }
         }
-        let complete: BTreeSet<usize> = inventory.buckets.iter().map(|bucket| *bucket as usize).collect();
-        difference.newer.extend(self.missing_names(&complete, &listed));
+        let complete: BTreeSet<usize> = inventory
+            .buckets
+            .iter()
+            .map(|bucket| *bucket as usize)
+            .collect();
+        difference
+            .newer
+            .extend(self.missing_names(&complete, &listed));
         if self.request_records(sender, difference.wanted, out) {
             self.send_records(sender, difference.newer, out);
         }
@@ -162,7 +199,11 @@
         difference: &mut Difference,
         out: &mut Vec<Act>,
     ) {
-        let own = (self.own.claim.start, self.own.claim.incarnation, self.own.revision);
+        let own = (
+            self.own.claim.start,
+            self.own.claim.incarnation,
+            self.own.revision,
+        );
         let is_outdated = own > (claim.start, claim.incarnation, item.rev);
         let name = item.name.clone();
         self.receive_record(item, Why::Caught, out);
@@ -171,7 +212,13 @@
         }
     }
 
-    fn compare_item(&mut self, item: Record, claim: Claim, difference: &mut Difference, out: &mut Vec<Act>) {
+    fn compare_item(
+        &mut self,
+        item: Record,
+        claim: Claim,
+        difference: &mut Difference,
+        out: &mut Vec<Act>,
+    ) {
         let Some(member) = self.members.get(&item.name) else {
             if !self.forgotten.covers(&item.name, item.start) {
                 difference.wanted.push(item.name);
@@ -201,6 +248,10 @@
         let is_missing = |name: &String| complete.contains(&bucket(name)) && !listed.contains(name);
         let present = |(_, member): &(&String, &Member)| member.claim.state.here();
         let members = self.members.iter().filter(present).map(|(name, _)| name);
-        members.chain([&self.own.name]).filter(|name| is_missing(name)).cloned().collect()
+        members
+            .chain([&self.own.name])
+            .filter(|name| is_missing(name))
+            .cloned()
+            .collect()
     }
 }
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -24,7 +24,10 @@
 
 impl MaintenanceTimer {
     pub fn new(now: Micros) -> MaintenanceTimer {
-        MaintenanceTimer { next_at: now, check: 0 }
+        MaintenanceTimer {
+            next_at: now,
+            check: 0,
+        }
     }
 
     /// Whether the work of a whole period is due at this check.
@@ -54,14 +57,18 @@
     /// More exchanges while this front joins or the membership changes. One that there is no budget to go on with would
     /// be wasted, and take more of it from the next.
     fn wants_extra_exchange(&self) -> bool {
-        let is_unsettled = self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.plan.period;
+        let is_unsettled =
+            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.plan.period;
         (!self.joined || is_unsettled) && self.budget.has_share(ESSENTIAL_SHARE)
     }
 
     /// Sends the digest of the view to a random member; the two exchange more where theirs differ.
     fn begin_exchange(&mut self, out: &mut Vec<Act>) {
         for peer in self.random_peers(1, "") {
-            let root = RootDigest { digest: self.digest.root(), count: self.here() as u64 };
+            let root = RootDigest {
+                digest: self.digest.root(),
+                count: self.here() as u64,
+            };
             self.send(peer.recipient(), Some(Said::RootDigest(root)), out);
         }
     }
@@ -85,7 +92,11 @@
     }
 
     fn forget_member(&mut self, name: String, out: &mut Vec<Act>) {
-        if let Some(member) = self.members.remove(&name).filter(|_| !mutant("forgets-whole")) {
+        if let Some(member) = self
+            .members
+            .remove(&name)
+            .filter(|_| !mutant("forgets-whole"))
+        {
             self.forgotten.insert(&name, member.claim.start, self.now);
         }
         self.rumors.remove(&name);
@@ -101,14 +112,20 @@
     fn ping_dead_member(&mut self, out: &mut Vec<Act>) {
         let dead = |(name, member): (&String, &super::Member)| {
             let is_dead = member.claim.state == State::Dead;
-            member.address().filter(|_| is_dead).map(|address| Peer { name: name.clone(), address })
+            member.address().filter(|_| is_dead).map(|address| Peer {
+                name: name.clone(),
+                address,
+            })
         };
         let dead: Vec<Peer> = self.members.iter().filter_map(dead).collect();
         if dead.is_empty() {
             return;
         }
         let peer = &dead[self.rng.usize(0..dead.len())];
-        let ping = Ping { seq: NO_PROBE, to: peer.name.clone() };
+        let ping = Ping {
+            seq: NO_PROBE,
+            to: peer.name.clone(),
+        };
         self.send(peer.recipient(), Some(Said::Ping(ping)), out);
     }
 
@@ -116,13 +133,20 @@
     fn ping_unknown_contacts(&mut self, out: &mut Vec<Act>) {
         let is_unknown = |address: &SocketAddr| {
             let text = address.to_string();
-            !self.members.values().any(|m| m.claim.state.here() && m.body.address == text)
+            !self
+                .members
+                .values()
+                .any(|m| m.claim.state.here() && m.body.address == text)
         };
         let contacts = self.plan.contacts.iter().copied();
-        let unknown: Vec<SocketAddr> =
-            contacts.filter(|to| *to != self.plan.advertise && is_unknown(to)).collect();
+        let unknown: Vec<SocketAddr> = contacts
+            .filter(|to| *to != self.plan.advertise && is_unknown(to))
+            .collect();
         for address in unknown {
-            let ping = Ping { seq: NO_PROBE, to: String::new() };
+            let ping = Ping {
+                seq: NO_PROBE,
+                to: String::new(),
+            };
             self.send(Recipient { name: "", address }, Some(Said::Ping(ping)), out);
         }
     }
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -17,7 +17,10 @@
 
 impl Suspicion {
     pub(super) fn new(now: Micros) -> Suspicion {
-        Suspicion { since: now, by: BTreeSet::new() }
+        Suspicion {
+            since: now,
+            by: BTreeSet::new(),
+        }
     }
 }
 
@@ -92,15 +95,26 @@
 
     /// The same with the body of a member that is present.
     pub(super) fn record_with_body(&self, name: &str, preferred_accuser: &str) -> Record {
-        let body = if self.claim.state.here() { self.encoded_body.clone() } else { Vec::new() };
-        Record { body, ..self.record(name, preferred_accuser) }
+        let body = if self.claim.state.here() {
+            self.encoded_body.clone()
+        } else {
+            Vec::new()
+        };
+        Record {
+            body,
+            ..self.record(name, preferred_accuser)
+        }
     }
 
     /// Who is named for a suspicion or a death: of several accusers the preferred one, if it is among them.
     fn accuser(&self, preferred: &str) -> String {
         match (&self.suspicion, self.claim.state) {
-            (Some(suspicion), State::Suspected) if suspicion.by.contains(preferred) => preferred.to_string(),
-            (Some(suspicion), State::Suspected) => suspicion.by.first().cloned().unwrap_or_default(),
+            (Some(suspicion), State::Suspected) if suspicion.by.contains(preferred) => {
+                preferred.to_string()
+            }
+            (Some(suspicion), State::Suspected) => {
+                suspicion.by.first().cloned().unwrap_or_default()
+            }
             (_, State::Dead) => self.by.clone(),
             _ => String::new(),
         }
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -36,23 +36,45 @@
 
     fn receive_record_about_self(&mut self, record: Record, out: &mut Vec<Act>) {
         if record.start > self.own.claim.start {
-            let body = wire::body(&record.body).filter(|_| !record.body.is_empty()).unwrap_or_default();
+            let body = wire::body(&record.body)
+                .filter(|_| !record.body.is_empty())
+                .unwrap_or_default();
             self.resolve_name_conflict(record.start, body.nonce, &body.address, out);
             return;
         }
         let (start, incarnation, state) = (record.start, record.incarnation, record.state);
-        let claim = You { start, incarnation, state, forgotten: false };
+        let claim = You {
+            start,
+            incarnation,
+            state,
+            forgotten: false,
+        };
         self.receive_claim_about_self(claim, &record.by, out);
     }
 
-    fn receive_record_about_member(&mut self, record: Record, claim: Claim, why: Why, out: &mut Vec<Act>) {
+    fn receive_record_about_member(
+        &mut self,
+        record: Record,
+        claim: Claim,
+        why: Why,
+        out: &mut Vec<Act>,
+    ) {
         let published = PublishedBody {
-            revision: if record.body.is_empty() { 0 } else { record.rev },
+            revision: if record.body.is_empty() {
+                0
+            } else {
+                record.rev
+            },
             body: wire::body(&record.body).unwrap_or_default(),
             encoded: record.body,
         };
         let known = self.members.get(&record.name);
-        let report = Report { name: &record.name, claim, by: &record.by, why };
+        let report = Report {
+            name: &record.name,
+            claim,
+            by: &record.by,
+            why,
+        };
         match claim.state {
             State::Suspected => {
                 if known.is_none() {
@@ -61,7 +83,14 @@
                 self.suspect(report, out);
             }
             State::Dead if known.is_some_and(|member| self.is_death_doubtful(member, report)) => {
-                self.suspect(Report { claim: claim.with(State::Suspected), by: "", ..report }, out);
+                self.suspect(
+                    Report {
+                        claim: claim.with(State::Suspected),
+                        by: "",
+                        ..report
+                    },
+                    out,
+                );
                 // The member itself is to refute it.
                 self.probe(report.name, out);
             }
@@ -73,15 +102,20 @@
     /// recently, or the report is old and this front has not suspected it for long.
     fn is_death_doubtful(&self, member: &Member, report: Report) -> bool {
         let known = member.claim;
-        if !report.claim.overrules(&known) || !known.state.here() || report.claim.start != known.start {
+        if !report.claim.overrules(&known)
+            || !known.state.here()
+            || report.claim.start != known.start
+        {
             return false;
         }
         let period = self.plan.period;
         let recent = RECENT_ANSWER_PERIODS * period as f64;
-        let has_answered = member.acknowledged_at.is_some_and(|at| ((self.now - at) as f64) < recent);
+        let has_answered = member
+            .acknowledged_at
+            .is_some_and(|at| ((self.now - at) as f64) < recent);
         let is_rumor = report.why == Why::Heard;
-        let long_suspected =
-            known.state == State::Suspected && self.now - member.since >= OLD_SUSPICION_PERIODS * period;
+        let long_suspected = known.state == State::Suspected
+            && self.now - member.since >= OLD_SUSPICION_PERIODS * period;
         has_answered || !(is_rumor || long_suspected)
     }
 
@@ -106,7 +140,11 @@
             self.reset_for_new_process(report.name, &published);
         }
         self.update_body(report, published, out);
-        if self.members.get(report.name).is_some_and(|member| report.claim.overrules(&member.claim)) {
+        if self
+            .members
+            .get(report.name)
+            .is_some_and(|member| report.claim.overrules(&member.claim))
+        {
             self.apply_claim(report, out);
         }
         Ok(())
@@ -118,7 +156,12 @@
         published: PublishedBody,
         out: &mut Vec<Act>,
     ) -> Result<(), Dropped> {
-        let Report { name, claim, by, why } = report;
+        let Report {
+            name,
+            claim,
+            by,
+            why,
+        } = report;
         if self.members.len() + 1 >= self.plan.members_most || name.len() > TEXT_MOST {
             return Err(Dropped::Full);
         }
@@ -153,8 +196,12 @@
     /// Takes a later revision of a member's body; and one without revision, which holds only its address, where that
     /// is not known yet.
     fn update_body(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Act>) {
-        let Report { name, claim, why, .. } = report;
-        let Some(member) = self.members.get(name) else { return };
+        let Report {
+            name, claim, why, ..
+        } = report;
+        let Some(member) = self.members.get(name) else {
+            return;
+        };
         let is_address = published.revision == 0 && member.body.address.is_empty();
         if claim.start < member.claim.start || !(published.revision > member.rev || is_address) {
             return;
@@ -187,8 +234,12 @@
 
     /// Replaces the claim about a known member.
     pub(super) fn apply_claim(&mut self, report: Report, out: &mut Vec<Act>) {
-        let Report { name, claim, by, .. } = report;
-        let Some(former) = self.members.get(name).map(|member| member.claim) else { return };
+        let Report {
+            name, claim, by, ..
+        } = report;
+        let Some(former) = self.members.get(name).map(|member| member.claim) else {
+            return;
+        };
         self.toggle_digest(name);
         self.replace_claim(name, claim, by);
         self.toggle_digest(name);
@@ -205,7 +256,9 @@
 
     fn replace_claim(&mut self, name: &str, claim: Claim, by: &str) {
         let now = self.now;
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         if member.claim.state != claim.state || member.claim.start != claim.start {
             member.since = now;
         }
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -66,7 +66,10 @@
     }
 
     pub fn record_with_body(&self) -> Record {
-        Record { body: self.encoded_body.clone(), ..self.record() }
+        Record {
+            body: self.encoded_body.clone(),
+            ..self.record()
+        }
     }
 }
 
--- a/crates/membership/src/view/peers.rs
+++ b/crates/membership/src/view/peers.rs
@@ -24,7 +24,10 @@
 
 impl Peer {
     pub fn recipient(&self) -> Recipient<'_> {
-        Recipient { name: &self.name, address: self.address }
+        Recipient {
+            name: &self.name,
+            address: self.address,
+        }
     }
 }
 
@@ -43,7 +46,11 @@
             .iter()
             .filter(|(name, member)| member.claim.state == State::Alive && *name != except)
             .filter_map(|(name, member)| {
-                Some(Candidate { name, address: member.address()?, received_at: member.received_at })
+                Some(Candidate {
+                    name,
+                    address: member.address()?,
+                    received_at: member.received_at,
+                })
             })
             .collect();
         let mut peers = Vec::new();
@@ -52,7 +59,10 @@
             let period = |at: &usize| candidates[*at].received_at.map(|at| at / self.plan.period);
             let best = drawn.max_by_key(period).unwrap_or(0);
             let Candidate { name, address, .. } = candidates.swap_remove(best);
-            peers.push(Peer { name: name.to_string(), address });
+            peers.push(Peer {
+                name: name.to_string(),
+                address,
+            });
         }
         peers
     }
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -41,7 +41,9 @@
 impl View {
     /// Pings a member, unless a probe of it is open.
     pub(super) fn probe(&mut self, name: &str, out: &mut Vec<Act>) {
-        let Some(address) = self.address_of(name) else { return };
+        let Some(address) = self.address_of(name) else {
+            return;
+        };
         if self.probes.values().any(|probe| probe.target == name) {
             return;
         }
@@ -57,7 +59,10 @@
         self.counts.probes += 1;
         let sequence = self.next_sequence();
         self.probes.insert(sequence, probe);
-        let ping = Ping { seq: sequence, to: name.into() };
+        let ping = Ping {
+            seq: sequence,
+            to: name.into(),
+        };
         self.send(Recipient { name, address }, Some(Said::Ping(ping)), out);
     }
 
@@ -71,24 +76,40 @@
 
     fn request_due_indirect_probes(&mut self, out: &mut Vec<Act>) {
         let is_due = |probe: &Probe| !probe.indirect_requested && self.now >= probe.indirect_at;
-        let due: Vec<u64> =
-            self.probes.iter().filter(|(_, probe)| is_due(probe)).map(|(sequence, _)| *sequence).collect();
+        let due: Vec<u64> = self
+            .probes
+            .iter()
+            .filter(|(_, probe)| is_due(probe))
+            .map(|(sequence, _)| *sequence)
+            .collect();
         for sequence in due {
             self.request_indirect_probe(sequence, out);
         }
     }
 
     fn request_indirect_probe(&mut self, sequence: u64, out: &mut Vec<Act>) {
-        let Some(probe) = self.probes.get_mut(&sequence) else { return };
+        let Some(probe) = self.probes.get_mut(&sequence) else {
+            return;
+        };
         probe.indirect_requested = true;
         let target = probe.target.clone();
-        let Some(address) = self.address_of(&target) else { return };
+        let Some(address) = self.address_of(&target) else {
+            return;
+        };
         // While many fail at once the bytes are needed to spread that. One helper is enough to show that this front is
         // not the one cut off.
         self.budget.refill(self.now);
-        let helpers = if self.budget.has_share(ESSENTIAL_SHARE) { INDIRECT_HELPERS } else { 1 };
+        let helpers = if self.budget.has_share(ESSENTIAL_SHARE) {
+            INDIRECT_HELPERS
+        } else {
+            1
+        };
         for helper in self.random_peers(helpers, &target) {
-            let request = PingRequest { seq: sequence, target: target.clone(), address: address.to_string() };
+            let request = PingRequest {
+                seq: sequence,
+                target: target.clone(),
+                address: address.to_string(),
+            };
             self.send(helper.recipient(), Some(Said::PingRequest(request)), out);
         }
     }
@@ -111,7 +132,12 @@
     /// No answer came, neither directly nor through a helper.
     fn fail_probe(&mut self, probe: Probe, out: &mut Vec<Act>) {
         self.counts.failures += 1;
-        let has_other_members = self.members.values().filter(|m| m.claim.state.here()).count() > 1;
+        let has_other_members = self
+            .members
+            .values()
+            .filter(|m| m.claim.state.here())
+            .count()
+            > 1;
         if !probe.helper_responded && has_other_members {
             self.health.record_isolation();
         }
@@ -123,9 +149,13 @@
         if self.complete_relayed_probe(sequence, out) {
             return;
         }
-        let Some(probe) = self.probes.remove(&sequence) else { return };
+        let Some(probe) = self.probes.remove(&sequence) else {
+            return;
+        };
         self.health.record_answer();
-        let Some(member) = self.members.get_mut(&probe.target) else { return };
+        let Some(member) = self.members.get_mut(&probe.target) else {
+            return;
+        };
         member.acknowledged_at = Some(self.now);
         if probe.target == from {
             let sample = (self.now - probe.sent_at) as f64;
--- a/crates/membership/src/view/receive.rs
+++ b/crates/membership/src/view/receive.rs
@@ -39,7 +39,10 @@
         let you = packet.you.take();
         let refuted = you.is_some_and(|you| self.receive_claim_about_self(you, &packet.from, out));
         let from = packet.from.clone();
-        let sender = Recipient { name: &from, address };
+        let sender = Recipient {
+            name: &from,
+            address,
+        };
         if self.forgotten.covers(sender.name, packet.start) {
             // The reply tells the sender so. It returns by a later start.
             self.send(sender, None, out);
@@ -63,7 +66,11 @@
         Ok(())
     }
 
-    fn receive_from_own_name(&mut self, packet: &Packet, out: &mut Vec<Act>) -> Result<(), Dropped> {
+    fn receive_from_own_name(
+        &mut self,
+        packet: &Packet,
+        out: &mut Vec<Act>,
+    ) -> Result<(), Dropped> {
         if packet.nonce == self.own.nonce {
             return Ok(());
         }
@@ -73,10 +80,30 @@
 
     /// The sender is alive, and this is its address.
     fn learn_from_header(&mut self, packet: &Packet, out: &mut Vec<Act>) -> Result<(), Dropped> {
-        let body = Body { address: packet.address.clone(), nonce: packet.nonce, ..Body::default() };
-        let published = PublishedBody { body, ..PublishedBody::default() };
-        let claim = Claim { start: packet.start, incarnation: packet.incarnation, state: State::Alive };
-        self.learn(Report { name: &packet.from, claim, by: "", why: Why::Said }, published, out)
+        let body = Body {
+            address: packet.address.clone(),
+            nonce: packet.nonce,
+            ..Body::default()
+        };
+        let published = PublishedBody {
+            body,
+            ..PublishedBody::default()
+        };
+        let claim = Claim {
+            start: packet.start,
+            incarnation: packet.incarnation,
+            state: State::Alive,
+        };
+        self.learn(
+            Report {
+                name: &packet.from,
+                claim,
+                by: "",
+                why: Why::Said,
+            },
+            published,
+            out,
+        )
     }
 
     /// Whether this front holds the sending process to be dead or to have left.
@@ -88,7 +115,13 @@
     /// The reply tells such a sender what is held of it, so that it can refute that; what it tells of others does not
     /// count until then. A message that requests nothing gets a reply only after a refutation: two fronts that hold
     /// each other dead would go on replying for ever.
-    fn reply_to_gone(&mut self, sender: Recipient, payload: Option<Said>, refuted: bool, out: &mut Vec<Act>) {
+    fn reply_to_gone(
+        &mut self,
+        sender: Recipient,
+        payload: Option<Said>,
+        refuted: bool,
+        out: &mut Vec<Act>,
+    ) {
         let wants_reply = payload.is_some() || refuted;
         let replied = self.receive_probe_message(sender, payload, out);
         if !replied && wants_reply {
@@ -99,13 +132,18 @@
     fn dispatch(&mut self, sender: Recipient, packet: Packet, refuted: bool, out: &mut Vec<Act>) {
         match packet.said {
             Some(Said::Leaving(Seq { seq })) => {
-                let claim =
-                    Claim { start: packet.start, incarnation: packet.incarnation, state: State::Left };
+                let claim = Claim {
+                    start: packet.start,
+                    incarnation: packet.incarnation,
+                    state: State::Left,
+                };
                 self.receive_departure(sender, claim, packet.address, seq, out);
             }
             Some(Said::Confirmed(_)) => self.receive_departure_confirmation(sender.name),
             Some(Said::RootDigest(root)) => self.receive_root_digest(sender, root, out),
-            Some(Said::BucketDigests(buckets)) => self.receive_bucket_digests(sender, &buckets.digests, out),
+            Some(Said::BucketDigests(buckets)) => {
+                self.receive_bucket_digests(sender, &buckets.digests, out)
+            }
             Some(Said::Inventory(inventory)) => self.receive_inventory(sender, inventory, out),
             Some(Said::Want(want)) => {
                 for record in want.records {
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -32,27 +32,46 @@
         request: PingRequest,
         out: &mut Vec<Act>,
     ) -> bool {
-        let Ok(address) = request.address.parse() else { return false };
+        let Ok(address) = request.address.parse() else {
+            return false;
+        };
         let sequence = self.next_sequence();
         if self.relayed_probes.len() >= self.plan.members_most {
             return true;
         }
         let relayed = RelayedProbe {
-            requester: Peer { name: requester.name.into(), address: requester.address },
+            requester: Peer {
+                name: requester.name.into(),
+                address: requester.address,
+            },
             requested_sequence: request.seq,
             nack_at: Some(self.now + self.plan.period / DIRECT_TIMEOUT_DIVISOR),
             expires_at: self.now + self.plan.period,
         };
         self.relayed_probes.insert(sequence, relayed);
-        let ping = Ping { seq: sequence, to: request.target.clone() };
-        self.send(Recipient { name: &request.target, address }, Some(Said::Ping(ping)), out);
+        let ping = Ping {
+            seq: sequence,
+            to: request.target.clone(),
+        };
+        self.send(
+            Recipient {
+                name: &request.target,
+                address,
+            },
+            Some(Said::Ping(ping)),
+            out,
+        );
         true
     }
 
     /// Relays the answer to a relayed probe. False if that sequence number is of none.
     pub(super) fn complete_relayed_probe(&mut self, sequence: u64, out: &mut Vec<Act>) -> bool {
-        let Some(relayed) = self.relayed_probes.remove(&sequence) else { return false };
-        let ack = Seq { seq: relayed.requested_sequence };
+        let Some(relayed) = self.relayed_probes.remove(&sequence) else {
+            return false;
+        };
+        let ack = Seq {
+            seq: relayed.requested_sequence,
+        };
         self.send(relayed.requester.recipient(), Some(Said::Ack(ack)), out);
         true
     }
@@ -73,6 +92,7 @@
 
     pub(super) fn drop_expired_relayed_probes(&mut self) {
         let now = self.now;
-        self.relayed_probes.retain(|_, relayed| now < relayed.expires_at);
+        self.relayed_probes
+            .retain(|_, relayed| now < relayed.expires_at);
     }
 }
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -18,7 +18,12 @@
 
 impl ProbeSchedule {
     pub fn new(now: Micros, next_at: Micros) -> ProbeSchedule {
-        ProbeSchedule { pending: VecDeque::new(), scheduled: BTreeSet::new(), round_started_at: now, next_at }
+        ProbeSchedule {
+            pending: VecDeque::new(),
+            scheduled: BTreeSet::new(),
+            round_started_at: now,
+            next_at,
+        }
     }
 
     fn begin_round(&mut self, now: Micros) {
@@ -66,7 +71,9 @@
     /// overload them together with all others that join: it observes nobody yet.
     pub(super) fn schedule_observed_members(&mut self) {
         if self.joined {
-            let observed = self.rings.observed_by(&self.own.name, |name| self.is_unhealthy(name));
+            let observed = self
+                .rings
+                .observed_by(&self.own.name, |name| self.is_unhealthy(name));
             let observed = observed.into_iter().map(str::to_string).collect();
             self.schedule.add(observed);
         }
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -25,12 +25,16 @@
         out: &mut Vec<Act>,
     ) {
         self.budget.refill(self.now);
-        let may_carry = record.is_none() && matches!(payload, None | Some(Said::Ping(_) | Said::Ack(_)));
+        let may_carry =
+            record.is_none() && matches!(payload, None | Some(Said::Ping(_) | Said::Ack(_)));
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Said::name);
         let records = record.into_iter().collect();
         let mut packet = self.packet(self.claim_held_of(to.name), payload, records);
         // A member that is not known well may not know this front either.
-        let introduces_itself = self.members.get(to.name).is_none_or(|member| member.rev == 0);
+        let introduces_itself = self
+            .members
+            .get(to.name)
+            .is_none_or(|member| member.rev == 0);
         if introduces_itself {
             packet.records.push(self.own.record_with_body());
         }
@@ -41,7 +45,10 @@
         self.encode_datagram(packet);
         self.charge_send_buffer(kind);
         self.counts.sent += 1;
-        out.push(Act::Send { to: to.address, bytes: self.send_buffer.clone() });
+        out.push(Act::Send {
+            to: to.address,
+            bytes: self.send_buffer.clone(),
+        });
     }
 
     /// What a datagram tells its receiver of itself, where that is not alive.
@@ -49,9 +56,17 @@
         let (claim, forgotten) = match self.members.get(name) {
             Some(member) if member.is_alive() => return None,
             Some(member) => (member.claim, false),
-            None => (Claim::alive(self.forgotten.start_of(name)?).with(State::Dead), true),
+            None => (
+                Claim::alive(self.forgotten.start_of(name)?).with(State::Dead),
+                true,
+            ),
         };
-        Some(You { start: claim.start, incarnation: claim.incarnation, state: claim.state as u32, forgotten })
+        Some(You {
+            start: claim.start,
+            incarnation: claim.incarnation,
+            state: claim.state as u32,
+            forgotten,
+        })
     }
 
     /// Adds rumors as far as the datagram has room; those with published bodies only where the budget is ample.
@@ -63,7 +78,9 @@
             if includes_own_record && name == self.own.name {
                 return true;
             }
-            let Some(record) = self.record_with_body(name) else { return true };
+            let Some(record) = self.record_with_body(name) else {
+                return true;
+            };
             if !allows_bodies && !record.body.is_empty() {
                 return true;
             }
@@ -87,7 +104,12 @@
         }
     }
 
-    pub(super) fn packet(&self, you: Option<You>, said: Option<Said>, records: Vec<Record>) -> Packet {
+    pub(super) fn packet(
+        &self,
+        you: Option<You>,
+        said: Option<Said>,
+        records: Vec<Record>,
+    ) -> Packet {
         Packet {
             fleet: self.fleet_id,
             from: self.own.name.clone(),
@@ -107,6 +129,8 @@
         if name == self.own.name {
             return Some(self.own.record_with_body());
         }
-        self.members.get(name).map(|member| member.record_with_body(name, &self.own.name))
+        self.members
+            .get(name)
+            .map(|member| member.record_with_body(name, &self.own.name))
     }
 }
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -22,11 +22,25 @@
 impl View {
     /// Suspects a member that did not answer a probe of this front, and has its other observers look at it.
     pub(super) fn suspect_unanswering(&mut self, name: &str, out: &mut Vec<Act>) {
-        let Some(member) = self.members.get(name).filter(|member| member.claim.state.here()) else { return };
+        let Some(member) = self
+            .members
+            .get(name)
+            .filter(|member| member.claim.state.here())
+        else {
+            return;
+        };
         self.counts.suspicions += 1;
         let claim = member.claim.with(State::Suspected);
         let accuser = self.own.name.clone();
-        self.suspect(Report { name, claim, by: &accuser, why: Why::Seen }, out);
+        self.suspect(
+            Report {
+                name,
+                claim,
+                by: &accuser,
+                why: Why::Seen,
+            },
+            out,
+        );
         // The next members on the rings are observed at once.
         self.schedule_observed_members();
         self.schedule.expedite(self.now);
@@ -49,7 +63,15 @@
         for name in observers {
             if let Some(address) = self.address_of(&name) {
                 let accusation = self.accusation(suspect);
-                self.send_with_record(Recipient { name: &name, address }, None, accusation, out);
+                self.send_with_record(
+                    Recipient {
+                        name: &name,
+                        address,
+                    },
+                    None,
+                    accusation,
+                    out,
+                );
             }
         }
     }
@@ -57,12 +79,17 @@
     /// The record of a member with this front as its accuser.
     fn accusation(&self, name: &str) -> Option<Record> {
         let member = self.members.get(name)?;
-        Some(Record { by: self.own.name.clone(), ..member.record(name, "") })
+        Some(Record {
+            by: self.own.name.clone(),
+            ..member.record(name, "")
+        })
     }
 
     /// Takes in that a member is suspected. An empty `by` adds no accuser.
     pub(super) fn suspect(&mut self, report: Report, out: &mut Vec<Act>) {
-        let Some(member) = self.members.get_mut(report.name) else { return };
+        let Some(member) = self.members.get_mut(report.name) else {
+            return;
+        };
         if report.claim.overrules(&member.claim) {
             member.suspicion = Some(Suspicion::new(self.now));
             self.apply_claim(report, out);
@@ -71,10 +98,16 @@
     }
 
     fn add_accuser(&mut self, report: Report) {
-        let Some(member) = self.members.get_mut(report.name).filter(|m| m.claim == report.claim) else {
+        let Some(member) = self
+            .members
+            .get_mut(report.name)
+            .filter(|m| m.claim == report.claim)
+        else {
+            return;
+        };
+        let Some(suspicion) = &mut member.suspicion else {
             return;
         };
-        let Some(suspicion) = &mut member.suspicion else { return };
         if report.by.is_empty() || suspicion.by.len() >= MAX_ACCUSERS {
             return;
         }
@@ -97,10 +130,16 @@
     /// From 0, where no observer but this front accuses the member, to 1, where enough of them do.
     fn agreement(&self, name: &str, suspicion: &Suspicion) -> f64 {
         let observers = self.observers_of(name);
-        let agreeing =
-            observers.iter().filter(|name| suspicion.by.contains(**name)).count().saturating_sub(1);
+        let agreeing = observers
+            .iter()
+            .filter(|name| suspicion.by.contains(**name))
+            .count()
+            .saturating_sub(1);
         // Observers that are suspected themselves may never answer: where many have died the rest decide.
-        let able = observers.iter().filter(|name| self.can_accuse(name)).count();
+        let able = observers
+            .iter()
+            .filter(|name| self.can_accuse(name))
+            .count();
         let needed = CONFIRMING_ACCUSERS.min(able.saturating_sub(1));
         if needed == 0 {
             return 1.0;
@@ -120,8 +159,10 @@
         let mut undecided = Vec::new();
         let undecided_after = UNDECIDED_TIMEOUTS * MAX_TIMEOUT_FACTOR * self.plan.period as f64;
         for (name, member) in &self.members {
-            let Some(suspicion) =
-                member.suspicion.as_ref().filter(|_| member.claim.state == State::Suspected)
+            let Some(suspicion) = member
+                .suspicion
+                .as_ref()
+                .filter(|_| member.claim.state == State::Suspected)
             else {
                 continue;
             };
@@ -139,11 +180,22 @@
     }
 
     fn declare_dead(&mut self, name: &str, out: &mut Vec<Act>) {
-        let suspected = self.members.get(name).filter(|member| member.claim.state == State::Suspected);
+        let suspected = self
+            .members
+            .get(name)
+            .filter(|member| member.claim.state == State::Suspected);
         let Some(member) = suspected else { return };
         let claim = member.claim.with(State::Dead);
         self.counts.deaths += 1;
         let by = self.own.name.clone();
-        self.apply_claim(Report { name, claim, by: &by, why: Why::Seen }, out);
+        self.apply_claim(
+            Report {
+                name,
+                claim,
+                by: &by,
+                why: Why::Seen,
+            },
+            out,
+        );
     }
 }
--- a/crates/membership/src/view/transfer.rs
+++ b/crates/membership/src/view/transfer.rs
@@ -26,10 +26,22 @@
     }
 
     /// Requests the records of these members. False where the budget did not allow all of the datagrams.
-    pub(super) fn request_records(&mut self, to: Recipient, names: Vec<String>, out: &mut Vec<Act>) -> bool {
+    pub(super) fn request_records(
+        &mut self,
+        to: Recipient,
+        names: Vec<String>,
+        out: &mut Vec<Act>,
+    ) -> bool {
         if names.len() > STREAMED_NAMES && self.can_stream(to.address) {
             if self.may_send_deferrable() {
-                self.send_chunk(to.address, Said::Want(Want { names, records: Vec::new() }), out);
+                self.send_chunk(
+                    to.address,
+                    Said::Want(Want {
+                        names,
+                        records: Vec::new(),
+                    }),
+                    out,
+                );
             }
             return true;
         }
@@ -37,14 +49,22 @@
             if !self.may_send_deferrable() {
                 return false;
             }
-            let request = Want { names: names.to_vec(), records: Vec::new() };
+            let request = Want {
+                names: names.to_vec(),
+                records: Vec::new(),
+            };
             self.send(to, Some(Said::Want(request)), out);
         }
         true
     }
 
     /// Sends the records of these members, as far as they are known and the budget allows.
-    pub(super) fn send_records(&mut self, to: Recipient, mut names: Vec<String>, out: &mut Vec<Act>) {
+    pub(super) fn send_records(
+        &mut self,
+        to: Recipient,
+        mut names: Vec<String>,
+        out: &mut Vec<Act>,
+    ) {
         if names.len() > MAX_DATAGRAM_RECORDS && self.can_stream(to.address) {
             // Where the budget does not allow all, another exchange sends others.
             self.rng.shuffle(&mut names);
@@ -52,9 +72,13 @@
         }
         let mut batch = Want::default();
         for name in names {
-            let Some(record) = self.record_with_body(&name) else { continue };
+            let Some(record) = self.record_with_body(&name) else {
+                continue;
+            };
             let added = prost::Message::encoded_len(&record) + RECORD_OVERHEAD;
-            if !batch.records.is_empty() && prost::Message::encoded_len(&batch) + added > DATAGRAM_ROOM {
+            if !batch.records.is_empty()
+                && prost::Message::encoded_len(&batch) + added > DATAGRAM_ROOM
+            {
                 if !self.may_send_deferrable() {
                     return;
                 }
@@ -97,6 +121,9 @@
         }
         self.charge_send_buffer(kind);
         self.counts.chunks += 1;
-        out.push(Act::Stream { to, bytes: self.send_buffer.clone() });
+        out.push(Act::Stream {
+            to,
+            bytes: self.send_buffer.clone(),
+        });
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -201,7 +201,11 @@
 impl Record {
     /// The claim in it, if its state is a known one.
     pub fn claim(&self) -> Option<Claim> {
-        Some(Claim { start: self.start, incarnation: self.incarnation, state: State::of(self.state)? })
+        Some(Claim {
+            start: self.start,
+            incarnation: self.incarnation,
+            state: State::of(self.state)?,
+        })
     }
 }
 
@@ -262,8 +266,9 @@
     if packet.fleet != fleet {
         return Err(Dropped::Fleet);
     }
-    let texts =
-        !packet.from.is_empty() && packet.from.len() <= TEXT_MOST && packet.address.len() <= TEXT_MOST;
+    let texts = !packet.from.is_empty()
+        && packet.from.len() <= TEXT_MOST
+        && packet.address.len() <= TEXT_MOST;
     let records = match &packet.said {
         Some(Said::Inventory(have)) => {
             have.items.iter().all(bounded) && have.buckets.iter().all(|b| (*b as usize) < BUCKETS)
@@ -271,7 +276,9 @@
         Some(Said::Want(want)) => {
             want.records.iter().all(bounded) && want.names.iter().all(|n| n.len() <= TEXT_MOST)
         }
-        Some(Said::PingRequest(ask)) => ask.target.len() <= TEXT_MOST && ask.address.len() <= TEXT_MOST,
+        Some(Said::PingRequest(ask)) => {
+            ask.target.len() <= TEXT_MOST && ask.address.len() <= TEXT_MOST
+        }
         Some(Said::BucketDigests(b)) => b.digests.len() == BUCKETS,
         _ => true,
     };
@@ -285,6 +292,8 @@
 pub fn body(bytes: &[u8]) -> Option<Body> {
     let body = Body::decode(bytes).ok()?;
     let values: usize = body.values.iter().map(|v| v.bytes.len()).sum();
-    let texts = [&body.address, &body.zone, &body.version].iter().all(|text| text.len() <= TEXT_MOST);
+    let texts = [&body.address, &body.zone, &body.version]
+        .iter()
+        .all(|text| text.len() <= TEXT_MOST);
     (texts && values <= VALUES_MOST).then_some(body)
 }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -84,7 +84,9 @@
 pub fn diff(here: &str, there: &str) -> String {
     fn by_name(text: &str) -> BTreeMap<(&str, &str), &str> {
         let lines = text.lines().map(|line| line.splitn(3, ' '));
-        lines.filter_map(|mut words| Some(((words.next()?, words.next()?), words.next()?))).collect()
+        lines
+            .filter_map(|mut words| Some(((words.next()?, words.next()?), words.next()?)))
+            .collect()
     }
     let (here, there) = (by_name(here), by_name(there));
     let mut text = String::new();
@@ -114,10 +116,13 @@
             _ => None,
         };
         let read = Config::read(&text, env);
-        return read.map(|_| "configuration").map_err(|f| format!("{}: {f}", file.display()));
+        return read
+            .map(|_| "configuration")
+            .map_err(|f| format!("{}: {f}", file.display()));
     }
     let read = meadowrill_settings::read(&text);
-    read.map(|_| "settings").map_err(|f| format!("{}: {f}", file.display()))
+    read.map(|_| "settings")
+        .map_err(|f| format!("{}: {f}", file.display()))
 }
 
 /// One word to a running front, and its answer.
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -11,8 +11,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as Micros, since: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix: unix.as_micros() as Micros,
+            since: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -42,7 +42,10 @@
 }
 
 fn faulty(key: impl Into<String>, what: impl Into<String>) -> Faulty {
-    Faulty { key: key.into(), what: what.into() }
+    Faulty {
+        key: key.into(),
+        what: what.into(),
+    }
 }
 
 /// The level of the log, which may change while the log's own thread reads it.
@@ -120,8 +123,15 @@
 
 impl<'a> Node<'a> {
     fn get(&self, key: &str) -> Node<'a> {
-        let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
-        Node { value: self.value.and_then(|v| v.get(key)), path }
+        let path = if self.path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{}.{key}", self.path)
+        };
+        Node {
+            value: self.value.and_then(|v| v.get(key)),
+            path,
+        }
     }
 
     fn need(&self) -> Result<&'a Value, Faulty> {
@@ -129,17 +139,28 @@
     }
 
     fn text(&self) -> Result<&'a str, Faulty> {
-        self.need()?.as_str().ok_or_else(|| faulty(&self.path, "is not a text"))
+        self.need()?
+            .as_str()
+            .ok_or_else(|| faulty(&self.path, "is not a text"))
     }
 
     fn address(&self) -> Result<SocketAddr, Faulty> {
         let text = self.text()?;
-        text.parse().map_err(|_| faulty(&self.path, format!("{text:?} is not an address with a port")))
+        text.parse().map_err(|_| {
+            faulty(
+                &self.path,
+                format!("{text:?} is not an address with a port"),
+            )
+        })
     }
 
     fn number(&self, default: f64, least: f64) -> Result<f64, Faulty> {
-        let Some(value) = self.value else { return Ok(default) };
-        let number = value.as_f64().ok_or_else(|| faulty(&self.path, "is not a number"))?;
+        let Some(value) = self.value else {
+            return Ok(default);
+        };
+        let number = value
+            .as_f64()
+            .ok_or_else(|| faulty(&self.path, "is not a number"))?;
         if number >= least {
             Ok(number)
         } else {
@@ -148,12 +169,18 @@
     }
 
     fn names(&self, of: Option<&str>) -> Result<Vec<String>, Faulty> {
-        let Some(value) = self.value else { return Ok(Vec::new()) };
-        let items = value.as_array().ok_or_else(|| faulty(&self.path, "is not a list"))?;
+        let Some(value) = self.value else {
+            return Ok(Vec::new());
+        };
+        let items = value
+            .as_array()
+            .ok_or_else(|| faulty(&self.path, "is not a list"))?;
         let name = |(at, item): (usize, &Value)| {
             let item = of.map_or(Some(item), |of| item.get(of));
             let what = || faulty(format!("{}.{at}", self.path), "has no name");
-            item.and_then(Value::as_str).map(str::to_string).ok_or_else(what)
+            item.and_then(Value::as_str)
+                .map(str::to_string)
+                .ok_or_else(what)
         };
         items.iter().enumerate().map(name).collect()
     }
@@ -168,7 +195,11 @@
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let path = if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                };
                 flatten(value, &path, pairs);
             }
         }
@@ -200,18 +231,32 @@
 pub fn read_settings(path: &Path) -> Result<own::Settings, Faulty> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|e| faulty("settings file", format!("{}: {e}", path.display())))?;
-    own::read(&text).map_err(|f| faulty(f.key, format!("{}, line {}: {}", path.display(), f.line, f.what)))
+    own::read(&text).map_err(|f| {
+        faulty(
+            f.key,
+            format!("{}, line {}: {}", path.display(), f.line, f.what),
+        )
+    })
 }
 
 impl Config {
     pub fn load(path: PathBuf, own_path: Option<PathBuf>) -> Result<Config, Faulty> {
         let text = std::fs::read_to_string(&path);
-        let text = text.map_err(|e| faulty("BALANCER_CONFIG", format!("{}: {e}", path.display())))?;
+        let text =
+            text.map_err(|e| faulty("BALANCER_CONFIG", format!("{}: {e}", path.display())))?;
         let own = read_own(own_path.as_deref())?;
-        let config = Config { path, own_path, own, ..Config::read(&text, |name| std::env::var(name).ok())? };
+        let config = Config {
+            path,
+            own_path,
+            own,
+            ..Config::read(&text, |name| std::env::var(name).ok())?
+        };
         let name_fits = (1..=TEXT_MOST).contains(&config.name.len());
         if config.own.events.is_some() && !name_fits {
-            return Err(faulty("name", format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events")));
+            return Err(faulty(
+                "name",
+                format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events"),
+            ));
         }
         Ok(config)
     }
@@ -243,17 +288,35 @@
         if (&own.events, &own.region) != (&self.own.events, &self.own.region) {
             later.push("fleet.events");
         }
-        let fixed = ["name", "listen", "seed", "limits", "settings", "flow_bytes_per_s", "link_bytes_per_s"];
-        later.extend(fixed.into_iter().filter(|key| self.text.get(key) != fresh.text.get(key)));
+        let fixed = [
+            "name",
+            "listen",
+            "seed",
+            "limits",
+            "settings",
+            "flow_bytes_per_s",
+            "link_bytes_per_s",
+        ];
+        later.extend(
+            fixed
+                .into_iter()
+                .filter(|key| self.text.get(key) != fresh.text.get(key)),
+        );
         later
     }
 
     /// From the text of the configuration; name and address from the environment where it tells none.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
-        let json: Value = serde_json::from_str(text).map_err(|e| faulty("BALANCER_CONFIG", e.to_string()))?;
-        let root = Node { value: Some(&json), path: String::new() };
+        let json: Value =
+            serde_json::from_str(text).map_err(|e| faulty("BALANCER_CONFIG", e.to_string()))?;
+        let root = Node {
+            value: Some(&json),
+            path: String::new(),
+        };
         let address = |key: &str, variable: &str| match (root.get(key).value, env(variable)) {
-            (None, Some(text)) => text.parse().map_err(|_| faulty(variable, "is not an address with a port")),
+            (None, Some(text)) => text
+                .parse()
+                .map_err(|_| faulty(variable, "is not an address with a port")),
             _ => root.get(key).address(),
         };
         let name = match (root.get("name").value, env("BALANCER_NAME")) {
@@ -262,8 +325,8 @@
             _ => root.get("name").text()?.to_string(),
         };
         let seed = root.get("seed").text()?;
-        let seed =
-            u64::from_str_radix(seed, 16).map_err(|_| faulty("seed", "is not a hex number of 64 bits"))?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| faulty("seed", "is not a hex number of 64 bits"))?;
         let limits = root.get("limits");
         let memory = limits.get("memory_mb").number(MEMORY_MB, 32.0)? * 1e6;
         let sockets = limits.get("sockets").number(SOCKETS, 64.0)? as usize;
@@ -276,8 +339,14 @@
             return Err(faulty("settings.classes", "names no class"));
         }
         let class = |(at, name): (usize, String)| {
-            let class = told.get("classes").value.and_then(|classes| classes.get(at));
-            let class = Node { value: class, path: format!("settings.classes.{at}") };
+            let class = told
+                .get("classes")
+                .value
+                .and_then(|classes| classes.get(at));
+            let class = Node {
+                value: class,
+                path: format!("settings.classes.{at}"),
+            };
             let deadline_ms = class.get("deadline_s").number(LONGEST, 0.001)? * 1e3;
             // What is told and not understood is no reason to guess: an effect might come twice.
             let repeat = class.get("repeat");
@@ -296,10 +365,24 @@
                 latency_budget: host::micros(class.get("goal_time_s").number(1.0, 0.0)?),
                 budget_stretch: class.get("aim_stretch").number(0.0, 0.0)?,
             };
-            Ok(Class { name, deadline_ms, admission, keyed, effect, window })
+            Ok(Class {
+                name,
+                deadline_ms,
+                admission,
+                keyed,
+                effect,
+                window,
+            })
         };
-        let classes = classes.into_iter().enumerate().map(class).collect::<Result<Vec<_>, _>>()?;
-        let longest = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        let classes = classes
+            .into_iter()
+            .enumerate()
+            .map(class)
+            .collect::<Result<Vec<_>, _>>()?;
+        let longest = classes
+            .iter()
+            .map(|class| class.deadline_ms)
+            .fold(0.0, f64::max);
         let mut pairs = Vec::new();
         flatten(told.need()?, "", &mut pairs);
         let bounds = told.get("limits");
@@ -307,25 +390,40 @@
         // Clients hold a third of the descriptors at most; a little more lets them cross a close.
         let clients = (sockets - SPARE) * 2 / 5;
         let draining = (clients / DRAINING).max(1);
-        let kb_per_s = told.get("specifics").get("flow_kb_per_s").number(1.0, 0.0)?;
-        let bytes_per_s = root.get("flow_bytes_per_s").number((kb_per_s * 1e3).max(1.0), 1.0)?;
+        let kb_per_s = told
+            .get("specifics")
+            .get("flow_kb_per_s")
+            .number(1.0, 0.0)?;
+        let bytes_per_s = root
+            .get("flow_bytes_per_s")
+            .number((kb_per_s * 1e3).max(1.0), 1.0)?;
         let known = root.get("known");
         if !known.need()?["entries"].is_array() {
             return Err(faulty("known.entries", "is not a list"));
         }
-        let log =
-            match root.get("log").value.map(|level| level.as_str().and_then(|l| l.parse::<Level>().ok())) {
-                None => Level::Info,
-                Some(Some(level)) => level,
-                Some(None) => return Err(faulty("log", "is no level: error, warning, info or debug")),
-            };
-        let advises = bounds.get("retry_after").value.is_some_and(|told| told == true);
+        let log = match root
+            .get("log")
+            .value
+            .map(|level| level.as_str().and_then(|l| l.parse::<Level>().ok()))
+        {
+            None => Level::Info,
+            Some(Some(level)) => level,
+            Some(None) => return Err(faulty("log", "is no level: error, warning, info or debug")),
+        };
+        let advises = bounds
+            .get("retry_after")
+            .value
+            .is_some_and(|told| told == true);
         let longest_away = bounds.get("max_retry_after_s").number(0.0, 0.0)?;
         Ok(Config {
             path: PathBuf::new(),
             own_path: None,
             own: own::Settings::default(),
-            longest_away: if advises { host::micros(longest_away) } else { 0 },
+            longest_away: if advises {
+                host::micros(longest_away)
+            } else {
+                0
+            },
             name,
             log: Shown::new(log),
             listen: address("listen", "BALANCER_LISTEN")?,
@@ -338,7 +436,11 @@
             machines: told.get("host_types").names(None)?,
             reports: told.get("feedback").get("fields").names(None)?,
             kb_per_byte: kb_per_s / bytes_per_s,
-            connect_timeout: host::micros(bounds.get("connect_timeout_s").number(CONNECT_TIMEOUT, 0.001)?),
+            connect_timeout: host::micros(
+                bounds
+                    .get("connect_timeout_s")
+                    .number(CONNECT_TIMEOUT, 0.001)?,
+            ),
             conn_idle: host::micros(bounds.get("conn_idle_s").number(CONN_IDLE, 0.0)?),
             longest: host::micros(longest / 1e3),
             clients,
--- a/crates/proxy/src/frame.rs
+++ b/crates/proxy/src/frame.rs
@@ -75,7 +75,11 @@
         return Ok(None);
     };
     let stream = u32::from_le_bytes([frame[1], frame[2], frame[3], frame[4]]);
-    Ok(Some(Frame { kind: frame[0], stream, payload: &frame[5..] }))
+    Ok(Some(Frame {
+        kind: frame[0],
+        stream,
+        payload: &frame[5..],
+    }))
 }
 
 type Fields<'a> = SmallVec<[(&'a str, &'a str); 12]>;
@@ -95,7 +99,10 @@
         let name = text(&mut rest, usize::from(*size))?;
         let (size, after) = rest.split_first_chunk::<2>().ok_or(Fault::Truncated)?;
         rest = after;
-        fields.push((name, text(&mut rest, usize::from(u16::from_le_bytes(*size)))?));
+        fields.push((
+            name,
+            text(&mut rest, usize::from(u16::from_le_bytes(*size)))?,
+        ));
     }
     Ok((fields, rest))
 }
@@ -144,9 +151,13 @@
     let hex = |name: &'static str| -> Result<(CompactString, u64), Fault> {
         let text = need(name)?;
         let digit = |b: u8| char::from(b).to_digit(16);
-        let number = text.bytes().try_fold(0u64, |n, b| Some(n << 4 | u64::from(digit(b)?)));
+        let number = text
+            .bytes()
+            .try_fold(0u64, |n, b| Some(n << 4 | u64::from(digit(b)?)));
         let number = number.filter(|_| text.len() == 16);
-        number.map(|n| (CompactString::new(text), n)).ok_or(Fault::Unreadable(name))
+        number
+            .map(|n| (CompactString::new(text), n))
+            .ok_or(Fault::Unreadable(name))
     };
     let optional = |name: &'static str| match get(name) {
         Some(text) if !plain(text) => Err(Fault::Unreadable(name)),
@@ -155,23 +166,35 @@
     let verb = need("verb")?;
     let limit = need("limit")?;
     // Nearly always a whole number, which is read quicker.
-    let limit_ms = limit.parse::<u32>().map(f64::from).or_else(|_| read("limit", limit))?;
+    let limit_ms = limit
+        .parse::<u32>()
+        .map(f64::from)
+        .or_else(|_| read("limit", limit))?;
     if !(limit_ms > 0.0 && limit_ms < 1e9) {
         return Err(Fault::Unreadable("limit"));
     }
     let ((item, object), (txn, id)) = (hex("item")?, hex("txn")?);
     let upto = |name: &'static str, most: u32| {
         let number: u32 = read(name, get(name).unwrap_or("0"))?;
-        Some(number).filter(|n| *n <= most).ok_or(Fault::Unreadable(name))
+        Some(number)
+            .filter(|n| *n <= most)
+            .ok_or(Fault::Unreadable(name))
     };
     // What is no plain text names nobody.
-    let told =
-        |name: &Option<String>| name.as_deref().and_then(get).filter(|v| plain(v)).map(CompactString::new);
+    let told = |name: &Option<String>| {
+        name.as_deref()
+            .and_then(get)
+            .filter(|v| plain(v))
+            .map(CompactString::new)
+    };
     if body.len() > BODY {
         return Err(Fault::Unreadable("body"));
     }
     Ok(Request {
-        verb: Some(verb).filter(|v| plain(v)).map(CompactString::new).ok_or(Fault::Unreadable("verb"))?,
+        verb: Some(verb)
+            .filter(|v| plain(v))
+            .map(CompactString::new)
+            .ok_or(Fault::Unreadable("verb"))?,
         txn,
         id,
         limit_ms,
@@ -198,7 +221,13 @@
 pub type Head = SmallVec<[u8; 64]>;
 
 /// The frame up to where a body of `body` bytes follows.
-pub fn head(kind: u8, stream: u32, code: Option<u8>, fields: Option<&[(&str, &str)]>, body: usize) -> Head {
+pub fn head(
+    kind: u8,
+    stream: u32,
+    code: Option<u8>,
+    fields: Option<&[(&str, &str)]>,
+    body: usize,
+) -> Head {
     let mut frame = Head::from_slice(&[0; 4]);
     frame.push(kind);
     frame.extend_from_slice(&stream.to_le_bytes());
--- a/crates/proxy/src/front/availability.rs
+++ b/crates/proxy/src/front/availability.rs
@@ -40,9 +40,19 @@
     /// A lookup was refused or failed.
     fn refused(&mut self, now: Micros) {
         let in_outage = self.outage_since.is_some();
-        let counted = self.refusals.filter(|refusals| in_outage || now < refusals.last + PAUSE);
-        let refusals = counted.unwrap_or(Refusals { since: now, last: now, count: 0 });
-        self.refusals = Some(Refusals { last: now, count: refusals.count.saturating_add(1), ..refusals });
+        let counted = self
+            .refusals
+            .filter(|refusals| in_outage || now < refusals.last + PAUSE);
+        let refusals = counted.unwrap_or(Refusals {
+            since: now,
+            last: now,
+            count: 0,
+        });
+        self.refusals = Some(Refusals {
+            last: now,
+            count: refusals.count.saturating_add(1),
+            ..refusals
+        });
     }
 
     /// A machine took a request, or a lookup was served without one; since when there was an outage that ends by it.
@@ -60,12 +70,17 @@
             return None;
         }
         self.outage_since = Some(since);
-        Some(Outage { since, refused: count })
+        Some(Outage {
+            since,
+            refused: count,
+        })
     }
 
     /// Whether lookups are to be brought: always but in an outage while they still come.
     fn ready(&self, now: Micros) -> bool {
-        let come = self.refusals.is_some_and(|refusals| now < refusals.last + PAUSE);
+        let come = self
+            .refusals
+            .is_some_and(|refusals| now < refusals.last + PAUSE);
         self.outage_since.is_none() || !come
     }
 
@@ -93,7 +108,10 @@
     /// To be called now and then.
     pub(super) fn check_availability(&mut self, now: Micros) {
         let caches = &self.caches;
-        if let Some(outage) = self.availability.begins(now, |since| caches.any_taken(since)) {
+        if let Some(outage) = self
+            .availability
+            .begins(now, |since| caches.any_taken(since))
+        {
             warn!(self.log, "serves nobody: no machine takes a request"; "refused_for_us" => now - outage.since,
                 "refused" => outage.refused);
         }
--- a/crates/proxy/src/front/events.rs
+++ b/crates/proxy/src/front/events.rs
@@ -11,12 +11,16 @@
 
 impl Front {
     pub(super) fn subscribes(&self) -> bool {
-        self.fronts.as_ref().is_some_and(|fronts| fronts.subscription.is_some())
+        self.fronts
+            .as_ref()
+            .is_some_and(|fronts| fronts.subscription.is_some())
     }
 
     /// Subscribes to a relay, where the settings tell of some.
     pub(super) fn subscribe(&mut self, now: Micros) {
-        let (Some(fronts), Some(plan)) = (&mut self.fronts, &self.config.own.events) else { return };
+        let (Some(fronts), Some(plan)) = (&mut self.fronts, &self.config.own.events) else {
+            return;
+        };
         // Fronts of one seed are not to draw the same pauses.
         let seed = self.config.seed ^ stable_id(&self.config.name);
         fronts.subscribe(plan, &self.config.own.region, now, seed);
@@ -24,7 +28,11 @@
 
     /// What the subscription wants done, in its order.
     pub(super) fn do_events(&mut self, now: Micros) {
-        let Some(subscription) = self.fronts.as_mut().and_then(|fronts| fronts.subscription.as_mut()) else {
+        let Some(subscription) = self
+            .fronts
+            .as_mut()
+            .and_then(|fronts| fronts.subscription.as_mut())
+        else {
             return;
         };
         let (outputs, panics) = (subscription.take_outputs(), subscription.take_panics());
@@ -52,7 +60,11 @@
     }
 
     fn subscribe_anew(&mut self, now: Micros) {
-        if let Some(subscription) = self.fronts.as_mut().and_then(|fronts| fronts.subscription.as_mut()) {
+        if let Some(subscription) = self
+            .fronts
+            .as_mut()
+            .and_then(|fronts| fronts.subscription.as_mut())
+        {
             subscription.restart(now);
         }
     }
@@ -66,7 +78,15 @@
         let ago = now - purge.stamp;
         self.metrics.purge_applied(ago as f64 / 1e6);
         let mut actions = std::mem::take(&mut self.spare.actions);
-        let decided = self.decide_at_once(now, Event::Invalidated { object, group, age: ago }, &mut actions);
+        let decided = self.decide_at_once(
+            now,
+            Event::Invalidated {
+                object,
+                group,
+                age: ago,
+            },
+            &mut actions,
+        );
         self.spare.actions = actions;
         decided
     }
@@ -74,14 +94,21 @@
     /// Tells the decisions what copies may be served, where that has changed. By the clock as it is now: whoever was
     /// stopped since the round began must not rely on a lease that has lapsed meanwhile.
     pub(super) fn bound_copies(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some(subscription) = self.fronts.as_ref().and_then(|fronts| fronts.subscription.as_ref()) else {
+        let Some(subscription) = self
+            .fronts
+            .as_ref()
+            .and_then(|fronts| fronts.subscription.as_ref())
+        else {
             return;
         };
         let bound = subscription.copy_bound(self.clock.now());
         if self.copy_bound == Some(bound) {
             return;
         }
-        let event = Event::FreshnessBound { not_before: bound.not_before, max_age: bound.age };
+        let event = Event::FreshnessBound {
+            not_before: bound.not_before,
+            max_age: bound.age,
+        };
         if self.decide_at_once(now, event, actions) {
             self.copy_bound = Some(bound);
         }
--- a/crates/proxy/src/front/fleet.rs
+++ b/crates/proxy/src/front/fleet.rs
@@ -14,7 +14,9 @@
 impl Front {
     /// One step with the other fronts, and what changed by it.
     pub(super) fn with_fronts(&mut self, now: Micros, step: impl FnOnce(&mut Fronts, &mut Poll)) {
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         step(fronts, &mut self.poll);
         for change in fronts.changes() {
             tell(&self.log, change);
@@ -40,7 +42,15 @@
 
 fn tell(log: &Logger, change: Change) {
     match change {
-        Change::Member { name, from, to, start, incarnation, why, by } => {
+        Change::Member {
+            name,
+            from,
+            to,
+            start,
+            incarnation,
+            why,
+            by,
+        } => {
             let from = from.map_or("unknown", State::name);
             info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => ?why, "by" => by,
                 "start" => start, "incarnation" => incarnation);
@@ -50,7 +60,9 @@
         Change::Refuted { by } => warn!(log, "was held to fail, spoke up"; "by" => by),
         Change::WasAway { span } => warn!(log, "was away"; "us" => span),
         Change::Joined => info!(log, "joined the fleet"),
-        Change::Passed { start } => warn!(log, "went past another start of its name"; "start" => start),
+        Change::Passed { start } => {
+            warn!(log, "went past another start of its name"; "start" => start)
+        }
         Change::GaveWay { to } => {
             error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => to);
         }
--- a/crates/proxy/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -21,7 +21,11 @@
     }
 
     /// One step with the journal service, and what it told.
-    pub(super) fn follow(&mut self, now: Micros, step: impl FnOnce(&mut Journal, &mut Poll, &mut Vec<News>)) {
+    pub(super) fn follow(
+        &mut self,
+        now: Micros,
+        step: impl FnOnce(&mut Journal, &mut Poll, &mut Vec<News>),
+    ) {
         let mut news = Vec::new();
         step(&mut self.journal, &mut self.poll, &mut news);
         let any = !news.is_empty();
@@ -42,20 +46,38 @@
     pub(super) fn told(&mut self, news: News, now: Micros) {
         match news {
             Err(what) => warn!(self.log, "journal"; "what" => what),
-            Ok(Change::Purge { object, group, stamp }) => {
+            Ok(Change::Purge {
+                object,
+                group,
+                stamp,
+            }) => {
                 // One way for purges: where they come from relays, other fronts are not told.
-                if let Some(fronts) = self.fronts.as_mut().filter(|fronts| fronts.subscription.is_none()) {
+                if let Some(fronts) = self
+                    .fronts
+                    .as_mut()
+                    .filter(|fronts| fronts.subscription.is_none())
+                {
                     fronts.share(|replica, _| replica.put_purge(now, object, group, stamp));
                 }
-                self.events.push(Event::Invalidated { object, group, age: now - stamp });
+                self.events.push(Event::Invalidated {
+                    object,
+                    group,
+                    age: now - stamp,
+                });
             }
             Ok(Change::Hosts { complete, members }) => {
                 info!(self.log, "list"; "complete" => complete, "members" => members.len());
-                let members: Vec<Member> = members.into_iter().map(|m| self.share_machine(m, now)).collect();
+                let members: Vec<Member> = members
+                    .into_iter()
+                    .map(|m| self.share_machine(m, now))
+                    .collect();
                 let ids: Vec<String> = members.iter().map(|m| m.id.clone()).collect();
                 let entries = members.into_iter().map(|m| self.entry(m)).collect();
-                let listing =
-                    if complete { EndpointUpdate::Snapshot(entries) } else { EndpointUpdate::Delta(entries) };
+                let listing = if complete {
+                    EndpointUpdate::Snapshot(entries)
+                } else {
+                    EndpointUpdate::Delta(entries)
+                };
                 self.events.push(Event::EndpointsUpdated(listing));
                 ids.iter().for_each(|id| self.recall_machine(id));
             }
@@ -65,7 +87,8 @@
     pub(super) fn entry(&mut self, member: Member) -> EndpointEntry {
         let peer = self.machines.of(&member.id);
         if let Some(address) = member.address {
-            self.addresses.insert(peer, (address, CompactString::from(address.to_string())));
+            self.addresses
+                .insert(peer, (address, CompactString::from(address.to_string())));
         }
         if member.standing != EndpointStatus::Ready {
             self.caches.forget(peer, &self.poll);
@@ -76,7 +99,11 @@
             "id" => &member.id, "kind" => &member.flavor, "place" => &member.locality, "stable" => format!("{stable:012x}"));
         // What the settings do not name is none of those that they do.
         let place = |names: &[String], name: &str| {
-            names.iter().position(|n| n == name).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX)
+            names
+                .iter()
+                .position(|n| n == name)
+                .and_then(|at| u8::try_from(at).ok())
+                .unwrap_or(u8::MAX)
         };
         EndpointEntry {
             endpoint: peer,
--- a/crates/proxy/src/front/lookups.rs
+++ b/crates/proxy/src/front/lookups.rs
@@ -96,7 +96,14 @@
         }
         let (verdict, place) = match self.admission.admit(
             now,
-            LookupRequest { id: lookup, identity, class: kind, size_kb, bytes, expires },
+            LookupRequest {
+                id: lookup,
+                identity,
+                class: kind,
+                size_kb,
+                bytes,
+                expires,
+            },
             held,
         ) {
             Decision::Admitted(place) => (Ok(true), Some(place)),
@@ -116,7 +123,11 @@
     /// Whether a lookup is one that the settings allow, and of which class. Caches answer others with an error,
     /// which would be held against them, and what is far out of range would stay in the module's memories.
     pub(super) fn usable(&self, request: &frame::Request) -> Result<usize, &'static str> {
-        let kind = self.config.classes.iter().position(|class| class.name == request.verb);
+        let kind = self
+            .config
+            .classes
+            .iter()
+            .position(|class| class.name == request.verb);
         let kind = kind.ok_or("class")?;
         let class = &self.config.classes[kind];
         if request.limit_ms > class.deadline_ms + ROUNDED_MS {
@@ -125,16 +136,27 @@
         if class.keyed && request.unique.is_none() {
             return Err("unique");
         }
-        let open = self.named.get(&request.id).and_then(|lookup| self.lookups.get(lookup));
+        let open = self
+            .named
+            .get(&request.id)
+            .and_then(|lookup| self.lookups.get(lookup));
         match open.filter(|taken| taken.owed).map(|taken| &taken.request) {
-            Some(r) if (r.object, r.slice, &r.verb) != (request.object, request.slice, &request.verb) => {
+            Some(r)
+                if (r.object, r.slice, &r.verb)
+                    != (request.object, request.slice, &request.verb) =>
+            {
                 Err("txn")
             }
             _ => Ok(kind),
         }
     }
 
-    pub(super) fn answer(&mut self, lookup: u32, answer: (u8, &[(&str, &str)], &[u8]), now: Micros) {
+    pub(super) fn answer(
+        &mut self,
+        lookup: u32,
+        answer: (u8, &[(&str, &str)], &[u8]),
+        now: Micros,
+    ) {
         let counts = self.lookups.get(&lookup).is_some_and(|taken| taken.counts);
         if let Some((client, stream)) = self.answered(lookup, now) {
             match answer.0 {
@@ -142,7 +164,8 @@
                 _ if counts => self.saw_refusal(now),
                 _ => {}
             }
-            self.clients.answer((client, stream, lookup), answer, now, &self.poll);
+            self.clients
+                .answer((client, stream, lookup), answer, now, &self.poll);
         }
     }
 
@@ -164,9 +187,14 @@
     /// The client of a lookup has ended its side. What has not gone out yet never will: the decisions are told, and
     /// what they have not heard of is refused here.
     pub(super) fn half_closed(&mut self, lookup: u32, now: Micros) {
-        let Some(taken) = self.lookups.get_mut(&lookup).filter(|t| t.owed) else { return };
+        let Some(taken) = self.lookups.get_mut(&lookup).filter(|t| t.owed) else {
+            return;
+        };
         taken.counts = false;
-        let waits = taken.place.as_ref().is_some_and(|place| self.admission.is_waiting(place));
+        let waits = taken
+            .place
+            .as_ref()
+            .is_some_and(|place| self.admission.is_waiting(place));
         if waits || taken.effect == Effect::Asking {
             if let Some(place) = taken.place.take() {
                 self.admission.cancel(now, place);
@@ -179,8 +207,14 @@
 
     /// Ends the sends of a lookup that wait for their connection to come up: they were not written.
     pub(super) fn withdraw_unwritten(&mut self, lookup: u32) {
-        let sends = self.lookups.get(&lookup).into_iter().flat_map(|t| t.sends.iter().copied().flatten());
-        let waiting: SmallVec<[_; 2]> = sends.filter(|(c, s)| self.caches.unwritten(*c, *s)).collect();
+        let sends = self
+            .lookups
+            .get(&lookup)
+            .into_iter()
+            .flat_map(|t| t.sends.iter().copied().flatten());
+        let waiting: SmallVec<[_; 2]> = sends
+            .filter(|(c, s)| self.caches.unwritten(*c, *s))
+            .collect();
         for (conn, serial) in waiting {
             self.caches.fail(conn, serial, Cause::Withdrawn, &self.poll);
         }
@@ -200,7 +234,9 @@
                 self.named.remove(&taken.request.id);
             }
             let taken = self.lookups.remove(&lookup);
-            taken.into_iter().for_each(|taken| self.clients.give_back(taken.request));
+            taken
+                .into_iter()
+                .for_each(|taken| self.clients.give_back(taken.request));
         }
     }
 }
