--- a/crates/proxy/src/front/outcomes.rs
+++ b/crates/proxy/src/front/outcomes.rs
@@ -24,14 +24,24 @@
         let mut connected = std::mem::take(&mut self.spare.connected);
         self.caches.connected(&mut connected);
         for out in connected.drain(..) {
-            self.events.push(Event::AttemptConnected { id: out.lookup, attempt: out.send });
+            self.events.push(Event::AttemptConnected {
+                id: out.lookup,
+                attempt: out.send,
+            });
         }
         self.spare.connected = connected;
     }
 
     pub(super) fn end(&mut self, ended: &Ended, now: Micros) {
-        let Ended { out, peer, result, conn } = ended;
-        let Some(taken) = self.lookups.get_mut(&out.lookup) else { return };
+        let Ended {
+            out,
+            peer,
+            result,
+            conn,
+        } = ended;
+        let Some(taken) = self.lookups.get_mut(&out.lookup) else {
+            return;
+        };
         if let Some(send) = taken.sends.get_mut(usize::from(out.send)) {
             *send = None;
         }
@@ -70,18 +80,31 @@
             outcome.load_report = report(&head.load, &self.config.reports);
             if ending == AttemptOutcome::Success {
                 // What carries no note came from a machine that does not tell; it counts as one that had it.
-                let hit = matches!(outcome.cache_status, CacheStatus::Hit | CacheStatus::Unknown);
-                taken.done = Completion { satisfied: true, hit, size_kb: outcome.size_kb, abandoned: false };
+                let hit = matches!(
+                    outcome.cache_status,
+                    CacheStatus::Hit | CacheStatus::Unknown
+                );
+                taken.done = Completion {
+                    satisfied: true,
+                    hit,
+                    size_kb: outcome.size_kb,
+                    abandoned: false,
+                };
                 let current = head.status == 304;
                 let fields: &[(&str, &str)] = if current { &[("current", "1")] } else { &[] };
-                if self.lookups.get(&out.lookup).is_some_and(|t| t.owed && t.effect != Effect::None) {
+                if self
+                    .lookups
+                    .get(&out.lookup)
+                    .is_some_and(|t| t.owed && t.effect != Effect::None)
+                {
                     let body = self.caches.body(*conn, head).to_vec();
                     self.effect_over(out.lookup, Some((current, body)), now);
                 }
                 if let Some((client, stream)) = self.answered(out.lookup, now) {
                     let body = self.caches.body(*conn, head);
                     let answer = (frame::SATISFIED, fields, body);
-                    self.clients.answer((client, stream, out.lookup), answer, now, &self.poll);
+                    self.clients
+                        .answer((client, stream, out.lookup), answer, now, &self.poll);
                 }
             }
         }
@@ -94,7 +117,10 @@
         if ended.taken(ending) {
             self.saw_service(now);
         }
-        outcome.finished = self.lookups.get(&out.lookup).is_none_or(|taken| !taken.owed);
+        outcome.finished = self
+            .lookups
+            .get(&out.lookup)
+            .is_none_or(|taken| !taken.owed);
         self.events.push(Event::AttemptEnded(outcome));
         self.settle(out.lookup);
     }
--- a/crates/proxy/src/front/passage.rs
+++ b/crates/proxy/src/front/passage.rs
@@ -22,9 +22,26 @@
 
     /// Hands a lookup to the decisions.
     pub(super) fn decide(&mut self, lookup: u32) {
-        let Some(Taken { request, kind, expires, .. }) = self.lookups.get(&lookup) else { return };
-        let (object, part, group, size_kb) = (request.object, request.slice, request.set, request.size_kb);
-        let asked = Request { id: lookup, object, part, size_kb, group, class: *kind, deadline: *expires };
+        let Some(Taken {
+            request,
+            kind,
+            expires,
+            ..
+        }) = self.lookups.get(&lookup)
+        else {
+            return;
+        };
+        let (object, part, group, size_kb) =
+            (request.object, request.slice, request.set, request.size_kb);
+        let asked = Request {
+            id: lookup,
+            object,
+            part,
+            size_kb,
+            group,
+            class: *kind,
+            deadline: *expires,
+        };
         self.events.push(Event::RequestArrived(asked));
     }
 
@@ -40,11 +57,19 @@
 
     pub(super) fn nack(&mut self, lookup: u32, retry_after: Micros, now: Micros) {
         // Nothing of this claim ran, but something of one before it may have.
-        if self.lookups.get(&lookup).is_some_and(|t| t.effect == Effect::Out { again: true }) {
+        if self
+            .lookups
+            .get(&lookup)
+            .is_some_and(|t| t.effect == Effect::Out { again: true })
+        {
             return self.answer(lookup, (frame::FAILED, &[], &[]), now);
         }
         let later = (retry_after / 1000).to_string();
-        let fields: &[(&str, &str)] = if retry_after >= 1000 { &[("later", &later)] } else { &[] };
+        let fields: &[(&str, &str)] = if retry_after >= 1000 {
+            &[("later", &later)]
+        } else {
+            &[]
+        };
         self.answer(lookup, (frame::NACKED, fields, &[]), now);
     }
 
--- a/crates/proxy/src/front/shared.rs
+++ b/crates/proxy/src/front/shared.rs
@@ -18,21 +18,41 @@
 
 impl Front {
     pub(super) fn shares(&self) -> bool {
-        self.fronts.as_ref().is_some_and(|fronts| fronts.replica.is_some())
+        self.fronts
+            .as_ref()
+            .is_some_and(|fronts| fronts.replica.is_some())
     }
 
     /// What is shared wants this done.
     pub(super) fn do_shared(&mut self, now: Micros) {
-        let Some(fronts) = &mut self.fronts else { return };
-        let lags = fronts.share(|replica, _| std::mem::take(&mut replica.counts.lags)).unwrap_or_default();
-        lags.into_iter().for_each(|(kind, lag)| self.metrics.lagged(kind.name(), lag as f64 / 1e6));
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
+        let lags = fronts
+            .share(|replica, _| std::mem::take(&mut replica.counts.lags))
+            .unwrap_or_default();
+        lags.into_iter()
+            .for_each(|(kind, lag)| self.metrics.lagged(kind.name(), lag as f64 / 1e6));
         for act in fronts.take_acts() {
             match act {
                 Act::Word(word) => self.word(word, now),
-                Act::Purged { object, group, stamp } => {
-                    self.events.push(Event::Invalidated { object, group, age: now - stamp });
+                Act::Purged {
+                    object,
+                    group,
+                    stamp,
+                } => {
+                    self.events.push(Event::Invalidated {
+                        object,
+                        group,
+                        age: now - stamp,
+                    });
                 }
-                Act::Machine { id, start, phase, machine } => self.hearsay(&id, start, phase, &machine),
+                Act::Machine {
+                    id,
+                    start,
+                    phase,
+                    machine,
+                } => self.hearsay(&id, start, phase, &machine),
                 Act::Learned { what } => self.learned(&what),
                 Act::Tell(told) => self.tell_shared(told),
                 // These have gone to other fronts already.
@@ -43,13 +63,19 @@
 
     /// What was kept across a start counts as told, before the first lookup.
     pub(super) fn restore(&mut self, now: Micros) {
-        let Some(path) = self.snapshot_path() else { return };
+        let Some(path) = self.snapshot_path() else {
+            return;
+        };
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => return info!(self.log, "no snapshot yet"),
+            Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
+                return info!(self.log, "no snapshot yet")
+            }
             Err(e) => return warn!(self.log, "snapshot refused"; "why" => %e),
         };
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         let taken = fronts.share(|replica, acts| {
             let taken = replica.restore(now, &bytes);
             replica.recall(acts);
@@ -65,13 +91,23 @@
     }
 
     fn snapshot_path(&self) -> Option<PathBuf> {
-        self.config.own.replica.as_ref().and_then(|shared| shared.snapshot.as_ref()).map(PathBuf::from)
+        self.config
+            .own
+            .replica
+            .as_ref()
+            .and_then(|shared| shared.snapshot.as_ref())
+            .map(PathBuf::from)
     }
 
     /// Writes what is held, beside the loop: packing and the disk take their time.
     pub(super) fn keep(&mut self, now: Micros) -> Option<JoinHandle<()>> {
         let path = self.snapshot_path()?;
-        let every = self.config.own.replica.as_ref().map_or(0, |shared| shared.snapshot_every);
+        let every = self
+            .config
+            .own
+            .replica
+            .as_ref()
+            .map_or(0, |shared| shared.snapshot_every);
         if now < self.kept_at + every as Micros * 1_000_000 && !self.ending {
             return None;
         }
@@ -101,7 +137,10 @@
             }
             Told::CaughtUp { records, took } => {
                 info!(log, "caught up"; "records" => records, "took_us" => took);
-                let replica = self.fronts.as_ref().and_then(|fronts| fronts.replica.as_ref());
+                let replica = self
+                    .fronts
+                    .as_ref()
+                    .and_then(|fronts| fronts.replica.as_ref());
                 let all = replica.map(|replica| replica.learned()).unwrap_or_default();
                 all.iter().for_each(|what| self.learned(what));
             }
@@ -114,11 +153,19 @@
 
     /// Others have learned something of an object or a machine.
     fn learned(&mut self, what: &[u8]) {
-        let replica = self.fronts.as_ref().and_then(|fronts| fronts.replica.as_ref());
-        let Some(opinion) = replica.and_then(|replica| replica.opinion(what)) else { return };
+        let replica = self
+            .fronts
+            .as_ref()
+            .and_then(|fronts| fronts.replica.as_ref());
+        let Some(opinion) = replica.and_then(|replica| replica.opinion(what)) else {
+            return;
+        };
         match (thing(what), opinion.numbers.as_slice()) {
             (Some(Thing::Object(object)), [highest, ..]) => {
-                self.events.push(Event::SharedLength { object, highest_part: *highest as u32 });
+                self.events.push(Event::SharedLength {
+                    object,
+                    highest_part: *highest as u32,
+                });
             }
             (Some(Thing::Machine(id)), [failing, first_byte, ..]) => {
                 if let Some(peer) = self.machines.known(&id) {
@@ -151,12 +198,15 @@
             return;
         }
         let entry = self.entry(member);
-        self.events.push(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
+        self.events
+            .push(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     }
 
     /// What the journal service says of a machine, beside what others have heard: the later stands.
     pub(super) fn share_machine(&mut self, mut member: Member, now: Micros) -> Member {
-        let Some(fronts) = &mut self.fronts else { return member };
+        let Some(fronts) = &mut self.fronts else {
+            return member;
+        };
         let machine = kinds::Machine {
             address: member.address.map_or(String::new(), |at| at.to_string()),
             locality: member.locality.clone(),
@@ -171,7 +221,10 @@
         };
         fronts.share(|replica, _| {
             replica.put_machine(now, &member.id, member.up_since, phase, &machine);
-            if let Some((_, phase)) = replica.standing(&member.id).filter(|(s, _)| *s == member.up_since) {
+            if let Some((_, phase)) = replica
+                .standing(&member.id)
+                .filter(|(s, _)| *s == member.up_since)
+            {
                 member.standing = standing(phase);
             }
         });
@@ -180,7 +233,9 @@
 
     /// A lookup was let in: which part of what, and by whom.
     pub(super) fn saw_asked(&mut self, lookup: u32, now: Micros) {
-        let (Some(taken), Some(fronts)) = (self.lookups.get(&lookup), &mut self.fronts) else { return };
+        let (Some(taken), Some(fronts)) = (self.lookups.get(&lookup), &mut self.fronts) else {
+            return;
+        };
         let request = &taken.request;
         fronts.share(|replica, _| {
             replica.saw_part(now, request.object, request.slice);
@@ -192,13 +247,22 @@
 
     /// Whether a lookup has to wait for a word of the ledger.
     pub(super) fn claims(&mut self, lookup: u32, now: Micros) -> bool {
-        let Some(taken) = self.lookups.get_mut(&lookup) else { return false };
+        let Some(taken) = self.lookups.get_mut(&lookup) else {
+            return false;
+        };
         let class = &self.config.classes[taken.kind];
-        let Some(mark) = taken.request.unique.as_ref().filter(|_| class.effect) else { return false };
+        let Some(mark) = taken.request.unique.as_ref().filter(|_| class.effect) else {
+            return false;
+        };
         let key = [mark.as_bytes(), b" ", class.name.as_bytes()].concat();
-        let terms =
-            Terms { expires: taken.expires, budget: class.admission.latency_budget, window: class.window };
-        let Some(fronts) = &mut self.fronts else { return false };
+        let terms = Terms {
+            expires: taken.expires,
+            budget: class.admission.latency_budget,
+            window: class.window,
+        };
+        let Some(fronts) = &mut self.fronts else {
+            return false;
+        };
         let token = u64::from(lookup);
         let asked = fronts.share(|replica, acts| replica.ask(now, token, &key, terms, acts));
         if asked != Some(true) {
@@ -216,7 +280,9 @@
             | Word::Fail { token }
             | Word::Refuse { token, .. } => *token as u32,
         };
-        let Some(taken) = self.lookups.get_mut(&lookup).filter(|t| t.owed) else { return };
+        let Some(taken) = self.lookups.get_mut(&lookup).filter(|t| t.owed) else {
+            return;
+        };
         debug!(self.log, "ledger"; "lookup" => taken.request.txn.as_str(), "word" => ?word);
         taken.effect = Effect::None;
         match word {
@@ -238,7 +304,9 @@
 
     /// A lookup that the ledger let go is answered, or its client has left.
     pub(super) fn effect_over(&mut self, lookup: u32, ran: Option<(bool, Vec<u8>)>, now: Micros) {
-        let Some(taken) = self.lookups.get_mut(&lookup) else { return };
+        let Some(taken) = self.lookups.get_mut(&lookup) else {
+            return;
+        };
         let effect = std::mem::replace(&mut taken.effect, Effect::None);
         let token = u64::from(lookup);
         let end = match (ran, taken.may_have_run()) {
@@ -246,20 +314,29 @@
             (None, true) => End::MayHaveRun,
             (None, false) => End::NotRun,
         };
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         match effect {
             Effect::None => return,
             Effect::Asking => drop(fronts.share(|replica, acts| replica.left(now, token, acts))),
-            Effect::Out { .. } => drop(fronts.share(|replica, acts| replica.end(now, token, end, acts))),
+            Effect::Out { .. } => {
+                drop(fronts.share(|replica, acts| replica.end(now, token, end, acts)))
+            }
         }
         self.with_fronts(now, |fronts, poll| fronts.carry(now, poll));
     }
 
     /// A send to a machine has ended, for those who come after.
     pub(super) fn saw_end(&mut self, outcome: &AttemptEnd) {
-        let source = self.lookups.get(&outcome.id).and_then(|t| t.sources.get(usize::from(outcome.attempt)));
+        let source = self
+            .lookups
+            .get(&outcome.id)
+            .and_then(|t| t.sources.get(usize::from(outcome.attempt)));
         let source = source.copied().filter(|source| *source != outcome.endpoint);
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         let machine = self.machines.name(outcome.endpoint);
         let failed = !matches!(
             outcome.outcome,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -34,12 +34,27 @@
 impl Ask<'_> {
     /// Appends the request. Put together piece by piece: formatting it was a tenth of what a hit costs.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let mut digits = [itoa::Buffer::new(), itoa::Buffer::new(), itoa::Buffer::new()];
+        let mut digits = [
+            itoa::Buffer::new(),
+            itoa::Buffer::new(),
+            itoa::Buffer::new(),
+        ];
         let [slice, wait, more] = &mut digits;
-        let mut put =
-            |pieces: &[&str]| pieces.iter().for_each(|piece| out.extend_from_slice(piece.as_bytes()));
+        let mut put = |pieces: &[&str]| {
+            pieces
+                .iter()
+                .for_each(|piece| out.extend_from_slice(piece.as_bytes()))
+        };
         // The page knows one method; caches answer another with 400, also where a body comes along.
-        put(&["GET /data/", self.verb, "/", self.item, "/", slice.format(self.slice), " HTTP/1.1\r\n"]);
+        put(&[
+            "GET /data/",
+            self.verb,
+            "/",
+            self.item,
+            "/",
+            slice.format(self.slice),
+            " HTTP/1.1\r\n",
+        ]);
         put(&["Host: ", self.host, "\r\nX-Req: ", self.txn]);
         put(&["\r\nX-Wait-Ms: ", wait.format(self.wait_ms), "\r\n"]);
         let texts = [
@@ -56,7 +71,11 @@
         if self.oldest_ms > 0 {
             put(&["Oldest-Ms: ", more.format(self.oldest_ms), "\r\n"]);
         }
-        let modes = [(self.ride, "ride"), (self.have_only, "have-only"), (self.update, "update")];
+        let modes = [
+            (self.ride, "ride"),
+            (self.have_only, "have-only"),
+            (self.update, "update"),
+        ];
         let mut before = "Modes: ";
         for (_, mode) in modes.into_iter().filter(|m| m.0) {
             put(&[before, mode]);
@@ -113,7 +132,9 @@
     /// Whether it names the copy with this tag, quoted or bare.
     pub fn names(&self, tag: &str) -> bool {
         let bare = |text: &str| text.trim_start_matches("W/").trim_matches('"').to_owned();
-        self.version.as_ref().is_some_and(|version| bare(version) == bare(tag))
+        self.version
+            .as_ref()
+            .is_some_and(|version| bare(version) == bare(tag))
     }
 }
 
@@ -150,14 +171,25 @@
         httparse::Status::Complete(n) => n,
     };
     let status = response.code.ok_or(Fault::Malformed)?;
-    let mut answer = Answer { status, head, last: response.version == Some(0), ..Answer::default() };
+    let mut answer = Answer {
+        status,
+        head,
+        last: response.version == Some(0),
+        ..Answer::default()
+    };
     let mut length = None;
     for header in response.headers.iter() {
-        let text = std::str::from_utf8(header.value).map_err(|_| Fault::Malformed)?.trim();
+        let text = std::str::from_utf8(header.value)
+            .map_err(|_| Fault::Malformed)?
+            .trim();
         let is = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is("Content-Length") {
             let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-            let n: usize = text.parse().ok().filter(|_| digits).ok_or(Fault::BadLength)?;
+            let n: usize = text
+                .parse()
+                .ok()
+                .filter(|_| digits)
+                .ok_or(Fault::BadLength)?;
             if length.replace(n).is_some_and(|before| before != n) {
                 return Err(Fault::BadLength);
             }
@@ -171,7 +203,10 @@
         } else if is("Version") {
             answer.version = Some(CompactString::new(text));
         } else if is("Source-Ms") {
-            answer.source_ms = text.parse().ok().filter(|ms: &f64| ms.is_finite() && *ms >= 0.0);
+            answer.source_ms = text
+                .parse()
+                .ok()
+                .filter(|ms: &f64| ms.is_finite() && *ms >= 0.0);
         } else if is("X-Load") {
             let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
             let read = |(name, value): (&str, &str)| {
@@ -184,7 +219,11 @@
         }
     }
     // What says that nothing was modified has no body, whatever length it tells; nor has an interim answer.
-    answer.body = if status == 304 || answer.interim() { 0 } else { length.ok_or(Fault::NoLength)? };
+    answer.body = if status == 304 || answer.interim() {
+        0
+    } else {
+        length.ok_or(Fault::NoLength)?
+    };
     if answer.body > BODY {
         return Err(Fault::Oversized);
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -33,8 +33,13 @@
 /// loop.
 fn event_loop() -> Result<EventLoop<'static, net::Gathered>, String> {
     let poll = EventLoop::try_new().map_err(|e| format!("poller: {e}"))?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
-        .map_err(|e| format!("signals: {e}"))?;
+    let signals = Signals::new(&[
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGHUP,
+        Signal::SIGUSR1,
+    ])
+    .map_err(|e| format!("signals: {e}"))?;
     let told = |event: calloop::signals::Event, _: &mut (), gathered: &mut net::Gathered| {
         let key = match event.signal() {
             Signal::SIGHUP => net::Key::Reload,
@@ -43,24 +48,34 @@
         };
         gathered.push((key, Readiness::EMPTY));
     };
-    poll.handle().insert_source(signals, told).map_err(|e| format!("signals: {e}"))?;
+    poll.handle()
+        .insert_source(signals, told)
+        .map_err(|e| format!("signals: {e}"))?;
     Ok(poll)
 }
 
 /// Where a panic was belongs into the log; the usual report would wait for whoever reads standard error.
 fn log_panics(log: &Logger) {
     let told = log.clone();
-    std::panic::set_hook(Box::new(move |panic| error!(told, "panic"; "what" => %panic)));
+    std::panic::set_hook(Box::new(
+        move |panic| error!(told, "panic"; "what" => %panic),
+    ));
 }
 
 fn serve(config: Config, counts: Option<fn() -> String>) -> Result<(), String> {
     let mut poll = event_loop()?;
-    let logging = Log::start(config.own.log, config.log.clone(), o!("front" => config.name.clone()));
+    let logging = Log::start(
+        config.own.log,
+        config.log.clone(),
+        o!("front" => config.name.clone()),
+    );
     let log = logging.logger.clone();
     log_panics(&log);
-    let listener = TcpListener::bind(config.listen).map_err(|e| format!("listen {}: {e}", config.listen))?;
+    let listener =
+        TcpListener::bind(config.listen).map_err(|e| format!("listen {}: {e}", config.listen))?;
     // The library's own is short for what may have to wait at the clients' ceiling.
-    rustix::net::listen(&listener, BACKLOG).map_err(|e| format!("listen {}: {e}", config.listen))?;
+    rustix::net::listen(&listener, BACKLOG)
+        .map_err(|e| format!("listen {}: {e}", config.listen))?;
     let at = listener.local_addr().map_err(|e| e.to_string())?;
     info!(log, "listening"; "at" => %at, "clients" => config.clients, "caches" => config.caches,
         "buffers" => config.buffers);
@@ -75,7 +90,8 @@
 }
 
 fn start(settings: Option<PathBuf>, counts: Option<fn() -> String>) -> Result<(), String> {
-    let path = std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG: is not set".to_string())?;
+    let path =
+        std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG: is not set".to_string())?;
     let config = Config::load(path.into(), settings).map_err(|faulty| faulty.to_string())?;
     serve(config, counts)
 }
@@ -90,14 +106,26 @@
         Some(Command::Check { file }) => {
             cli::check(&file).map(|kind| println!("{}: good {kind}", file.display()))
         }
-        Some(Command::Turns { socket }) => cli::operator(&socket, "turns").map(|text| print!("{text}")),
+        Some(Command::Turns { socket }) => {
+            cli::operator(&socket, "turns").map(|text| print!("{text}"))
+        }
         Some(Command::Fleet { socket, json, of }) => {
             let ask = |word: &str| cli::operator(&socket, word);
             let told = match of {
                 None => ask(if json { "fleet json" } else { "fleet" }),
-                Some(cli::Of::Events) => ask(if json { "fleet events json" } else { "fleet events" }),
-                Some(cli::Of::State) => ask(if json { "fleet state json" } else { "fleet state" }),
-                Some(cli::Of::Ledger { mark, class }) => ask(&format!("fleet ledger {mark} {class}")),
+                Some(cli::Of::Events) => ask(if json {
+                    "fleet events json"
+                } else {
+                    "fleet events"
+                }),
+                Some(cli::Of::State) => ask(if json {
+                    "fleet state json"
+                } else {
+                    "fleet state"
+                }),
+                Some(cli::Of::Ledger { mark, class }) => {
+                    ask(&format!("fleet ledger {mark} {class}"))
+                }
                 Some(cli::Of::Diff { other }) => ask("fleet entries").and_then(|here| {
                     let there = cli::operator(&other, "fleet entries")?;
                     Ok(cli::diff(&here, &there))
@@ -105,7 +133,9 @@
             };
             told.map(|text| print!("{text}"))
         }
-        Some(Command::Metrics { socket }) => cli::operator(&socket, "metrics").map(|text| print!("{text}")),
+        Some(Command::Metrics { socket }) => {
+            cli::operator(&socket, "metrics").map(|text| print!("{text}"))
+        }
         Some(Command::Demo { seconds }) => demo::run(seconds),
     };
     match done {
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -27,12 +27,22 @@
         let (drain, guard) = match form {
             Form::Text => {
                 let plain = slog_term::PlainDecorator::new(std::io::stderr());
-                queued(slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res())
+                queued(
+                    slog_term::FullFormat::new(plain)
+                        .use_utc_timestamp()
+                        .build()
+                        .ignore_res(),
+                )
+            }
+            Form::Json => {
+                queued(Mutex::new(slog_json::Json::default(std::io::stderr())).ignore_res())
             }
-            Form::Json => queued(Mutex::new(slog_json::Json::default(std::io::stderr())).ignore_res()),
         };
         let drain = Filter::new(drain, move |line| level.shows(line.level())).ignore_res();
-        Log { logger: Logger::root(drain, who), guard }
+        Log {
+            logger: Logger::root(drain, who),
+            guard,
+        }
     }
 
     /// The last lines are waited for, but not for a reader that has stopped reading.
--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -31,7 +31,11 @@
 const YOUNG: Micros = 100_000;
 
 /// As if the loop had told that something has come.
-const COME: Readiness = Readiness { readable: true, writable: false, error: false };
+const COME: Readiness = Readiness {
+    readable: true,
+    writable: false,
+    error: false,
+};
 
 pub enum Heard {
     Asked {
@@ -42,18 +46,11 @@
         request: Box<Request>,
     },
     /// Nobody waits any more.
-    Left {
-        lookup: u32,
-    },
+    Left { lookup: u32 },
     /// The client has ended its side: nothing is begun for it any more. What is out may still find it listening.
-    HalfClosed {
-        lookup: u32,
-    },
+    HalfClosed { lookup: u32 },
     /// For the log.
-    Bad {
-        client: u64,
-        fault: frame::Fault,
-    },
+    Bad { client: u64, fault: frame::Fault },
 }
 
 struct Client {
@@ -89,7 +86,10 @@
     }
 
     fn reply(&mut self, stream: u32, code: u8) -> io::Result<()> {
-        self.put(&frame::head(frame::ANSWER, stream, Some(code), Some(&[]), 0), &[])
+        self.put(
+            &frame::head(frame::ANSWER, stream, Some(code), Some(&[]), 0),
+            &[],
+        )
     }
 
     /// Once.
@@ -237,7 +237,9 @@
         // One write for all answers of a client.
         unwritten.sort_unstable();
         unwritten.dedup();
-        unwritten.drain(..).for_each(|number| self.settle(number, Ok(()), now, poll));
+        unwritten
+            .drain(..)
+            .for_each(|number| self.settle(number, Ok(()), now, poll));
         self.unwritten = unwritten;
     }
 
@@ -255,12 +257,16 @@
     pub fn room(&mut self, now: Micros, poll: &mut Poll) -> bool {
         while self.conns.len() - self.draining.len() >= self.most {
             let of = |(number, c): (&u64, &Client)| c.use_of(now).map(|least| (least, *number));
-            let Some((_, number)) = self.conns.iter().filter_map(of).min() else { return false };
+            let Some((_, number)) = self.conns.iter().filter_map(of).min() else {
+                return false;
+            };
             self.close_idle(number, now, poll);
         }
         // Of those that drain the first has had the most time.
         while self.conns.len() >= self.most + self.most_draining {
-            let Some((_, first)) = self.draining.first().copied() else { return false };
+            let Some((_, first)) = self.draining.first().copied() else {
+                return false;
+            };
             self.drop(first, poll);
         }
         true
@@ -268,11 +274,17 @@
 
     /// Closes a connection with nothing open, unless something has come on it that was not read yet.
     fn close_idle(&mut self, number: u64, now: Micros, poll: &mut Poll) {
-        let Some(client) = self.conns.get(&number) else { return };
+        let Some(client) = self.conns.get(&number) else {
+            return;
+        };
         let before = (client.used_at, client.link.inbound.len());
         // What has come by now counts, its end too, also where the loop was not told yet.
         self.handle(number, COME, now, poll);
-        let Some(client) = self.conns.get_mut(&number).filter(|client| client.draining.is_none()) else {
+        let Some(client) = self
+            .conns
+            .get_mut(&number)
+            .filter(|client| client.draining.is_none())
+        else {
             return;
         };
         if !client.idle() || (client.used_at, client.link.inbound.len()) != before {
@@ -318,7 +330,9 @@
     }
 
     pub fn handle(&mut self, number: u64, ready: Readiness, now: Micros, poll: &mut Poll) {
-        let Some(client) = self.conns.get_mut(&number) else { return };
+        let Some(client) = self.conns.get_mut(&number) else {
+            return;
+        };
         client.link.heard(ready);
         let (lookups, spare, heard) = (&mut self.lookups, &mut self.spare, &mut self.heard);
         let ready_fields: &[(&str, &str)] = match self.caught_up {
@@ -327,7 +341,15 @@
             None => &[],
         };
         let ready = self.ready && self.available;
-        let says = Says { number, ready, ready_fields, who: &self.who, lookups, spare, heard };
+        let says = Says {
+            number,
+            ready,
+            ready_fields,
+            who: &self.who,
+            lookups,
+            spare,
+            heard,
+        };
         let done = Clients::read(client, says, now, poll);
         if matches!(done, Ok(true)) {
             self.more.insert(number);
@@ -338,7 +360,15 @@
     /// Takes one turn at what has come; true where there is more.
     fn read(
         client: &mut Client,
-        Says { number, ready, ready_fields, who, lookups, spare, heard }: Says<'_>,
+        Says {
+            number,
+            ready,
+            ready_fields,
+            who,
+            lookups,
+            spare,
+            heard,
+        }: Says<'_>,
         now: Micros,
         poll: &mut Poll,
     ) -> io::Result<bool> {
@@ -346,12 +376,21 @@
         if client.half_closed && !client.link.arrived()? {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        let ended = if client.muted { poll.discard(&mut client.link)? } else { poll.fill(&mut client.link)? };
+        let ended = if client.muted {
+            poll.discard(&mut client.link)?
+        } else {
+            poll.fill(&mut client.link)?
+        };
         if ended && !client.half_closed {
             // Whoever has closed has gone; whoever only ended its side hears what is out. One that has closed answers
             // the word that nothing more is taken with a reset, and its sends end with it.
             client.half_closed = true;
-            heard.extend(client.open.iter().map(|(_, lookup)| Heard::HalfClosed { lookup: *lookup }));
+            heard.extend(
+                client
+                    .open
+                    .iter()
+                    .map(|(_, lookup)| Heard::HalfClosed { lookup: *lookup }),
+            );
             if !client.open.is_empty() {
                 client.no_more()?;
             }
@@ -363,18 +402,29 @@
             let read = match frame::next(client.link.inbound.whole()) {
                 Ok(None) => {
                     let part = !client.spoke || !client.link.inbound.is_empty();
-                    client.unfinished = if part { client.unfinished.or(Some(now)) } else { None };
+                    client.unfinished = if part {
+                        client.unfinished.or(Some(now))
+                    } else {
+                        None
+                    };
                     client.muted |= client.half_closed;
                     return Ok(client.link.readable && !client.half_closed);
                 }
                 Ok(Some(frame)) => frame,
                 Err(fault) => {
-                    heard.push(Heard::Bad { client: number, fault });
+                    heard.push(Heard::Bad {
+                        client: number,
+                        fault,
+                    });
                     client.stop_hearing()?;
                     return Ok(client.link.readable);
                 }
             };
-            let Frame { kind, stream, payload } = read;
+            let Frame {
+                kind,
+                stream,
+                payload,
+            } = read;
             let size = frame::HEAD + payload.len();
             let new = stream > client.last_stream;
             let bad = match kind {
@@ -383,13 +433,20 @@
                     client.reply(stream, frame::NACKED)?;
                     None
                 }
-                frame::ASK if new && client.open.len() < OPEN => match frame::request(payload, who) {
+                frame::ASK if new && client.open.len() < OPEN => match frame::request(payload, who)
+                {
                     Ok(request) => {
                         *lookups = lookups.wrapping_add(1).max(1);
                         client.open.push((stream, *lookups));
                         let from = client.from;
                         let request = spare.place(request);
-                        heard.push(Heard::Asked { lookup: *lookups, client: number, from, stream, request });
+                        heard.push(Heard::Asked {
+                            lookup: *lookups,
+                            client: number,
+                            from,
+                            stream,
+                            request,
+                        });
                         None
                     }
                     Err(fault) => Some(fault),
@@ -401,7 +458,10 @@
                 }
                 frame::READY => {
                     let (code, fields) = (u8::from(!ready), ready_fields);
-                    client.put(&frame::head(frame::IS_READY, stream, Some(code), Some(fields), 0), &[])?;
+                    client.put(
+                        &frame::head(frame::IS_READY, stream, Some(code), Some(fields), 0),
+                        &[],
+                    )?;
                     None
                 }
                 _ => Some(frame::Fault::Unreadable("type")),
@@ -409,9 +469,16 @@
             client.link.inbound.drop_front(size);
             (client.spoke, client.unfinished, client.used_at) = (true, None, now);
             let asked = kind == frame::ASK;
-            client.last_stream = if asked { client.last_stream.max(stream) } else { client.last_stream };
+            client.last_stream = if asked {
+                client.last_stream.max(stream)
+            } else {
+                client.last_stream
+            };
             if let Some(fault) = bad {
-                heard.push(Heard::Bad { client: number, fault });
+                heard.push(Heard::Bad {
+                    client: number,
+                    fault,
+                });
                 // A stream that had or will have its answer gets no other.
                 client.reply(if asked && new { stream } else { 0 }, frame::FAILED)?;
                 client.blame()?;
@@ -431,7 +498,9 @@
         now: Micros,
         poll: &Poll,
     ) {
-        let Some(client) = self.conns.get_mut(&number) else { return };
+        let Some(client) = self.conns.get_mut(&number) else {
+            return;
+        };
         if client.open.iter().all(|open| *open != (stream, lookup)) {
             return;
         }
@@ -452,7 +521,9 @@
 
     /// Counts a lookup that could not be used against its connection.
     pub fn blame(&mut self, number: u64, now: Micros, poll: &Poll) {
-        let Some(client) = self.conns.get_mut(&number) else { return };
+        let Some(client) = self.conns.get_mut(&number) else {
+            return;
+        };
         let done = client.blame();
         self.settle(number, done, now, poll);
     }
@@ -460,7 +531,9 @@
     /// After each step with a connection: the one place that ends one in good order, once all is written, and that
     /// notes whether one is stalled. Our side is shut first, and what still comes is dropped to the peer's end.
     fn settle(&mut self, number: u64, done: io::Result<()>, now: Micros, poll: &Poll) {
-        let Some(client) = self.conns.get_mut(&number) else { return };
+        let Some(client) = self.conns.get_mut(&number) else {
+            return;
+        };
         if done.and_then(|()| client.link.flush()).is_err() {
             return self.drop(number, poll);
         }
@@ -487,11 +560,18 @@
 
     /// Closes a connection; what it still had open has left.
     pub fn drop(&mut self, number: u64, poll: &Poll) {
-        let Some(client) = self.conns.remove(&number) else { return };
+        let Some(client) = self.conns.remove(&number) else {
+            return;
+        };
         if let Some(until) = client.draining {
             self.draining.remove(&(until, number));
         }
-        self.heard.extend(client.open.iter().map(|(_, lookup)| Heard::Left { lookup: *lookup }));
+        self.heard.extend(
+            client
+                .open
+                .iter()
+                .map(|(_, lookup)| Heard::Left { lookup: *lookup }),
+        );
         client.link.close(poll);
     }
 
@@ -501,10 +581,13 @@
     pub fn sweep(&mut self, now: Micros, poll: &mut Poll) {
         let numbers: Vec<u64> = self.conns.keys().copied().collect();
         for number in numbers {
-            let Some(client) = self.conns.get_mut(&number) else { continue };
+            let Some(client) = self.conns.get_mut(&number) else {
+                continue;
+            };
             if client.draining.is_some_and(|until| until <= now) {
                 self.drop(number, poll);
-            } else if let Some((_, before)) = client.stalled.filter(|s| s.0 + self.patience <= now) {
+            } else if let Some((_, before)) = client.stalled.filter(|s| s.0 + self.patience <= now)
+            {
                 let written = client.link.written;
                 client.stalled = Some((now, written));
                 if before == written {
@@ -512,8 +595,14 @@
                 }
             } else if client.muted {
                 continue;
-            } else if client.unfinished.is_some_and(|since| since + UNFINISHED <= now) {
-                self.heard.push(Heard::Bad { client: number, fault: frame::Fault::Unfinished });
+            } else if client
+                .unfinished
+                .is_some_and(|since| since + UNFINISHED <= now)
+            {
+                self.heard.push(Heard::Bad {
+                    client: number,
+                    fault: frame::Fault::Unfinished,
+                });
                 let done = client.stop_hearing();
                 self.settle(number, done, now, poll);
             } else if client.idle() && client.used_at + IDLE <= now {
@@ -532,8 +621,14 @@
         }
         self.closing = true;
         for number in numbers {
-            let Some(client) = self.conns.get_mut(&number) else { continue };
-            let done = if client.muted { Ok(()) } else { client.no_more() };
+            let Some(client) = self.conns.get_mut(&number) else {
+                continue;
+            };
+            let done = if client.muted {
+                Ok(())
+            } else {
+                client.no_more()
+            };
             self.settle(number, done, now, poll);
         }
     }
--- a/crates/proxy/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -23,7 +23,11 @@
         let socket = Rc::new(socket);
         socket.set_nonblocking(true)?;
         poll.watch_input(Rc::clone(&socket), Key::Datagrams)?;
-        Ok(Datagrams { socket, waits: false, unsent: 0 })
+        Ok(Datagrams {
+            socket,
+            waits: false,
+            unsent: 0,
+        })
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
--- a/crates/proxy/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -19,11 +19,20 @@
 impl Subscription {
     pub fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscription {
         let subscriber = Subscriber::new(plan.clone(), me.clone(), now, seed);
-        Subscription { plan, me, seed, subscriber, outputs: Vec::new(), panics: Vec::new() }
+        Subscription {
+            plan,
+            me,
+            seed,
+            subscriber,
+            outputs: Vec::new(),
+            panics: Vec::new(),
+        }
     }
 
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) {
-        self.step(now, |subscriber, outputs| subscriber.receive(now, bytes, outputs));
+        self.step(now, |subscriber, outputs| {
+            subscriber.receive(now, bytes, outputs)
+        });
     }
 
     pub fn tick(&mut self, now: Micros) {
@@ -35,7 +44,9 @@
     /// Where a step panics, what it knew is not to be relied on.
     fn step(&mut self, now: Micros, step: impl FnOnce(&mut Subscriber, &mut Vec<Output>)) {
         let (subscriber, outputs) = (&mut self.subscriber, &mut self.outputs);
-        let Err(panic) = catch_panic(|| step(subscriber, outputs)) else { return };
+        let Err(panic) = catch_panic(|| step(subscriber, outputs)) else {
+            return;
+        };
         self.panics.push(panic);
         self.restart(now);
     }
@@ -43,7 +54,8 @@
     /// Starts anew, without a lease, and fetches all that binds.
     pub fn restart(&mut self, now: Micros) {
         // What was to be sent would speak for the former start.
-        self.outputs.retain(|output| matches!(output, Output::Apply(_)));
+        self.outputs
+            .retain(|output| matches!(output, Output::Apply(_)));
         self.me.incarnation = self.me.incarnation.saturating_add(1).max(now.max(0) as u64);
         self.subscriber = Subscriber::new(self.plan.clone(), self.me.clone(), now, self.seed);
     }
--- a/crates/proxy/src/net/fronts.rs
+++ b/crates/proxy/src/net/fronts.rs
@@ -64,11 +64,16 @@
             plan.listen = datagrams.address()?;
             plan.advertise = plan.listen;
         }
-        let me = Me { name: name.into(), version: env!("CARGO_PKG_VERSION").into(), start: now as u64 };
+        let me = Me {
+            name: name.into(),
+            version: env!("CARGO_PKG_VERSION").into(),
+            start: now as u64,
+        };
         let alone = plan.contacts.iter().all(|to| *to == plan.advertise);
         let advertised = plan.advertise;
         let view = View::new(plan, me, now, seed);
-        let replica = shared.map(|shared| Replica::new(shared.plan.clone(), name, now as u64, now, seed));
+        let replica =
+            shared.map(|shared| Replica::new(shared.plan.clone(), name, now as u64, now, seed));
         let (acts, changes) = (Vec::new(), Vec::new());
         let mut fronts = Fronts {
             datagrams,
@@ -84,9 +89,20 @@
             advertised,
         };
         if let Some(replica) = &fronts.replica {
-            let ledger = if replica.ledger().is_some() { LEDGER } else { 0 };
+            let ledger = if replica.ledger().is_some() {
+                LEDGER
+            } else {
+                0
+            };
             // Short enough in any case.
-            fronts.view.put_value(now, Value { kind: SHARED, version: 1, bytes: vec![SHARES | ledger] });
+            fronts.view.put_value(
+                now,
+                Value {
+                    kind: SHARED,
+                    version: 1,
+                    bytes: vec![SHARES | ledger],
+                },
+            );
         }
         fronts.tell_fleet(now);
         Ok(fronts)
@@ -116,18 +132,23 @@
     pub fn next(&self) -> Micros {
         let replica = self.replica.iter().map(Replica::next);
         let subscription = self.subscription.iter().map(Subscription::next_wake);
-        replica.chain(subscription).fold(self.view.next(), Micros::min)
+        replica
+            .chain(subscription)
+            .fold(self.view.next(), Micros::min)
     }
 
     pub fn read(&mut self, now: Micros, poll: &mut Poll) {
         // First the clock: one that was stopped has to know that before it believes what came meanwhile.
         self.tick(now, poll);
-        let (view, replica, subscription) = (&mut self.view, &mut self.replica, &mut self.subscription);
+        let (view, replica, subscription) =
+            (&mut self.view, &mut self.replica, &mut self.subscription);
         let (acts, shared) = (&mut self.acts, &mut self.shared);
-        self.datagrams.read(|bytes| match (subscription.as_mut(), envelope::mark(bytes)) {
-            (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
-            _ => heard(view, replica, now, bytes, (acts, shared)),
-        });
+        self.datagrams.read(
+            |bytes| match (subscription.as_mut(), envelope::mark(bytes)) {
+                (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
+                _ => heard(view, replica, now, bytes, (acts, shared)),
+            },
+        );
         self.carry(now, poll);
     }
 
@@ -137,7 +158,9 @@
         let (acts, shared) = (&mut self.acts, &mut self.shared);
         let heard = |bytes: &[u8]| heard(view, replica, now, bytes, (acts, shared));
         let failed = self.streams.handle(number, ready, now, poll, heard);
-        failed.into_iter().for_each(|to| self.view.unstreamed(now, to));
+        failed
+            .into_iter()
+            .for_each(|to| self.view.unstreamed(now, to));
         self.carry(now, poll);
     }
 
@@ -145,7 +168,9 @@
         if now >= self.view.next() {
             self.view.tick(now, &mut self.acts);
             let failed = self.streams.tick(now, poll);
-            failed.into_iter().for_each(|to| self.view.unstreamed(now, to));
+            failed
+                .into_iter()
+                .for_each(|to| self.view.unstreamed(now, to));
         }
         if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next()) {
             replica.tick(now, &mut self.shared);
@@ -157,7 +182,10 @@
     }
 
     /// One step with what is shared, if anything is.
-    pub fn share<T>(&mut self, step: impl FnOnce(&mut Replica, &mut Vec<replica::Act>) -> T) -> Option<T> {
+    pub fn share<T>(
+        &mut self,
+        step: impl FnOnce(&mut Replica, &mut Vec<replica::Act>) -> T,
+    ) -> Option<T> {
         let shared = &mut self.shared;
         self.replica.as_mut().map(|replica| step(replica, shared))
     }
@@ -183,7 +211,9 @@
 
     /// The view has changed: who there is, as what is shared needs to know.
     fn tell_fleet(&mut self, now: Micros) {
-        let Some(replica) = &mut self.replica else { return };
+        let Some(replica) = &mut self.replica else {
+            return;
+        };
         let peer = |(name, m): (&str, &Member)| Peer {
             name: name.into(),
             start: m.claim.start,
@@ -237,7 +267,9 @@
                     continue;
                 }
             };
-            let Some(address) = self.view.member(&to).and_then(Member::address) else { continue };
+            let Some(address) = self.view.member(&to).and_then(Member::address) else {
+                continue;
+            };
             if stream {
                 // Where none comes up it is found missing by the next comparison.
                 self.streams.send(address, &bytes, now, poll);
@@ -252,7 +284,9 @@
 /// What one says of itself that it shares.
 fn flags(member: &Member) -> u8 {
     let value = member.body.values.iter().find(|value| value.kind == SHARED);
-    value.and_then(|value| value.bytes.first().copied()).unwrap_or(0)
+    value
+        .and_then(|value| value.bytes.first().copied())
+        .unwrap_or(0)
 }
 
 /// By the first letters: what is about the view, and what is about what is shared.
@@ -278,7 +312,9 @@
         let socket = UdpSocket::bind(listen)?;
         match Streams::listen(socket.local_addr()?, poll) {
             Ok(streams) => return Ok((socket, streams)),
-            Err(e) if listen.port() == 0 && e.kind() == ErrorKind::AddrInUse && tries < TRIES => tries += 1,
+            Err(e) if listen.port() == 0 && e.kind() == ErrorKind::AddrInUse && tries < TRIES => {
+                tries += 1
+            }
             Err(e) => return Err(e),
         }
     }
--- a/crates/proxy/src/net/journal.rs
+++ b/crates/proxy/src/net/journal.rs
@@ -33,8 +33,15 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Hosts { complete: bool, members: Vec<Member> },
-    Purge { object: Option<u64>, group: u32, stamp: Micros },
+    Hosts {
+        complete: bool,
+        members: Vec<Member>,
+    },
+    Purge {
+        object: Option<u64>,
+        group: u32,
+        stamp: Micros,
+    },
 }
 
 /// A line of the journal: the number of the event, and what it brings, if anything.
@@ -65,16 +72,24 @@
         address,
         locality: text("locality").to_string(),
         flavor: text("flavor").to_string(),
-        cell: value["cell"].as_u64().and_then(|c| u16::try_from(c).ok()).unwrap_or(0),
+        cell: value["cell"]
+            .as_u64()
+            .and_then(|c| u16::try_from(c).ok())
+            .unwrap_or(0),
         standing,
         size: value["size"].as_f64().filter(|s| *s > 0.0).unwrap_or(1.0),
-        up_since: value["up_since_ms"].as_f64().map_or(0, |ms| (ms * 1e3) as Micros),
+        up_since: value["up_since_ms"]
+            .as_f64()
+            .map_or(0, |ms| (ms * 1e3) as Micros),
     })
 }
 
 pub fn entry(value: &Value) -> Result<Line, String> {
     if let Some(pos) = value.as_u64() {
-        return Ok(Line { pos: Some(pos), change: None });
+        return Ok(Line {
+            pos: Some(pos),
+            change: None,
+        });
     }
     let pos = value["pos"].as_u64();
     if !value.is_object() {
@@ -83,18 +98,27 @@
     let change = if let Some(hosts) = value.get("hosts") {
         let members = hosts["members"].as_array().ok_or("hosts without members")?;
         let members = members.iter().map(member).collect::<Result<_, _>>()?;
-        Some(Change::Hosts { complete: hosts["complete"].as_bool().unwrap_or(false), members })
+        Some(Change::Hosts {
+            complete: hosts["complete"].as_bool().unwrap_or(false),
+            members,
+        })
     } else if let Some(expire) = value.get("expire") {
         let stamp = expire["stamp"].as_f64().ok_or("purge without a stamp")?;
         let object = match expire["name"].as_str() {
-            Some(name) => Some(u64::from_str_radix(name, 16).map_err(|_| format!("purge of {name:?}"))?),
+            Some(name) => {
+                Some(u64::from_str_radix(name, 16).map_err(|_| format!("purge of {name:?}"))?)
+            }
             None => None,
         };
         let group = expire["set"].as_u64().and_then(|g| u32::try_from(g).ok());
         if object.is_none() && group.is_none() {
             return Err("purge of nothing".into());
         }
-        Some(Change::Purge { object, group: group.unwrap_or(0), stamp: (stamp * 1e3) as Micros })
+        Some(Change::Purge {
+            object,
+            group: group.unwrap_or(0),
+            stamp: (stamp * 1e3) as Micros,
+        })
     } else {
         None
     };
@@ -139,11 +163,20 @@
 
     /// One that is behind from the start on, until the service has said that there is nothing more.
     pub fn unheard(address: SocketAddr, last: u64, since: Micros) -> Journal {
-        Journal { behind: Some(since), ..Journal::new(address, last) }
+        Journal {
+            behind: Some(since),
+            ..Journal::new(address, last)
+        }
     }
 
     /// Goes on at another address, from the last event had.
-    pub fn move_to(&mut self, address: SocketAddr, now: Micros, poll: &mut Poll, news: &mut Vec<News>) {
+    pub fn move_to(
+        &mut self,
+        address: SocketAddr,
+        now: Micros,
+        poll: &mut Poll,
+        news: &mut Vec<News>,
+    ) {
         if address != self.address {
             self.address = address;
             self.lose("moved", poll, news);
@@ -170,7 +203,9 @@
         let key = Key::Journal(poll.key());
         match poll.connect(self.address, key, (LINE, 64)) {
             Ok(mut link) => {
-                let hello = link.outbound.put(format!("tail {}\n", self.last).as_bytes());
+                let hello = link
+                    .outbound
+                    .put(format!("tail {}\n", self.last).as_bytes());
                 debug_assert!(hello.is_ok());
                 self.link = Some((key, link));
             }
@@ -189,8 +224,17 @@
         }
     }
 
-    pub fn handle(&mut self, key: Key, ready: Readiness, now: Micros, poll: &mut Poll, news: &mut Vec<News>) {
-        let Some((_, mut link)) = self.link.take_if(|(k, _)| *k == key) else { return };
+    pub fn handle(
+        &mut self,
+        key: Key,
+        ready: Readiness,
+        now: Micros,
+        poll: &mut Poll,
+        news: &mut Vec<News>,
+    ) {
+        let Some((_, mut link)) = self.link.take_if(|(k, _)| *k == key) else {
+            return;
+        };
         link.heard(ready);
         let alive = self.read(&mut link, now, poll, news);
         self.link = Some((key, link));
@@ -260,7 +304,10 @@
         let missed = pos.is_some_and(|pos| pos > self.last + u64::from(change.is_some()));
         if missed && self.missing < AGAIN {
             self.missing += 1;
-            return Err(io::Error::other(format!("something behind {} is missing", self.last)));
+            return Err(io::Error::other(format!(
+                "something behind {} is missing",
+                self.last
+            )));
         }
         if change.is_none() && pos == Some(self.last) {
             self.behind = None;
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -94,9 +94,21 @@
 impl Poll {
     pub fn new(events: &EventLoop<'static, Gathered>) -> io::Result<Poll> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        epoll::add(&epoll, events, epoll::EventData::new_u64(LIBRARY), epoll::EventFlags::IN)?;
+        epoll::add(
+            &epoll,
+            events,
+            epoll::EventData::new_u64(LIBRARY),
+            epoll::EventFlags::IN,
+        )?;
         let (handle, tally, told) = (events.handle(), Tally::default(), Vec::with_capacity(TOLD));
-        Ok(Poll { handle, tally, calls: Rc::default(), next: 0, epoll, told })
+        Ok(Poll {
+            handle,
+            tally,
+            calls: Rc::default(),
+            next: 0,
+            epoll,
+            told,
+        })
     }
 
     /// Waits until something is ready, at most so long; true where the library has something to gather.
@@ -104,7 +116,10 @@
         add(&self.calls.waits, 1);
         // Whole milliseconds, upwards: the call that takes less is not there on all kernels, nor under tools.
         let most = most.as_micros().div_ceil(1000) as i64;
-        let most = Timespec { tv_sec: most / 1000, tv_nsec: most % 1000 * 1_000_000 };
+        let most = Timespec {
+            tv_sec: most / 1000,
+            tv_nsec: most % 1000 * 1_000_000,
+        };
         self.told.clear();
         match epoll::wait(&self.epoll, spare_capacity(&mut self.told), Some(&most)) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
@@ -118,9 +133,17 @@
                 continue;
             };
             let any = |of: epoll::EventFlags| flags.intersects(of);
-            let error = any(epoll::EventFlags::ERR | epoll::EventFlags::HUP | epoll::EventFlags::RDHUP);
+            let error =
+                any(epoll::EventFlags::ERR | epoll::EventFlags::HUP | epoll::EventFlags::RDHUP);
             let (readable, writable) = (any(epoll::EventFlags::IN), any(epoll::EventFlags::OUT));
-            gathered.push((key, Readiness { readable, writable, error }));
+            gathered.push((
+                key,
+                Readiness {
+                    readable,
+                    writable,
+                    error,
+                },
+            ));
         }
         Ok(library)
     }
@@ -136,7 +159,11 @@
     }
 
     /// The same for what is never waited on for room: each datagram that leaves would be told of.
-    pub fn watch_input<F: AsFd + 'static>(&self, file: F, key: Key) -> io::Result<RegistrationToken> {
+    pub fn watch_input<F: AsFd + 'static>(
+        &self,
+        file: F,
+        key: Key,
+    ) -> io::Result<RegistrationToken> {
         self.watch_for(file, key, Interest::READ)
     }
 
@@ -152,7 +179,9 @@
             gathered.push((key, ready));
             Ok(PostAction::Continue)
         };
-        self.handle.insert_source(source, tell).map_err(|e| io::Error::other(e.error.to_string()))
+        self.handle
+            .insert_source(source, tell)
+            .map_err(|e| io::Error::other(e.error.to_string()))
     }
 
     pub fn unwatch(&self, token: RegistrationToken) {
@@ -173,7 +202,11 @@
         key: Key,
         most: (usize, usize),
     ) -> io::Result<Link> {
-        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if address.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         add(&self.calls.connections, 2);
         let socket = socket_with(family, SocketType::STREAM, flags, None)?;
@@ -196,7 +229,10 @@
         let flags = epoll::EventFlags::IN | epoll::EventFlags::OUT | epoll::EventFlags::RDHUP;
         let data = epoll::EventData::new_u64(key.data());
         epoll::add(&self.epoll, &stream, data, flags | epoll::EventFlags::ET)?;
-        let (inbound, outbound) = (Ring::new(most.0, &self.tally), Ring::new(most.1, &self.tally));
+        let (inbound, outbound) = (
+            Ring::new(most.0, &self.tally),
+            Ring::new(most.1, &self.tally),
+        );
         let calls = Rc::clone(&self.calls);
         Ok(Link {
             stream,
@@ -263,7 +299,10 @@
     /// and the next is told anew; but the end of a peer that was told already is not told again.
     fn piece(&mut self) -> io::Result<Option<usize>> {
         add(&self.calls.reads, 1);
-        match self.inbound.read(self.expected, |into| (&self.stream).read(into)) {
+        match self
+            .inbound
+            .read(self.expected, |into| (&self.stream).read(into))
+        {
             Ok((n, most)) => {
                 self.readable &= n > 0 && (n == most || self.ending);
                 Ok(Some(n))
@@ -287,7 +326,10 @@
         let mut done = 0;
         while self.writable && (done < body.len() || !self.outbound.is_empty()) {
             add(&self.calls.writes, 1);
-            let pieces = [IoSlice::new(self.outbound.whole()), IoSlice::new(&body[done..])];
+            let pieces = [
+                IoSlice::new(self.outbound.whole()),
+                IoSlice::new(&body[done..]),
+            ];
             match (&self.stream).write_vectored(&pieces) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => {
--- a/crates/proxy/src/net/operators.rs
+++ b/crates/proxy/src/net/operators.rs
@@ -36,7 +36,11 @@
         let listener = UnixListener::bind(path)?;
         listener.set_nonblocking(true)?;
         poll.watch(listener.try_clone()?, Key::Operators)?;
-        Ok(Operators { path: path.to_path_buf(), listener, open: BTreeMap::new() })
+        Ok(Operators {
+            path: path.to_path_buf(),
+            listener,
+            open: BTreeMap::new(),
+        })
     }
 
     pub fn accept(&mut self, poll: &mut Poll) {
@@ -46,14 +50,24 @@
             }
             let (number, stream) = (poll.key(), Rc::new(stream));
             if let Ok(token) = poll.watch(Rc::clone(&stream), Key::Operator(number)) {
-                self.open.insert(number, Operator { stream, token, word: Vec::new(), answer: None });
+                self.open.insert(
+                    number,
+                    Operator {
+                        stream,
+                        token,
+                        word: Vec::new(),
+                        answer: None,
+                    },
+                );
             }
         }
     }
 
     /// Something can be read or written; `tell` gives the text for a word.
     pub fn handle(&mut self, number: u64, poll: &Poll, tell: impl FnOnce(&str) -> String) {
-        let Some(operator) = self.open.get_mut(&number) else { return };
+        let Some(operator) = self.open.get_mut(&number) else {
+            return;
+        };
         if !matches!(operator.step(tell), Ok(false)) {
             self.drop(number, poll);
         }
@@ -83,7 +97,9 @@
             let text = tell(String::from_utf8_lossy(&self.word[..end]).trim());
             self.answer = Some((text.into_bytes(), 0));
         }
-        let Some((text, written)) = &mut self.answer else { return Ok(false) };
+        let Some((text, written)) = &mut self.answer else {
+            return Ok(false);
+        };
         while *written < text.len() {
             match (&*self.stream).write(&text[*written..]) {
                 Ok(0) => return Ok(true),
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -45,7 +45,14 @@
         let listener = TcpListener::bind(at)?;
         listener.set_nonblocking(true)?;
         poll.watch(listener.try_clone()?, Key::Chunks)?;
-        Ok(Streams { listener, from: at.ip(), open: BTreeMap::new(), opened: 0, lost: 0, full: 0 })
+        Ok(Streams {
+            listener,
+            from: at.ip(),
+            open: BTreeMap::new(),
+            opened: 0,
+            lost: 0,
+            full: 0,
+        })
     }
 
     pub fn accept(&mut self, now: Micros, poll: &mut Poll) {
@@ -56,14 +63,27 @@
             }
             let number = poll.key();
             if let Ok(link) = poll.link(stream, Key::Stream(number), (RING, RING)) {
-                self.open.insert(number, Stream { link, to: None, up: true, moved: now, written: 0 });
+                self.open.insert(
+                    number,
+                    Stream {
+                        link,
+                        to: None,
+                        up: true,
+                        moved: now,
+                        written: 0,
+                    },
+                );
             }
         }
     }
 
     /// Whether it goes: where no more streams may be opened, or a full one waits, the piece is dropped.
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8], now: Micros, poll: &mut Poll) -> bool {
-        let known = self.open.iter().find(|(_, s)| s.to == Some(to)).map(|(number, _)| *number);
+        let known = self
+            .open
+            .iter()
+            .find(|(_, s)| s.to == Some(to))
+            .map(|(number, _)| *number);
         let number = match known {
             Some(number) => number,
             None => match self.begin(to, now, poll) {
@@ -71,7 +91,9 @@
                 None => return false,
             },
         };
-        let Some(stream) = self.open.get_mut(&number) else { return false };
+        let Some(stream) = self.open.get_mut(&number) else {
+            return false;
+        };
         if stream.link.outbound.room() < HEAD + bytes.len() {
             self.full += 1;
             return false;
@@ -81,15 +103,26 @@
         }
         let head = (bytes.len() as u32).to_le_bytes();
         // There is room for both.
-        stream.link.outbound.put(&head).and_then(|()| stream.link.outbound.put(bytes)).is_ok()
+        stream
+            .link
+            .outbound
+            .put(&head)
+            .and_then(|()| stream.link.outbound.put(bytes))
+            .is_ok()
             && (!stream.up || stream.link.flush().is_ok())
     }
 
     fn begin(&mut self, to: SocketAddr, now: Micros, poll: &mut Poll) -> Option<u64> {
         if self.open.values().filter(|s| s.to.is_some()).count() >= OUT {
             // The one that was of no use for longest gives way: with many fronts each talks to another all the time.
-            let idle = |s: &&Stream| s.to.is_some() && s.up && s.link.outbound.is_empty() && s.link.quiet();
-            let least = self.open.iter().filter(|(_, s)| idle(s)).min_by_key(|(_, s)| s.moved);
+            let idle = |s: &&Stream| {
+                s.to.is_some() && s.up && s.link.outbound.is_empty() && s.link.quiet()
+            };
+            let least = self
+                .open
+                .iter()
+                .filter(|(_, s)| idle(s))
+                .min_by_key(|(_, s)| s.moved);
             let Some(number) = least.map(|(number, _)| *number) else {
                 self.full += 1;
                 return None;
@@ -98,9 +131,20 @@
         }
         let number = poll.key();
         // From the address that others know, so that whoever stands between can tell who it is.
-        let link = poll.connect_from(Some(self.from), to, Key::Stream(number), (RING, RING)).ok()?;
+        let link = poll
+            .connect_from(Some(self.from), to, Key::Stream(number), (RING, RING))
+            .ok()?;
         self.opened += 1;
-        self.open.insert(number, Stream { link, to: Some(to), up: false, moved: now, written: 0 });
+        self.open.insert(
+            number,
+            Stream {
+                link,
+                to: Some(to),
+                up: false,
+                moved: now,
+                written: 0,
+            },
+        );
         Some(number)
     }
 
@@ -145,8 +189,14 @@
             };
             now - s.moved > patience
         };
-        let over: Vec<u64> = self.open.iter_mut().filter_map(|(n, s)| over(s).then_some(*n)).collect();
-        over.into_iter().filter_map(|number| self.drop(number, poll)).collect()
+        let over: Vec<u64> = self
+            .open
+            .iter_mut()
+            .filter_map(|(n, s)| over(s).then_some(*n))
+            .collect();
+        over.into_iter()
+            .filter_map(|number| self.drop(number, poll))
+            .collect()
     }
 }
 
@@ -184,7 +234,9 @@
     /// Of the next piece, where all of it is there.
     fn length(&self) -> io::Result<Option<usize>> {
         let bytes = self.link.inbound.whole();
-        let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = bytes.first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*head) as usize;
         if length > CHUNK_MOST {
             return Err(ErrorKind::InvalidData.into());
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -37,10 +37,15 @@
     let settings = RelaySettings::load(path).map_err(|faulty| faulty.to_string())?;
     let mut events = crate::event_loop()?;
     let level = Shown::new(slog::Level::Info);
-    let logging = Log::start(settings.own.log, level, o!("relay" => settings.name().to_string()));
+    let logging = Log::start(
+        settings.own.log,
+        level,
+        o!("relay" => settings.name().to_string()),
+    );
     let log = logging.logger.clone();
     crate::log_panics(&log);
-    let ended = Relay::new(settings, &events, log.clone()).and_then(|mut relay| relay.run(&mut events));
+    let ended =
+        Relay::new(settings, &events, log.clone()).and_then(|mut relay| relay.run(&mut events));
     let ended = ended.map_err(|e| {
         crit!(log, "ended"; "error" => %e);
         e.to_string()
@@ -77,19 +82,31 @@
 }
 
 impl Relay {
-    fn new(settings: RelaySettings, events: &EventLoop<'static, Gathered>, log: Logger) -> io::Result<Relay> {
+    fn new(
+        settings: RelaySettings,
+        events: &EventLoop<'static, Gathered>,
+        log: Logger,
+    ) -> io::Result<Relay> {
         let poll = Poll::new(events)?;
         let clock = Clock::start();
         let now = clock.now();
         let socket = UdpSocket::bind(settings.fleet.listen)?;
         enlarge(&socket);
         let datagrams = Datagrams::new(socket, &poll)?;
-        let operators = settings.own.socket.as_ref().map(|path| Operators::listen(Path::new(path), &poll));
+        let operators = settings
+            .own
+            .socket
+            .as_ref()
+            .map(|path| Operators::listen(Path::new(path), &poll));
         let publish = settings.relay.publish.as_ref();
         let journal = publish.map(|publish| Journal::unheard(publish.journal, publish.after, now));
         let mut feed = Feed::new(&settings, now);
         feed.behind(journal.as_ref().and_then(Journal::behind));
-        let role = if publish.is_some() { "publisher" } else { "relay" };
+        let role = if publish.is_some() {
+            "publisher"
+        } else {
+            "relay"
+        };
         info!(log, "listening"; "at" => %datagrams.address()?, "role" => role,
             "relays" => settings.events.relays.len());
         Ok(Relay {
@@ -113,7 +130,9 @@
         let mut gathered = Gathered::new();
         while !self.ending {
             if self.poll.wait(self.pause(), &mut gathered)? {
-                events.dispatch(Some(Duration::ZERO), &mut gathered).map_err(io::Error::other)?;
+                events
+                    .dispatch(Some(Duration::ZERO), &mut gathered)
+                    .map_err(io::Error::other)?;
             }
             let now = self.clock.now();
             if self.datagrams.waits() {
@@ -133,8 +152,12 @@
         if self.datagrams.waits() {
             return Duration::ZERO;
         }
-        let next =
-            self.report_at.iter().fold(self.feed.next_wake().min(self.tick_at), |next, at| next.min(*at));
+        let next = self
+            .report_at
+            .iter()
+            .fold(self.feed.next_wake().min(self.tick_at), |next, at| {
+                next.min(*at)
+            });
         let pause = next - self.clock.now();
         Duration::from_micros(pause.max(0) as u64)
     }
@@ -143,12 +166,18 @@
         match key {
             Key::Datagrams => {
                 let (feed, outputs) = (&mut self.feed, &mut self.outputs);
-                self.datagrams.read(|bytes| feed.receive(now, bytes, outputs));
+                self.datagrams
+                    .read(|bytes| feed.receive(now, bytes, outputs));
             }
             Key::Journal(_) => {
-                self.follow(now, |journal, poll, news| journal.handle(key, ready, now, poll, news));
+                self.follow(now, |journal, poll, news| {
+                    journal.handle(key, ready, now, poll, news)
+                });
             }
-            Key::Operators => self.operators.iter_mut().for_each(|o| o.accept(&mut self.poll)),
+            Key::Operators => self
+                .operators
+                .iter_mut()
+                .for_each(|o| o.accept(&mut self.poll)),
             Key::Operator(number) => self.answer_operator(number, now),
             Key::Reload => self.reload(),
             Key::Report => self.report(now).log(&self.log),
@@ -179,13 +208,19 @@
 
     /// One step with the journal service, and what it told.
     fn follow(&mut self, now: Micros, step: impl FnOnce(&mut Journal, &mut Poll, &mut Vec<News>)) {
-        let Some(journal) = &mut self.journal else { return };
+        let Some(journal) = &mut self.journal else {
+            return;
+        };
         let mut news = Vec::new();
         step(journal, &mut self.poll, &mut news);
         let behind = journal.behind();
         for news in news {
             match news {
-                Ok(Change::Purge { object, group, stamp }) => {
+                Ok(Change::Purge {
+                    object,
+                    group,
+                    stamp,
+                }) => {
                     // Of both, the object is meant.
                     let key = object.map_or(PurgeKey::Group(group), PurgeKey::Object);
                     self.feed.publish(now, Event::Purge(Purge { key, stamp }));
@@ -217,7 +252,11 @@
             name: self.settings.name().to_string(),
             upstream: self.feed.upstream(now),
             done_age,
-            behind: self.journal.as_ref().and_then(Journal::behind).map(|since| now - since),
+            behind: self
+                .journal
+                .as_ref()
+                .and_then(Journal::behind)
+                .map(|since| now - since),
             in_force: self.progress.in_force,
             unsent: self.datagrams.unsent,
             status,
@@ -236,7 +275,9 @@
     }
 
     fn answer_operator(&mut self, number: u64, now: Micros) {
-        let Some(mut operators) = self.operators.take() else { return };
+        let Some(mut operators) = self.operators.take() else {
+            return;
+        };
         let tell = |word: &str| match word {
             "fleet events" => self.report(now).table(now),
             "fleet events json" => self.report(now).json(now),
@@ -250,8 +291,10 @@
     /// Checks the file as it stands now; all of it waits for the next start.
     fn reload(&mut self) {
         match self.settings.again() {
-            Err(faulty) => error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
-                "what" => &faulty.what),
+            Err(faulty) => {
+                error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
+                "what" => &faulty.what)
+            }
             Ok(fresh) => {
                 info!(self.log, "settings read again");
                 for key in self.settings.differs(&fresh) {
@@ -272,7 +315,12 @@
     fn new(now: Micros) -> Progress {
         // From five milliseconds to some minutes.
         let took = Histogram::new(exponential_buckets(0.005, 2.0, 17));
-        Progress { done: None, at: now, in_force: 0, took }
+        Progress {
+            done: None,
+            at: now,
+            in_force: 0,
+            took,
+        }
     }
 
     fn in_force(&mut self, took: Micros) {
@@ -288,9 +336,18 @@
 
     /// For how long `done` has not got on, while something published is not in force everywhere; none where nothing is
     /// published here.
-    fn age(&self, now: Micros, done: Option<LogPosition>, published: Option<LogPosition>) -> Option<Micros> {
+    fn age(
+        &self,
+        now: Micros,
+        done: Option<LogPosition>,
+        published: Option<LogPosition>,
+    ) -> Option<Micros> {
         let done = done?;
         let all = Some(done) == published;
-        Some(if all || Some(done) != self.done { 0 } else { now - self.at })
+        Some(if all || Some(done) != self.done {
+            0
+        } else {
+            now - self.at
+        })
     }
 }
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -45,7 +45,9 @@
 
     /// Between two reports in the log.
     pub(super) fn report_every(&self) -> Option<Micros> {
-        self.own.report_every.map(|seconds| (seconds * MICROS_PER_S) as Micros)
+        self.own
+            .report_every
+            .map(|seconds| (seconds * MICROS_PER_S) as Micros)
     }
 
     /// The keys that a later file tells otherwise.
@@ -54,12 +56,18 @@
         let keys = [
             ("log.form", own.log != other.log),
             ("operators.socket", own.socket != other.socket),
-            ("operators.report_every_s", own.report_every != other.report_every),
+            (
+                "operators.report_every_s",
+                own.report_every != other.report_every,
+            ),
             ("fleet", self.fleet != fresh.fleet),
             ("fleet.region", own.region != other.region),
             ("fleet.events", self.events != fresh.events),
             ("fleet.relay", self.relay != fresh.relay),
         ];
-        keys.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+        keys.into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(key, _)| key)
+            .collect()
     }
 }
--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -41,19 +41,30 @@
         // From a millisecond to a minute and more.
         let lags: fn() -> Histogram = || Histogram::new(exponential_buckets(0.001, 2.0, 17));
         let purge_lags = lags();
-        let (waits, lags) = (Family::new_with_constructor(histogram), Family::new_with_constructor(lags));
-        Metrics { waits, lags, purge_lags }
+        let (waits, lags) = (
+            Family::new_with_constructor(histogram),
+            Family::new_with_constructor(lags),
+        );
+        Metrics {
+            waits,
+            lags,
+            purge_lags,
+        }
     }
 }
 
 impl Metrics {
     pub fn waited(&self, tenant: &str, seconds: f64) {
-        self.waits.get_or_create(&vec![("tenant".into(), tenant.into())]).observe(seconds);
+        self.waits
+            .get_or_create(&vec![("tenant".into(), tenant.into())])
+            .observe(seconds);
     }
 
     /// How old something was that another front told of.
     pub fn lagged(&self, kind: &str, seconds: f64) {
-        self.lags.get_or_create(&vec![("kind".into(), kind.into())]).observe(seconds);
+        self.lags
+            .get_or_create(&vec![("kind".into(), kind.into())])
+            .observe(seconds);
     }
 
     /// How old a purge was, by its stamp, when it was put in force.
@@ -123,30 +134,65 @@
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
         let report = &self.0;
         let mut gauge = |name: &str, help: &str, values: Vec<(Labels, f64)>| {
-            let mut metric =
-                encoder.encode_descriptor(name, help, None, prometheus_client::metrics::MetricType::Gauge)?;
-            values
-                .iter()
-                .try_for_each(|(labels, value)| ConstGauge::new(*value).encode(metric.encode_family(labels)?))
+            let mut metric = encoder.encode_descriptor(
+                name,
+                help,
+                None,
+                prometheus_client::metrics::MetricType::Gauge,
+            )?;
+            values.iter().try_for_each(|(labels, value)| {
+                ConstGauge::new(*value).encode(metric.encode_family(labels)?)
+            })
         };
         let tenant = |name: &str| vec![("tenant".to_string(), name.to_string())];
         let all = |value: f64| vec![(Labels::new(), value)];
-        gauge("limit", "Lookups that may be inside", all(report.concurrency_limit))?;
-        gauge("overdue", "Lookups inside that no longer count", all(report.overdue as f64))?;
-        gauge("booked", "Turns that are booked", all(report.reserved as f64))?;
+        gauge(
+            "limit",
+            "Lookups that may be inside",
+            all(report.concurrency_limit),
+        )?;
+        gauge(
+            "overdue",
+            "Lookups inside that no longer count",
+            all(report.overdue as f64),
+        )?;
+        gauge(
+            "booked",
+            "Turns that are booked",
+            all(report.reserved as f64),
+        )?;
         let of = |value: fn(&TenantReport) -> f64| {
-            report.tenants.iter().map(|t| (tenant(&t.name), value(t))).collect::<Vec<_>>()
+            report
+                .tenants
+                .iter()
+                .map(|t| (tenant(&t.name), value(t)))
+                .collect::<Vec<_>>()
         };
         gauge("waiting", "Lookups that wait", of(|t| f64::from(t.waiting)))?;
-        gauge("inside", "Lookups that are inside", of(|t| f64::from(t.in_flight)))?;
+        gauge(
+            "inside",
+            "Lookups that are inside",
+            of(|t| f64::from(t.in_flight)),
+        )?;
         let talkers = report.tenants.iter().flat_map(|t| {
             let named = |client_report: &ClientReport| {
                 let client = ("client".to_string(), client_report.address.to_string());
-                ([tenant(&t.name), vec![client]].concat(), f64::from(client_report.recent_lookups))
+                (
+                    [tenant(&t.name), vec![client]].concat(),
+                    f64::from(client_report.recent_lookups),
+                )
             };
-            t.heaviest_clients.iter().take(NAMED).map(named).collect::<Vec<_>>()
+            t.heaviest_clients
+                .iter()
+                .take(NAMED)
+                .map(named)
+                .collect::<Vec<_>>()
         });
-        gauge("heard", "Recent lookups of the loudest clients", talkers.collect())?;
+        gauge(
+            "heard",
+            "Recent lookups of the loudest clients",
+            talkers.collect(),
+        )?;
         let mut counter = |name: &str, help: &str, values: Vec<(Labels, u64)>| {
             let mut metric = encoder.encode_descriptor(
                 name,
@@ -159,18 +205,29 @@
             })
         };
         let of = |value: fn(&TenantCounters) -> u64| {
-            report.tenants.iter().map(|t| (tenant(&t.name), value(&t.counters))).collect::<Vec<_>>()
+            report
+                .tenants
+                .iter()
+                .map(|t| (tenant(&t.name), value(&t.counters)))
+                .collect::<Vec<_>>()
         };
         counter("offered", "Lookups read", of(|t| t.offered))?;
         counter("let_in", "Lookups let in", of(|t| t.admitted))?;
         counter("waited", "Lookups that had to wait", of(|t| t.waited))?;
         counter("satisfied", "Lookups satisfied", of(|t| t.satisfied))?;
-        counter("told_a_turn", "Lookups turned away with a booked turn", of(|t| t.reserved))?;
+        counter(
+            "told_a_turn",
+            "Lookups turned away with a booked turn",
+            of(|t| t.reserved),
+        )?;
         let away = report.tenants.iter().flat_map(|t| {
-            RejectReason::ALL.into_iter().zip(t.counters.rejected).map(|(why, count)| {
-                let why = ("why".to_string(), why.to_string());
-                ([tenant(&t.name), vec![why]].concat(), count)
-            })
+            RejectReason::ALL
+                .into_iter()
+                .zip(t.counters.rejected)
+                .map(|(why, count)| {
+                    let why = ("why".to_string(), why.to_string());
+                    ([tenant(&t.name), vec![why]].concat(), count)
+                })
         });
         counter("turned_away", "Lookups turned away", away.collect())?;
         let bookings = [
@@ -178,8 +235,13 @@
             ("missed", report.reservations_expired),
             ("none", report.reservations_refused),
         ];
-        let bookings = bookings.map(|(what, n)| (vec![("outcome".to_string(), what.to_string())], n));
-        counter("bookings", "Booked turns by what became of them", bookings.to_vec())
+        let bookings =
+            bookings.map(|(what, n)| (vec![("outcome".to_string(), what.to_string())], n));
+        counter(
+            "bookings",
+            "Booked turns by what became of them",
+            bookings.to_vec(),
+        )
     }
 }
 
@@ -211,11 +273,13 @@
         "with a turn",
     ];
     let row = |text: &mut String, cells: &[String]| {
-        let line =
-            cells
-                .iter()
-                .enumerate()
-                .map(|(at, c)| if at == 0 { format!("{c:<20}") } else { format!("{c:>12}") });
+        let line = cells.iter().enumerate().map(|(at, c)| {
+            if at == 0 {
+                format!("{c:<20}")
+            } else {
+                format!("{c:>12}")
+            }
+        });
         text.push_str(line.collect::<String>().trim_end());
         text.push('\n');
     };
@@ -253,9 +317,15 @@
         "kept" => report.reservations_redeemed, "missed" => report.reservations_expired,
         "unbooked" => report.reservations_refused);
     for t in &report.tenants {
-        let loudest =
-            t.heaviest_clients.iter().take(NAMED).map(|c| format!("{}:{}", c.address, c.recent_lookups));
-        let away = RejectReason::ALL.into_iter().zip(t.counters.rejected).filter(|(_, n)| *n > 0);
+        let loudest = t
+            .heaviest_clients
+            .iter()
+            .take(NAMED)
+            .map(|c| format!("{}:{}", c.address, c.recent_lookups));
+        let away = RejectReason::ALL
+            .into_iter()
+            .zip(t.counters.rejected)
+            .filter(|(_, n)| *n > 0);
         info!(log, "door, tenant"; "name" => &t.name, "waiting" => t.waiting, "inside" => t.in_flight,
             "offered" => t.counters.offered, "let_in" => t.counters.admitted, "satisfied" => t.counters.satisfied,
             "turned_away" => away.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
--- a/crates/proxy/src/report/availability.rs
+++ b/crates/proxy/src/report/availability.rs
@@ -15,7 +15,9 @@
 
 impl Seen {
     pub fn new(availability: &Availability) -> Seen {
-        Seen { outage_since: availability.outage_since().map(|since| since as f64 / 1e6) }
+        Seen {
+            outage_since: availability.outage_since().map(|since| since as f64 / 1e6),
+        }
     }
 }
 
@@ -26,8 +28,16 @@
             ConstGauge::new(value).encode(metric)
         };
         let outage = f64::from(u8::from(self.outage_since.is_some()));
-        gauge("serves_nobody", "Whether lookups come and no machine takes a request", outage)?;
+        gauge(
+            "serves_nobody",
+            "Whether lookups come and no machine takes a request",
+            outage,
+        )?;
         let help = "Since when, in Unix time; 0 where the front serves";
-        gauge("serves_nobody_since_seconds", help, self.outage_since.unwrap_or(0.0))
+        gauge(
+            "serves_nobody_since_seconds",
+            help,
+            self.outage_since.unwrap_or(0.0),
+        )
     }
 }
--- a/crates/proxy/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -28,15 +28,23 @@
 impl SubscriptionReport<'_> {
     /// None where nothing is subscribed to.
     pub fn new(fronts: &Fronts) -> Option<SubscriptionReport<'_>> {
-        fronts.subscription.is_some().then_some(SubscriptionReport { fronts })
+        fronts
+            .subscription
+            .is_some()
+            .then_some(SubscriptionReport { fronts })
     }
 
     fn status(&self, now: Micros) -> Option<SubscriberStatus> {
-        self.fronts.subscription.as_ref().map(|subscription| subscription.status(now))
+        self.fronts
+            .subscription
+            .as_ref()
+            .map(|subscription| subscription.status(now))
     }
 
     pub fn table(&self, now: Micros) -> String {
-        let Some(status) = self.status(now) else { return String::new() };
+        let Some(status) = self.status(now) else {
+            return String::new();
+        };
         let mut table = Table::default();
         subscriber_rows(&mut table, &status, now);
         counter_rows(&mut table, &status.counters);
@@ -45,7 +53,9 @@
     }
 
     pub fn json(&self, now: Micros) -> String {
-        let Some(status) = self.status(now) else { return String::new() };
+        let Some(status) = self.status(now) else {
+            return String::new();
+        };
         let mut all = subscriber_json(&status, now);
         all["role"] = "front".into();
         all["unsent"] = self.fronts.datagrams.unsent.into();
@@ -53,10 +63,18 @@
     }
 
     pub fn metrics(&self, now: Micros) -> Seen {
-        let Some(status) = self.status(now) else { return Seen { counters: Vec::new(), gauges: Vec::new() } };
+        let Some(status) = self.status(now) else {
+            return Seen {
+                counters: Vec::new(),
+                gauges: Vec::new(),
+            };
+        };
         let mut counters = counter_metrics(&[(UPSTREAM, &status.counters)]);
         counters.push(unsent_metric(self.fronts.datagrams.unsent));
-        Seen { counters, gauges: subscriber_gauges(&status) }
+        Seen {
+            counters,
+            gauges: subscriber_gauges(&status),
+        }
     }
 }
 
@@ -96,7 +114,10 @@
             table.row("done age", &self.done_age.map_or("-".into(), milliseconds));
             table.row("behind", &self.behind.map_or("-".into(), milliseconds));
         }
-        table.row("subscribers", &format!("{}, {} with a lease", status.subscribers, status.leased));
+        table.row(
+            "subscribers",
+            &format!("{}, {} with a lease", status.subscribers, status.leased),
+        );
         for late in &status.late {
             table.row("late", &late_text(late, status.head));
         }
@@ -131,12 +152,24 @@
     pub fn metrics(&self) -> Seen {
         let status = &self.status;
         let mut sides = vec![(SUBSCRIBERS, &status.counters)];
-        sides.extend(self.upstream.iter().map(|upstream| (UPSTREAM, &upstream.counters)));
+        sides.extend(
+            self.upstream
+                .iter()
+                .map(|upstream| (UPSTREAM, &upstream.counters)),
+        );
         let mut counters = counter_metrics(&sides);
         counters.push(unsent_metric(self.unsent));
         let mut gauges = vec![
-            gauge("subscribers", "Subscribers that are served", status.subscribers as f64),
-            gauge("leased", "Subscribers that hold a lease", status.leased as f64),
+            gauge(
+                "subscribers",
+                "Subscribers that are served",
+                status.subscribers as f64,
+            ),
+            gauge(
+                "leased",
+                "Subscribers that hold a lease",
+                status.leased as f64,
+            ),
             gauge(
                 "late",
                 "Subscribers that lag or have lost their lease, up to a bound",
@@ -147,7 +180,11 @@
                 "Bytes of events that are kept for those who come back",
                 status.window_bytes as f64,
             ),
-            gauge("head", "Events of this epoch that are known", status.head.position as f64),
+            gauge(
+                "head",
+                "Events of this epoch that are known",
+                status.head.position as f64,
+            ),
             gauge(
                 "acknowledged",
                 "Events that all holders of a lease have applied",
@@ -157,12 +194,25 @@
         ];
         if let Some(done) = status.done {
             let age = self.done_age.unwrap_or(0);
-            gauges.push(gauge("done", "Events that are in force everywhere", done.position as f64));
-            let help = "For how long done has not got on while something is not in force everywhere";
+            gauges.push(gauge(
+                "done",
+                "Events that are in force everywhere",
+                done.position as f64,
+            ));
+            let help =
+                "For how long done has not got on while something is not in force everywhere";
             gauges.push(gauge("done_age_seconds", help, seconds(age)));
             let help = "For how long the journal service may have kept events back";
-            gauges.push(gauge("behind_seconds", help, seconds(self.behind.unwrap_or(0))));
-            counters.push(("in_force", "Events put in force everywhere", single(self.in_force)));
+            gauges.push(gauge(
+                "behind_seconds",
+                help,
+                seconds(self.behind.unwrap_or(0)),
+            ));
+            counters.push((
+                "in_force",
+                "Events put in force everywhere",
+                single(self.in_force),
+            ));
         }
         if let Some(upstream) = &self.upstream {
             gauges.extend(upstream_gauges(upstream));
@@ -173,7 +223,12 @@
     /// As a line of the log.
     pub fn log(&self, log: &Logger) {
         let status = &self.status;
-        let late = status.late.iter().map(|late| late.name.as_str()).collect::<Vec<_>>().join(" ");
+        let late = status
+            .late
+            .iter()
+            .map(|late| late.name.as_str())
+            .collect::<Vec<_>>()
+            .join(" ");
         info!(log, "events"; "head" => position(Some(status.head)),
             "acknowledged" => position(Some(status.acknowledged)), "done" => position(status.done),
             "subscribers" => status.subscribers, "leased" => status.leased, "late" => late,
@@ -194,15 +249,27 @@
 
 fn subscriber_rows(table: &mut Table, status: &SubscriberStatus, now: Micros) {
     table.row("relay", &status.relay);
-    table.row("epoch", &status.at.map_or("-".into(), |at| at.epoch.0.to_string()));
+    table.row(
+        "epoch",
+        &status.at.map_or("-".into(), |at| at.epoch.0.to_string()),
+    );
     table.row("position", &position(status.head));
     table.row("watermark", &position(status.at));
     table.row("lag", &format!("{} events", lag(status)));
     table.row(
         "lease",
-        &status.lease_left.map_or("none".into(), |left| format!("{} left", milliseconds(left))),
+        &status
+            .lease_left
+            .map_or("none".into(), |left| format!("{} left", milliseconds(left))),
+    );
+    table.row(
+        "snapshot",
+        if status.fetching_snapshot {
+            "being fetched"
+        } else {
+            "-"
+        },
     );
-    table.row("snapshot", if status.fetching_snapshot { "being fetched" } else { "-" });
     table.row("purges", &status.purges.to_string());
     table.row("floor", &floor(status.floor, now));
 }
@@ -210,13 +277,29 @@
 fn counter_rows(table: &mut Table, counters: &Counters) {
     let datagrams = |count: u64, bytes: u64| format!("{count} datagrams, {bytes} bytes");
     table.row("sent", &datagrams(counters.sent, counters.sent_bytes));
-    table.row("received", &datagrams(counters.received, counters.received_bytes));
+    table.row(
+        "received",
+        &datagrams(counters.received, counters.received_bytes),
+    );
     for (name, count) in counts(counters) {
         table.row(name, &count.to_string());
     }
-    let rejected = Rejected::ALL.iter().zip(counters.rejected).filter(|(_, count)| *count > 0);
-    let rejected: Vec<String> = rejected.map(|(why, count)| format!("{} {count}", why.name())).collect();
-    table.row("rejected", if rejected.is_empty() { "-".into() } else { rejected.join(", ") }.as_str());
+    let rejected = Rejected::ALL
+        .iter()
+        .zip(counters.rejected)
+        .filter(|(_, count)| *count > 0);
+    let rejected: Vec<String> = rejected
+        .map(|(why, count)| format!("{} {count}", why.name()))
+        .collect();
+    table.row(
+        "rejected",
+        if rejected.is_empty() {
+            "-".into()
+        } else {
+            rejected.join(", ")
+        }
+        .as_str(),
+    );
 }
 
 fn counts(counters: &Counters) -> [(&'static str, u64); 8] {
@@ -243,8 +326,9 @@
 
 fn counters_json(counters: &Counters) -> Value {
     let rejected = Rejected::ALL.iter().zip(counters.rejected);
-    let rejected: serde_json::Map<String, Value> =
-        rejected.map(|(why, count)| (why.name().to_string(), count.into())).collect();
+    let rejected: serde_json::Map<String, Value> = rejected
+        .map(|(why, count)| (why.name().to_string(), count.into()))
+        .collect();
     let mut all = json!({
         "sent": counters.sent, "sent_bytes": counters.sent_bytes, "received": counters.received,
         "received_bytes": counters.received_bytes, "rejected": rejected,
@@ -258,11 +342,19 @@
 fn late_text(late: &FedStatus, head: LogPosition) -> String {
     let behind = late.acknowledged.filter(|at| at.epoch == head.epoch);
     let behind = behind.map_or("of another epoch".into(), |at| {
-        format!("{} events behind", head.position.saturating_sub(at.position))
+        format!(
+            "{} events behind",
+            head.position.saturating_sub(at.position)
+        )
     });
-    let lease =
-        late.lease_left.map_or("no lease".into(), |left| format!("lease {} left", milliseconds(left)));
-    format!("{}: {behind}, {lease}, heard {} ago", late.name, milliseconds(late.heard_ago))
+    let lease = late.lease_left.map_or("no lease".into(), |left| {
+        format!("lease {} left", milliseconds(left))
+    });
+    format!(
+        "{}: {behind}, {lease}, heard {} ago",
+        late.name,
+        milliseconds(late.heard_ago)
+    )
 }
 
 fn late_json(late: &FedStatus) -> Value {
@@ -271,22 +363,35 @@
 }
 
 fn position(at: Option<LogPosition>) -> String {
-    at.map_or("-".into(), |at| format!("{} of epoch {}", at.position, at.epoch.0))
+    at.map_or("-".into(), |at| {
+        format!("{} of epoch {}", at.position, at.epoch.0)
+    })
 }
 
 fn position_json(at: Option<LogPosition>) -> Value {
-    at.map_or(Value::Null, |at| json!({"epoch": at.epoch.0, "position": at.position}))
+    at.map_or(
+        Value::Null,
+        |at| json!({"epoch": at.epoch.0, "position": at.position}),
+    )
 }
 
 /// Events that the relay has told of and that are not applied.
 fn lag(status: &SubscriberStatus) -> u64 {
     let Some(head) = status.head else { return 0 };
-    let applied = status.at.filter(|at| at.epoch == head.epoch).map_or(0, |at| at.position);
+    let applied = status
+        .at
+        .filter(|at| at.epoch == head.epoch)
+        .map_or(0, |at| at.position);
     head.position.saturating_sub(applied)
 }
 
 fn floor(floor: Option<Micros>, now: Micros) -> String {
-    floor.map_or("-".into(), |floor| format!("copies older than {} are refused", milliseconds(now - floor)))
+    floor.map_or("-".into(), |floor| {
+        format!(
+            "copies older than {} are refused",
+            milliseconds(now - floor)
+        )
+    })
 }
 
 fn milliseconds(span: Micros) -> String {
@@ -310,20 +415,28 @@
 }
 
 fn unsent_metric(unsent: u64) -> Named<u64> {
-    ("unsent", "Datagrams that the kernel did not take", single(unsent))
+    (
+        "unsent",
+        "Datagrams that the kernel did not take",
+        single(unsent),
+    )
 }
 
 /// The counts of both sides of a member: towards its subscribers, and towards the relay that it follows.
 fn counter_metrics(sides: &[(&str, &Counters)]) -> Vec<Named<u64>> {
     let labels = |side: &str| vec![("side".to_string(), side.to_string())];
     let count = |name, help, of: fn(&Counters) -> u64| {
-        let values = sides.iter().map(|(side, counters)| (labels(side), of(counters)));
+        let values = sides
+            .iter()
+            .map(|(side, counters)| (labels(side), of(counters)));
         (name, help, values.collect::<Vec<_>>())
     };
     let rejected = sides.iter().flat_map(|(side, counters)| {
         let why = |why: &Rejected| ("why".to_string(), why.name().to_string());
         let reasons = Rejected::ALL.iter().zip(counters.rejected);
-        reasons.map(|(reason, count)| ([labels(side), vec![why(reason)]].concat(), count)).collect::<Vec<_>>()
+        reasons
+            .map(|(reason, count)| ([labels(side), vec![why(reason)]].concat(), count))
+            .collect::<Vec<_>>()
     });
     vec![
         count("datagrams_sent", "Datagrams sent", |c| c.sent),
@@ -334,20 +447,39 @@
         count("batches", "Batches of events", |c| c.batches),
         count("gaps", "Batches with a gap before them", |c| c.gaps),
         count("resent", "Batches sent again", |c| c.resent),
-        count("resumptions", "Snapshots fetched, or handed out", |c| c.snapshots),
-        count("switches", "Times that another relay was asked", |c| c.switches),
-        count("lapses", "Leases that ended and were not renewed", |c| c.lapses),
-        count("busy", "Subscribers that were told to come later", |c| c.busy),
+        count("resumptions", "Snapshots fetched, or handed out", |c| {
+            c.snapshots
+        }),
+        count("switches", "Times that another relay was asked", |c| {
+            c.switches
+        }),
+        count("lapses", "Leases that ended and were not renewed", |c| {
+            c.lapses
+        }),
+        count("busy", "Subscribers that were told to come later", |c| {
+            c.busy
+        }),
         ("rejected", "Datagrams dropped", rejected.collect()),
     ]
 }
 
 fn subscriber_gauges(status: &SubscriberStatus) -> Vec<Named<f64>> {
-    let (at, head) = (status.at.unwrap_or_default(), status.head.unwrap_or_default());
+    let (at, head) = (
+        status.at.unwrap_or_default(),
+        status.head.unwrap_or_default(),
+    );
     let mut gauges = upstream_gauges(status);
     gauges.extend([
-        gauge("head", "Events of its epoch that it was told of", head.position as f64),
-        gauge("watermark", "Events of its epoch that it has applied", at.position as f64),
+        gauge(
+            "head",
+            "Events of its epoch that it was told of",
+            head.position as f64,
+        ),
+        gauge(
+            "watermark",
+            "Events of its epoch that it has applied",
+            at.position as f64,
+        ),
         gauge("purges", "Purges that are kept", status.purges as f64),
     ]);
     gauges
@@ -355,10 +487,26 @@
 
 fn upstream_gauges(status: &SubscriberStatus) -> Vec<Named<f64>> {
     vec![
-        gauge("lag", "Events that it was told of and has not applied", lag(status) as f64),
-        gauge("lease_held", "1 while it holds a lease", flag(status.lease_left.is_some())),
-        gauge("lease_left_seconds", "What is left of its lease", seconds(status.lease_left.unwrap_or(0))),
-        gauge("fetching_snapshot", "1 while a snapshot is fetched", flag(status.fetching_snapshot)),
+        gauge(
+            "lag",
+            "Events that it was told of and has not applied",
+            lag(status) as f64,
+        ),
+        gauge(
+            "lease_held",
+            "1 while it holds a lease",
+            flag(status.lease_left.is_some()),
+        ),
+        gauge(
+            "lease_left_seconds",
+            "What is left of its lease",
+            seconds(status.lease_left.unwrap_or(0)),
+        ),
+        gauge(
+            "fetching_snapshot",
+            "1 while a snapshot is fetched",
+            flag(status.fetching_snapshot),
+        ),
     ]
 }
 
@@ -371,12 +519,16 @@
         Notice::Lapsed { relay } => {
             warn!(log, "lease lapsed: the age of copies is bounded"; "relay" => relay)
         }
-        Notice::Switched { from, to } => warn!(log, "turned to another relay"; "from" => from, "to" => to),
+        Notice::Switched { from, to } => {
+            warn!(log, "turned to another relay"; "from" => from, "to" => to)
+        }
         Notice::SnapshotBegun { relay } => info!(log, "snapshot begun"; "relay" => relay),
         Notice::SnapshotDone { purges, took, at } => {
             info!(log, "snapshot done"; "purges" => purges, "took_us" => took, "at" => position(Some(*at)))
         }
-        Notice::NewEpoch { at } => warn!(log, "new epoch of the publisher"; "at" => position(Some(*at))),
+        Notice::NewEpoch { at } => {
+            warn!(log, "new epoch of the publisher"; "at" => position(Some(*at)))
+        }
         Notice::FloorRaised { floor } => {
             error!(log, "no room for all purges: copies from before this stamp are refused"; "stamp_us" => floor)
         }
--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -37,7 +37,9 @@
 
 pub fn table(view: &View, now: Micros) -> String {
     let mut text = String::new();
-    let settled = view.settled_since().map_or("no".to_string(), |at| format!("{} s", (now - at) / 1_000_000));
+    let settled = view.settled_since().map_or("no".to_string(), |at| {
+        format!("{} s", (now - at) / 1_000_000)
+    });
     let (own, body) = view.own();
     // Writing to a text cannot fail.
     let _ = writeln!(
@@ -47,7 +49,9 @@
         view.here(),
         view.health()
     );
-    let head = ["who", "state", "since_s", "by", "rtt_ms", "zone", "weight", "version", "address", "start"];
+    let head = [
+        "who", "state", "since_s", "by", "rtt_ms", "zone", "weight", "version", "address", "start",
+    ];
     let mut rows = vec![head.map(str::to_string)];
     rows.push([
         format!("{} (this)", view.name()),
@@ -67,7 +71,9 @@
             state(member).into(),
             ((now - member.since) / 1_000_000).to_string(),
             by(member),
-            member.round_trip.map_or(String::new(), |us| format!("{:.1}", us / 1000.0)),
+            member
+                .round_trip
+                .map_or(String::new(), |us| format!("{:.1}", us / 1000.0)),
             member.body.zone.clone(),
             member.body.weight.to_string(),
             member.body.version.clone(),
@@ -75,11 +81,15 @@
             member.claim.start.to_string(),
         ]);
     }
-    let widths: Vec<usize> =
-        (0..head.len()).map(|at| rows.iter().map(|row| row[at].len()).max().unwrap_or(0)).collect();
+    let widths: Vec<usize> = (0..head.len())
+        .map(|at| rows.iter().map(|row| row[at].len()).max().unwrap_or(0))
+        .collect();
     for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"))
+            .collect();
         let _ = writeln!(text, "{}", cells.join("  ").trim_end());
     }
     text
@@ -124,31 +134,83 @@
         let counts = &view.counts;
         let one = |n: u64| vec![(Vec::new(), n)];
         let label = |key: &str, value: &str| vec![(key.to_string(), value.to_string())];
-        let dropped = counts.dropped.iter().map(|(why, n)| (label("why", why.name()), *n)).collect();
-        let spent = counts.spent.iter().map(|(what, n)| (label("for", what), *n)).collect();
+        let dropped = counts
+            .dropped
+            .iter()
+            .map(|(why, n)| (label("why", why.name()), *n))
+            .collect();
+        let spent = counts
+            .spent
+            .iter()
+            .map(|(what, n)| (label("for", what), *n))
+            .collect();
         let states = ["alive", "joining", "suspected", "dead", "left"];
         let of = |name: &str| view.members().filter(|(_, m)| state(m) == name).count() as f64;
         Seen {
             counters: vec![
                 ("probes", "Probes sent", one(counts.probes)),
-                ("failures", "Probes that nobody answered", one(counts.failures)),
-                ("suspicions", "Suspicions by this front's own probes", one(counts.suspicions)),
-                ("refutations", "Times that this front spoke up for itself", one(counts.refutations)),
+                (
+                    "failures",
+                    "Probes that nobody answered",
+                    one(counts.failures),
+                ),
+                (
+                    "suspicions",
+                    "Suspicions by this front's own probes",
+                    one(counts.suspicions),
+                ),
+                (
+                    "refutations",
+                    "Times that this front spoke up for itself",
+                    one(counts.refutations),
+                ),
                 ("deaths", "Deaths called by this front", one(counts.deaths)),
                 ("datagrams_heard", "Datagrams heard", one(counts.heard)),
                 ("bytes_heard", "Bytes heard", one(counts.heard_bytes)),
                 ("datagrams_sent", "Datagrams sent", one(counts.sent)),
-                ("bytes_sent", "Bytes sent, by what they were sent for", spent),
-                ("held_back", "Parts of an exchange that waited for bytes a second", one(counts.held_back)),
-                ("unsent", "Datagrams that the kernel did not take", one(fronts.datagrams.unsent)),
-                ("chunks_sent", "Parts of an exchange sent over streams", one(counts.chunks)),
-                ("streams_opened", "Streams opened to other fronts", one(streams.opened)),
-                ("streams_lost", "Streams that ended with something unsent", one(streams.lost)),
-                ("streams_full", "Parts and streams for which there was no room", one(streams.full)),
+                (
+                    "bytes_sent",
+                    "Bytes sent, by what they were sent for",
+                    spent,
+                ),
+                (
+                    "held_back",
+                    "Parts of an exchange that waited for bytes a second",
+                    one(counts.held_back),
+                ),
+                (
+                    "unsent",
+                    "Datagrams that the kernel did not take",
+                    one(fronts.datagrams.unsent),
+                ),
+                (
+                    "chunks_sent",
+                    "Parts of an exchange sent over streams",
+                    one(counts.chunks),
+                ),
+                (
+                    "streams_opened",
+                    "Streams opened to other fronts",
+                    one(streams.opened),
+                ),
+                (
+                    "streams_lost",
+                    "Streams that ended with something unsent",
+                    one(streams.lost),
+                ),
+                (
+                    "streams_full",
+                    "Parts and streams for which there was no room",
+                    one(streams.full),
+                ),
                 ("dropped", "Datagrams and records dropped", dropped),
             ],
             gauges: vec![
-                ("members", "Members by state", states.map(|s| (label("state", s), of(s))).to_vec()),
+                (
+                    "members",
+                    "Members by state",
+                    states.map(|s| (label("state", s), of(s))).to_vec(),
+                ),
                 (
                     "health",
                     "How far this front doubts its own eyes",
@@ -157,7 +219,10 @@
                 (
                     "settled_since_seconds",
                     "Unix time at which the view last changed, 0 while it is not settled",
-                    vec![(Vec::new(), view.settled_since().map_or(0.0, |at| at as f64 / 1e6))],
+                    vec![(
+                        Vec::new(),
+                        view.settled_since().map_or(0.0, |at| at as f64 / 1e6),
+                    )],
                 ),
             ],
         }
--- a/crates/proxy/src/report/shared.rs
+++ b/crates/proxy/src/report/shared.rs
@@ -26,7 +26,11 @@
         map.digest(),
         map.len(),
         yes(replica.caught_up()),
-        if replica.ledger().is_some() { yes(replica.vouches()) } else { "no ledger" },
+        if replica.ledger().is_some() {
+            yes(replica.vouches())
+        } else {
+            "no ledger"
+        },
         replica.waiting_news(),
     );
     let _ = writeln!(
@@ -35,7 +39,11 @@
         "kind", "records", "bytes", "oldest_s", "as news", "repaired"
     );
     for (number, held) in map.held().iter().filter(|(_, held)| held.entries > 0) {
-        let until = map.iter().filter(|(key, _)| key.kind == *number).map(|(_, e)| e.until).min();
+        let until = map
+            .iter()
+            .filter(|(key, _)| key.kind == *number)
+            .map(|(_, e)| e.until)
+            .min();
         let left = until.map_or(0, |until| (until - now) / 1_000_000);
         let count = |of: &BTreeMap<u32, u64>| of.get(number).copied().unwrap_or(0);
         let (news, repaired) = (count(&counts.news), count(&counts.repaired));
@@ -49,7 +57,9 @@
         );
     }
     for (key, entry) in map.of_kind(Kind::Machine) {
-        let Some((id, start, phase, _)) = kinds::read_machine(key, entry) else { continue };
+        let Some((id, start, phase, _)) = kinds::read_machine(key, entry) else {
+            continue;
+        };
         let phases = ["ready", "draining", "gone"];
         let said = replica.journal_said(&id);
         if said != Some((start, phase)) {
@@ -69,9 +79,17 @@
     let kinds: serde_json::Map<String, serde_json::Value> = map
         .held()
         .iter()
-        .map(|(number, held)| (kind(*number), json!({"records": held.entries, "bytes": held.bytes})))
+        .map(|(number, held)| {
+            (
+                kind(*number),
+                json!({"records": held.entries, "bytes": held.bytes}),
+            )
+        })
+        .collect();
+    let roots: Vec<String> = Tree::ALL
+        .into_iter()
+        .map(|tree| format!("{:016x}", map.root(tree)))
         .collect();
-    let roots: Vec<String> = Tree::ALL.into_iter().map(|tree| format!("{:016x}", map.root(tree))).collect();
     json!({"digest": format!("{:016x}", map.digest()), "roots": roots, "records": map.len(),
         "caught_up": replica.caught_up(), "vouches": replica.vouches(), "kinds": kinds})
     .to_string()
@@ -103,7 +121,9 @@
         let body = claim
             .body
             .as_ref()
-            .map_or("no answer kept".to_string(), |b| format!("answer of {} bytes", b.len()));
+            .map_or("no answer kept".to_string(), |b| {
+                format!("answer of {} bytes", b.len())
+            });
         let _ = writeln!(
             text,
             "{}: {} (since {}), first {} ms ago, its client's time ended {} ms ago, {body}",
@@ -130,11 +150,29 @@
     let (map, counts) = (replica.map(), &replica.counts);
     let one = |n: u64| vec![(Vec::new(), n)];
     let label = |key: &str, value: &str| -> Labels { vec![(key.to_string(), value.to_string())] };
-    let by_kind = |of: &BTreeMap<u32, u64>| of.iter().map(|(k, n)| (label("kind", &kind(*k)), *n)).collect();
-    let spent = counts.spent.iter().map(|(what, n)| (label("for", what.name()), *n)).collect();
-    let dropped = counts.dropped.iter().map(|(why, n)| (label("why", why.name()), *n)).collect();
-    let differed = vec![(label("stands", "others"), counts.won), (label("stands", "own"), counts.lost)];
-    let ledger = replica.ledger().map(|ledger| ledger.counts.clone()).unwrap_or_default();
+    let by_kind = |of: &BTreeMap<u32, u64>| {
+        of.iter()
+            .map(|(k, n)| (label("kind", &kind(*k)), *n))
+            .collect()
+    };
+    let spent = counts
+        .spent
+        .iter()
+        .map(|(what, n)| (label("for", what.name()), *n))
+        .collect();
+    let dropped = counts
+        .dropped
+        .iter()
+        .map(|(why, n)| (label("why", why.name()), *n))
+        .collect();
+    let differed = vec![
+        (label("stands", "others"), counts.won),
+        (label("stands", "own"), counts.lost),
+    ];
+    let ledger = replica
+        .ledger()
+        .map(|ledger| ledger.counts.clone())
+        .unwrap_or_default();
     let words = [
         ("asked", ledger.asked),
         ("granted", ledger.granted),
@@ -147,20 +185,43 @@
         ("clashes", ledger.clashes),
     ];
     let held = |of: fn(&Held) -> usize| -> Vec<(Labels, f64)> {
-        map.held().iter().map(|(k, held)| (label("kind", &kind(*k)), of(held) as f64)).collect()
+        map.held()
+            .iter()
+            .map(|(k, held)| (label("kind", &kind(*k)), of(held) as f64))
+            .collect()
     };
     let flag = |flag: bool| vec![(Vec::new(), f64::from(u8::from(flag)))];
     Seen {
         counters: vec![
             ("news", "Records taken in as news", by_kind(&counts.news)),
-            ("repairs", "Records found missing by a comparison, or handed over", by_kind(&counts.repaired)),
-            ("differed", "Records that differed from one that was held, by whose stands", differed),
+            (
+                "repairs",
+                "Records found missing by a comparison, or handed over",
+                by_kind(&counts.repaired),
+            ),
+            (
+                "differed",
+                "Records that differed from one that was held, by whose stands",
+                differed,
+            ),
             ("messages_sent", "Messages sent", one(counts.sent)),
-            ("bytes_sent", "Bytes sent, by what they were sent for", spent),
+            (
+                "bytes_sent",
+                "Bytes sent, by what they were sent for",
+                spent,
+            ),
             ("bytes_heard", "Bytes heard", one(counts.heard_bytes)),
-            ("held_back", "Comparisons that waited for bytes a second", one(counts.held_back)),
+            (
+                "held_back",
+                "Comparisons that waited for bytes a second",
+                one(counts.held_back),
+            ),
             ("dropped", "Messages dropped", dropped),
-            ("displaced", "Records for which there was no room, or that made room", one(map.displaced)),
+            (
+                "displaced",
+                "Records for which there was no room, or that made room",
+                one(map.displaced),
+            ),
             (
                 "ledger",
                 "Keyed lookups, by what became of them at the ledger",
@@ -169,13 +230,21 @@
         ],
         gauges: vec![
             ("records", "Records held", held(|held| held.entries)),
-            ("record_bytes", "Bytes of names and values held", held(|held| held.bytes)),
+            (
+                "record_bytes",
+                "Bytes of names and values held",
+                held(|held| held.bytes),
+            ),
             (
                 "caught_up",
                 "1 once this front holds all that others held at its start",
                 flag(replica.caught_up()),
             ),
-            ("vouches", "1 while this front decides on effects", flag(replica.vouches())),
+            (
+                "vouches",
+                "1 while this front decides on effects",
+                flag(replica.vouches()),
+            ),
             (
                 "news_waiting",
                 "Records still to be told on",
--- a/crates/proxy/src/ring.rs
+++ b/crates/proxy/src/ring.rs
@@ -34,7 +34,8 @@
         let spare = &mut self.spare.borrow_mut()[usize::from(size >= LARGE)];
         let fits = |b: &Vec<u8>| b.len() >= size && b.len() <= most;
         let at = spare.iter().position(fits);
-        at.and_then(|at| spare.remove(at)).unwrap_or_else(|| vec![0; size])
+        at.and_then(|at| spare.remove(at))
+            .unwrap_or_else(|| vec![0; size])
     }
 
     fn give(&self, buffer: Vec<u8>) {
@@ -60,7 +61,13 @@
 
 impl Ring {
     pub fn new(most: usize, tally: &Tally) -> Ring {
-        Ring { bytes: Vec::new(), start: 0, end: 0, most, tally: tally.clone() }
+        Ring {
+            bytes: Vec::new(),
+            start: 0,
+            end: 0,
+            most,
+            tally: tally.clone(),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -85,8 +92,10 @@
         } else {
             // Doubled, but never past the bound: many buffers that each wait for the end of a longest frame
             // would together hold twice what the bound allows for.
-            let size =
-                (self.len() + more).next_power_of_two().max(KEPT).min(self.most.max(self.len() + more));
+            let size = (self.len() + more)
+                .next_power_of_two()
+                .max(KEPT)
+                .min(self.most.max(self.len() + more));
             self.hold(size);
         }
         (self.start, self.end) = (0, self.len());
@@ -94,7 +103,11 @@
 
     /// Memory of another size, with what is held at its front. The places are the caller's to set.
     fn hold(&mut self, size: usize) {
-        let mut bytes = if size == 0 { Vec::new() } else { self.tally.take(size, self.most) };
+        let mut bytes = if size == 0 {
+            Vec::new()
+        } else {
+            self.tally.take(size, self.most)
+        };
         bytes[..self.len()].copy_from_slice(&self.bytes[self.start..self.end]);
         let now = self.tally.bytes.get() + bytes.len() - self.bytes.len();
         self.tally.bytes.set(now);
@@ -154,7 +167,9 @@
 
 impl Drop for Ring {
     fn drop(&mut self) {
-        self.tally.bytes.set(self.tally.bytes.get() - self.bytes.len());
+        self.tally
+            .bytes
+            .set(self.tally.bytes.get() - self.bytes.len());
         self.tally.give(std::mem::take(&mut self.bytes));
     }
 }
