--- a/crates/replication/src/kind.rs
+++ b/crates/replication/src/kind.rs
@@ -19,7 +19,13 @@
 
 impl Kind {
     /// All kinds that this build knows.
-    pub const ALL: [Kind; 5] = [Kind::Purge, Kind::Machine, Kind::Effect, Kind::Learned, Kind::Usage];
+    pub const ALL: [Kind; 5] = [
+        Kind::Purge,
+        Kind::Machine,
+        Kind::Effect,
+        Kind::Learned,
+        Kind::Usage,
+    ];
 
     /// The kind with this number on the wire.
     pub fn of(number: u32) -> Option<Kind> {
--- a/crates/replication/src/kinds.rs
+++ b/crates/replication/src/kinds.rs
@@ -14,7 +14,11 @@
         Some(object) => [&[b'o'][..], &object.to_be_bytes()].concat(),
         None => [&[b'g'][..], &group.to_be_bytes()].concat(),
     };
-    let entry = Entry { rank: (stamp.max(0) as u64, 0), value: Vec::new(), until: stamp + keep };
+    let entry = Entry {
+        rank: (stamp.max(0) as u64, 0),
+        value: Vec::new(),
+        until: stamp + keep,
+    };
     (Key::new(Kind::Purge, name), entry)
 }
 
@@ -53,16 +57,34 @@
 
 /// The record of a machine's phase: 0 ready, 1 draining, 2 gone. `start` is when its process started, in Unix time, as
 /// the journal service has it.
-pub fn machine(id: &str, start: Micros, phase: u8, machine: &Machine, until: Micros) -> (Key, Entry) {
+pub fn machine(
+    id: &str,
+    start: Micros,
+    phase: u8,
+    machine: &Machine,
+    until: Micros,
+) -> (Key, Entry) {
     let rank = (start.max(0) as u64, u64::from(phase));
-    (Key::new(Kind::Machine, id), Entry { rank, value: machine.encode_to_vec(), until })
+    (
+        Key::new(Kind::Machine, id),
+        Entry {
+            rank,
+            value: machine.encode_to_vec(),
+            until,
+        },
+    )
 }
 
 /// Reads a machine: id, start, phase and what else is known of it.
 pub fn read_machine(key: &Key, entry: &Entry) -> Option<(String, Micros, u8, Machine)> {
     let id = String::from_utf8(key.name.clone()).ok()?;
     let machine = Machine::decode(entry.value.as_slice()).ok()?;
-    Some((id, entry.rank.0 as Micros, entry.rank.1.min(2) as u8, machine))
+    Some((
+        id,
+        entry.rank.0 as Micros,
+        entry.rank.1.min(2) as u8,
+        machine,
+    ))
 }
 
 // Effects: each claim has one writer, and its state only advances. `ledger` decides what a key's claims say together.
@@ -155,13 +177,20 @@
     let mut name = effect_prefix(key);
     name.extend(id.0.to_be_bytes());
     name.extend(id.1.to_be_bytes());
-    let entry = Entry { rank: (ran as u64, 0), value: claim.encode_to_vec(), until };
+    let entry = Entry {
+        rank: (ran as u64, 0),
+        value: claim.encode_to_vec(),
+        until,
+    };
     (Key::new(Kind::Effect, name), entry)
 }
 
 /// Reads a claim and its state.
 pub fn read_effect(entry: &Entry) -> Option<(Ran, Claim)> {
-    Some((Ran::of(entry.rank.0)?, Claim::decode(entry.value.as_slice()).ok()?))
+    Some((
+        Ran::of(entry.rank.0)?,
+        Claim::decode(entry.value.as_slice()).ok()?,
+    ))
 }
 
 // Observations and usage: each record has one writer; its later start, then its later version, stands.
@@ -192,12 +221,23 @@
 pub fn sight(kind: Kind, what: &[u8], start: u64, sight: &Sight, until: Micros) -> (Key, Entry) {
     let mut name = sight_prefix(what);
     name.extend(sight.writer.bytes().take(WRITER_MOST));
-    (Key::new(kind, name), Entry { rank: (start, sight.at), value: sight.encode_to_vec(), until })
+    (
+        Key::new(kind, name),
+        Entry {
+            rank: (start, sight.at),
+            value: sight.encode_to_vec(),
+            until,
+        },
+    )
 }
 
 /// The beginning of the names of all observations of one subject: they are adjacent in the map.
 pub fn sight_prefix(what: &[u8]) -> Vec<u8> {
-    [&[what.len().min(LENGTH_MOST) as u8][..], &what[..what.len().min(SUBJECT_MOST)]].concat()
+    [
+        &[what.len().min(LENGTH_MOST) as u8][..],
+        &what[..what.len().min(SUBJECT_MOST)],
+    ]
+    .concat()
 }
 
 /// Reads an observation: its subject, and what was observed.
--- a/crates/replication/src/ledger/claims.rs
+++ b/crates/replication/src/ledger/claims.rs
@@ -40,7 +40,10 @@
         let first = claim.first as Micros;
         match state {
             Ran::Not => None,
-            Ran::Done => Some(Stand::Done { current: claim.current, body: claim.body }),
+            Ran::Done => Some(Stand::Done {
+                current: claim.current,
+                body: claim.body,
+            }),
             Ran::Asked | Ran::May if !abandoned => Some(Stand::Open { first }),
             Ran::Asked | Ran::May | Ran::Lost => Some(Stand::Lost { first }),
         }
@@ -62,7 +65,13 @@
 }
 
 /// What the claims of a key but `except` say together.
-pub fn stand(map: &Map, prefix: &[u8], except: Option<&Key>, electors: &Electors, now: Micros) -> Stand {
+pub fn stand(
+    map: &Map,
+    prefix: &[u8],
+    except: Option<&Key>,
+    electors: &Electors,
+    now: Micros,
+) -> Stand {
     let mut stand = Stand::Free;
     for (_, state, claim) in claims(map, prefix, except) {
         let abandoned = is_abandoned(&claim, electors, now);
@@ -81,13 +90,20 @@
     prefix: &'a [u8],
     except: Option<&'a Key>,
 ) -> impl Iterator<Item = (&'a Key, Ran, Claim)> {
-    let all = map.with_prefix(Kind::Effect, prefix).filter(move |(key, _)| Some(*key) != except);
-    all.filter_map(|(key, entry)| kinds::read_effect(entry).map(|(state, claim)| (key, state, claim)))
+    let all = map
+        .with_prefix(Kind::Effect, prefix)
+        .filter(move |(key, _)| Some(*key) != except);
+    all.filter_map(|(key, entry)| {
+        kinds::read_effect(entry).map(|(state, claim)| (key, state, claim))
+    })
 }
 
 /// The part of a claim's name that all claims of its key share.
 pub(super) fn shared_prefix(claim: &Key) -> &[u8] {
-    let length = claim.name.first().map_or(0, |length| usize::from(*length) + 1);
+    let length = claim
+        .name
+        .first()
+        .map_or(0, |length| usize::from(*length) + 1);
     &claim.name[..length.min(claim.name.len())]
 }
 
@@ -100,7 +116,9 @@
     /// The history of one key: the state of each of its claims, oldest first.
     pub fn story(map: &Map, key: &[u8]) -> Vec<(Ran, Claim)> {
         let prefix = kinds::effect_prefix(key);
-        let mut all: Vec<_> = claims(map, &prefix, None).map(|(_, state, claim)| (state, claim)).collect();
+        let mut all: Vec<_> = claims(map, &prefix, None)
+            .map(|(_, state, claim)| (state, claim))
+            .collect();
         all.sort_by_key(|(_, claim)| claim.first);
         all
     }
--- a/crates/replication/src/ledger/decision.rs
+++ b/crates/replication/src/ledger/decision.rs
@@ -90,8 +90,13 @@
 }
 
 impl Verdict {
-    const ALL: [Verdict; 5] =
-        [Verdict::Granted, Verdict::Held, Verdict::Differs, Verdict::NotYet, Verdict::Full];
+    const ALL: [Verdict; 5] = [
+        Verdict::Granted,
+        Verdict::Held,
+        Verdict::Differs,
+        Verdict::NotYet,
+        Verdict::Full,
+    ];
 
     /// The verdict with this number on the wire.
     pub(super) fn of(number: u32) -> Option<Verdict> {
--- a/crates/replication/src/ledger/electors.rs
+++ b/crates/replication/src/ledger/electors.rs
@@ -23,14 +23,25 @@
     /// The owners of a key by rendezvous hashing: the same on all fronts that have the same electors.
     pub fn owners(&self, key: &[u8], copies: usize) -> Vec<String> {
         let key = xxh3_64_with_seed(key, KEY_SEED);
-        let mut ranked: Vec<(u64, &String)> =
-            self.all.keys().map(|name| (xxh3_64_with_seed(name.as_bytes(), key), name)).collect();
+        let mut ranked: Vec<(u64, &String)> = self
+            .all
+            .keys()
+            .map(|name| (xxh3_64_with_seed(name.as_bytes(), key), name))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        ranked.into_iter().take(copies).map(|(_, name)| name.clone()).collect()
+        ranked
+            .into_iter()
+            .take(copies)
+            .map(|(_, name)| name.clone())
+            .collect()
     }
 
     /// Whether the process that holds a claim is alive; a later process of its name knows nothing of the claim.
     pub(super) fn is_holder_alive(&self, claim: &Claim) -> bool {
-        self.all.get(&claim.holder).copied().flatten().is_some_and(|start| start <= claim.start)
+        self.all
+            .get(&claim.holder)
+            .copied()
+            .flatten()
+            .is_some_and(|start| start <= claim.start)
     }
 }
--- a/crates/replication/src/ledger/lookup.rs
+++ b/crates/replication/src/ledger/lookup.rs
@@ -81,7 +81,9 @@
     /// When something is due.
     pub(super) fn due(&self) -> Option<Micros> {
         match &self.phase {
-            Phase::Requesting { until, retry_at, .. } => Some(*until.min(retry_at)),
+            Phase::Requesting {
+                until, retry_at, ..
+            } => Some(*until.min(retry_at)),
             Phase::Conflicted { retry_at } => Some(*retry_at),
             Phase::Waiting => Some(self.answer_by()),
             Phase::Admitted => None,
@@ -90,7 +92,13 @@
 
     /// What the claims of its key but its own say.
     pub(super) fn stand(&self, input: &StepInput) -> Stand {
-        stand(input.map, &self.prefix, self.claim_key.as_ref(), input.electors, input.now)
+        stand(
+            input.map,
+            &self.prefix,
+            self.claim_key.as_ref(),
+            input.electors,
+            input.now,
+        )
     }
 
     /// The record of its claim.
@@ -100,7 +108,9 @@
 
     /// How many owners have given this verdict.
     pub(super) fn verdict_count(&self, verdict: Verdict) -> usize {
-        let Phase::Requesting { verdicts, .. } = &self.phase else { return 0 };
+        let Phase::Requesting { verdicts, .. } = &self.phase else {
+            return 0;
+        };
         verdicts.values().filter(|given| **given == verdict).count()
     }
 }
--- a/crates/replication/src/ledger/mod.rs
+++ b/crates/replication/src/ledger/mod.rs
@@ -134,29 +134,47 @@
 
     /// Time has passed, others' claims have changed, or the fronts that decide.
     pub fn tick(&mut self, input: &mut StepInput, out: &mut StepOutput) {
-        let undecided: Vec<u64> =
-            self.pending.values().filter(|lookup| !lookup.is_admitted()).map(|lookup| lookup.token).collect();
+        let undecided: Vec<u64> = self
+            .pending
+            .values()
+            .filter(|lookup| !lookup.is_admitted())
+            .map(|lookup| lookup.token)
+            .collect();
         for token in undecided {
             self.tick_lookup(token, input, out);
         }
     }
 
     fn tick_lookup(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get(&token) else { return };
+        let Some(lookup) = self.pending.get(&token) else {
+            return;
+        };
         match &lookup.phase {
-            Phase::Requesting { until, .. } if input.now >= *until => self.fail_to_write(token, input, out),
+            Phase::Requesting { until, .. } if input.now >= *until => {
+                self.fail_to_write(token, input, out)
+            }
             Phase::Requesting { retry_at, .. } if input.now >= *retry_at => {
                 self.retry_claim(token, input, out)
             }
-            Phase::Conflicted { retry_at } if input.now >= *retry_at => self.consider(token, input, out),
+            Phase::Conflicted { retry_at } if input.now >= *retry_at => {
+                self.consider(token, input, out)
+            }
             Phase::Waiting => self.consider(token, input, out),
             _ => {}
         }
     }
 
     /// Records the state of this front's own claim for a lookup.
-    fn mark(&self, lookup: &mut PendingLookup, state: Ran, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(key) = lookup.claim_key.clone() else { return };
+    fn mark(
+        &self,
+        lookup: &mut PendingLookup,
+        state: Ran,
+        input: &mut StepInput,
+        out: &mut StepOutput,
+    ) {
+        let Some(key) = lookup.claim_key.clone() else {
+            return;
+        };
         let (_, entry) = lookup.record(state, input.now + self.plan.keep);
         input.merge(&key, entry, out);
         if !state.open() {
--- a/crates/replication/src/ledger/owner.rs
+++ b/crates/replication/src/ledger/owner.rs
@@ -12,8 +12,16 @@
 
 impl Ledger {
     /// The verdict on a requested claim, and the claims that conflict with it. What is granted is held from here on.
-    pub fn judge(&mut self, request: &ClaimRequest, input: &mut StepInput) -> (Verdict, Vec<Record>) {
-        let Some(record) = request.claim.as_ref().filter(|record| record.kind == Kind::Effect as u32) else {
+    pub fn judge(
+        &mut self,
+        request: &ClaimRequest,
+        input: &mut StepInput,
+    ) -> (Verdict, Vec<Record>) {
+        let Some(record) = request
+            .claim
+            .as_ref()
+            .filter(|record| record.kind == Kind::Effect as u32)
+        else {
             return (Verdict::Differs, Vec::new());
         };
         let key = Key::of(record);
@@ -44,12 +52,20 @@
     /// The other owners of a claim's key: they are told at once when the claim ends.
     pub fn owners(&self, claim: &Key, electors: &Electors) -> BTreeSet<String> {
         let owners = electors.owners(shared_prefix(claim), self.plan.copies);
-        owners.into_iter().filter(|owner| *owner != self.name).collect()
+        owners
+            .into_iter()
+            .filter(|owner| *owner != self.name)
+            .collect()
     }
 }
 
 /// The claims of the same key that stand in the way of this one.
-fn conflicting_claims(key: &Key, claim: &Claim, takes_over: bool, input: &StepInput) -> Vec<Record> {
+fn conflicting_claims(
+    key: &Key,
+    claim: &Claim,
+    takes_over: bool,
+    input: &StepInput,
+) -> Vec<Record> {
     let mut conflicting = Vec::new();
     for (other_key, state, other) in claims(input.map, shared_prefix(key), Some(key)) {
         // The origin drops repeats of the other's sends for as long as the requester will send.
--- a/crates/replication/src/ledger/quorum.rs
+++ b/crates/replication/src/ledger/quorum.rs
@@ -27,7 +27,9 @@
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        let Some(lookup) = self.pending.get_mut(&token) else { return };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return;
+        };
         if matches!(lookup.phase, Phase::Waiting) {
             lookup.write_until = (input.now + lookup.write_time).min(lookup.answer_by());
         }
@@ -43,7 +45,9 @@
 
     /// Gives a lookup a new claim.
     fn number_claim(&mut self, token: u64, first: Option<Micros>, input: &StepInput) {
-        let Some(lookup) = self.pending.get_mut(&token) else { return };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return;
+        };
         self.last_number += 1;
         self.tokens.remove(&lookup.claim_id.1);
         lookup.claim_id = (self.holder, self.last_number);
@@ -61,7 +65,9 @@
 
     /// Holds a lookup's new claim in this front's own map; false where there is no room to remember it.
     fn hold_own_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) -> bool {
-        let Some(lookup) = self.pending.get_mut(&token) else { return false };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return false;
+        };
         let (key, entry) = lookup.record(Ran::Asked, input.now + self.plan.keep);
         if !input.merge(&key, entry, out) {
             lookup.claim_key = None;
@@ -70,26 +76,52 @@
         lookup.claim_key = Some(key);
         self.tokens.insert(lookup.claim_id.1, token);
         let (verdicts, until) = (BTreeMap::new(), lookup.write_until);
-        lookup.phase = Phase::Requesting { verdicts, until, retry_at: input.now };
+        lookup.phase = Phase::Requesting {
+            verdicts,
+            until,
+            retry_at: input.now,
+        };
         true
     }
 
     /// Asks the owners that have not granted the claim, this front itself among them where it is one.
     fn send_requests(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get_mut(&token) else { return };
-        let Phase::Requesting { verdicts, until, retry_at } = &mut lookup.phase else { return };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return;
+        };
+        let Phase::Requesting {
+            verdicts,
+            until,
+            retry_at,
+        } = &mut lookup.phase
+        else {
+            return;
+        };
         *retry_at = input.now + ((*until - input.now) / RETRY_FRACTION).max(RETRY_LEAST);
         let request = ClaimRequest {
             number: lookup.claim_id.1,
-            claim: lookup.claim_key.as_ref().and_then(|key| input.map.record(key)),
+            claim: lookup
+                .claim_key
+                .as_ref()
+                .and_then(|key| input.map.record(key)),
             owners: lookup.owners.clone(),
-            take_over: lookup.takes_over.map_or(0, |first| (first + lookup.terms.window) as u64),
+            take_over: lookup
+                .takes_over
+                .map_or(0, |first| (first + lookup.terms.window) as u64),
         };
         let granted = |owner: &String| verdicts.get(owner) == Some(&Verdict::Granted);
-        let open: Vec<String> = lookup.owners.iter().filter(|owner| !granted(owner)).cloned().collect();
+        let open: Vec<String> = lookup
+            .owners
+            .iter()
+            .filter(|owner| !granted(owner))
+            .cloned()
+            .collect();
         for owner in open {
             if owner != self.name {
-                out.requests.push(OwnerRequest { to: owner, request: request.clone() });
+                out.requests.push(OwnerRequest {
+                    to: owner,
+                    request: request.clone(),
+                });
                 continue;
             }
             let (verdict, _) = self.judge(&request, input);
@@ -98,7 +130,13 @@
     }
 
     /// An owner has answered.
-    pub fn reply(&mut self, from: &str, reply: ClaimReply, input: &mut StepInput, out: &mut StepOutput) {
+    pub fn reply(
+        &mut self,
+        from: &str,
+        reply: ClaimReply,
+        input: &mut StepInput,
+        out: &mut StepOutput,
+    ) {
         for record in reply.claims {
             input.merge(&Key::of(&record), entry(&record), out);
         }
@@ -116,8 +154,12 @@
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        let Some(lookup) = self.pending.get_mut(&token) else { return };
-        let Phase::Requesting { verdicts, .. } = &mut lookup.phase else { return };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return;
+        };
+        let Phase::Requesting { verdicts, .. } = &mut lookup.phase else {
+            return;
+        };
         if !lookup.owners.iter().any(|owner| owner == from) {
             return;
         }
@@ -130,8 +172,14 @@
 
     /// Lets a lookup through once a quorum has granted its claim, and withdraws the claim once no quorum can.
     fn count_verdicts(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get(&token) else { return };
-        let quorum = if mutant("one-copy") { 1 } else { lookup.owners.len() / 2 + 1 };
+        let Some(lookup) = self.pending.get(&token) else {
+            return;
+        };
+        let quorum = if mutant("one-copy") {
+            1
+        } else {
+            lookup.owners.len() / 2 + 1
+        };
         let enough_fronts = input.electors.all.len() >= self.plan.fronts_least;
         if lookup.verdict_count(Verdict::Granted) >= quorum && enough_fronts {
             self.admit(token, input, out);
@@ -147,18 +195,24 @@
     /// Another claim conflicts at so many owners that this one can't be granted.
     fn withdraw(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         self.release(token, input, out);
-        let Some(lookup) = self.pending.get_mut(&token) else { return };
+        let Some(lookup) = self.pending.get_mut(&token) else {
+            return;
+        };
         if lookup.stand(input) != Stand::Free {
             return self.consider(token, input, out);
         }
         // Both were made at the same time, and the other has been withdrawn too.
-        lookup.phase = Phase::Conflicted { retry_at: input.now + self.rng.i64(1..CONFLICT_DELAY) };
+        lookup.phase = Phase::Conflicted {
+            retry_at: input.now + self.rng.i64(1..CONFLICT_DELAY),
+        };
         self.counts.clashes += 1;
     }
 
     /// Asks again. If the owners of the key have changed it is claimed anew: nothing was sent yet.
     pub(super) fn retry_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get(&token) else { return };
+        let Some(lookup) = self.pending.get(&token) else {
+            return;
+        };
         if input.electors.owners(&lookup.prefix, self.plan.copies) == lookup.owners {
             return self.send_requests(token, input, out);
         }
@@ -167,12 +221,20 @@
     }
 
     /// No quorum has granted the claim in time.
-    pub(super) fn fail_to_write(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
+    pub(super) fn fail_to_write(
+        &mut self,
+        token: u64,
+        input: &mut StepInput,
+        out: &mut StepOutput,
+    ) {
         self.counts.unwritten += 1;
         match self.plan.unwritten {
             // A claim that takes over is not sent on a guess: the other may have run.
             Unwritten::Serve
-                if self.pending.get(&token).is_some_and(|lookup| lookup.takes_over.is_none()) =>
+                if self
+                    .pending
+                    .get(&token)
+                    .is_some_and(|lookup| lookup.takes_over.is_none()) =>
             {
                 self.admit(token, input, out);
             }
@@ -182,7 +244,9 @@
 
     /// Ends a claim by which nothing was sent, nor will be.
     pub(super) fn release(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(mut lookup) = self.pending.remove(&token) else { return };
+        let Some(mut lookup) = self.pending.remove(&token) else {
+            return;
+        };
         self.mark(&mut lookup, Ran::Not, input, out);
         self.tokens.remove(&lookup.claim_id.1);
         self.pending.insert(token, lookup);
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -161,8 +161,14 @@
             if Kind::of(key.kind) == Some(Kind::Effect) {
                 return false;
             }
-            let first = self.by_expiry.iter().find(|(_, k)| k.kind == key.kind).cloned();
-            let Some((until, first)) = first.filter(|(until, _)| *until < entry.until) else { return false };
+            let first = self
+                .by_expiry
+                .iter()
+                .find(|(_, k)| k.kind == key.kind)
+                .cloned();
+            let Some((until, first)) = first.filter(|(until, _)| *until < entry.until) else {
+                return false;
+            };
             debug_assert!(until <= entry.until);
             self.remove(&first);
             self.displaced += 1;
@@ -227,24 +233,33 @@
 
     /// Digest of all trees: the same on all fronts that hold the same.
     pub fn digest(&self) -> u64 {
-        Tree::ALL.into_iter().fold(0, |h, tree| (h ^ self.root(tree)).rotate_left(21))
+        Tree::ALL
+            .into_iter()
+            .fold(0, |h, tree| (h ^ self.root(tree)).rotate_left(21))
     }
 
     /// Digests of the buckets of a tree.
     pub fn digests(&self, tree: Tree) -> Vec<u32> {
-        self.digests[tree as usize].iter().map(|b| (b ^ (b >> 32)) as u32).collect()
+        self.digests[tree as usize]
+            .iter()
+            .map(|b| (b ^ (b >> 32)) as u32)
+            .collect()
     }
 
     /// Buckets whose digests differ from another map's.
     pub fn differing(&self, tree: Tree, theirs: &[u32]) -> Vec<usize> {
         let mine = self.digests(tree);
-        (0..BUCKETS).filter(|bucket| theirs.get(*bucket) != mine.get(*bucket)).collect()
+        (0..BUCKETS)
+            .filter(|bucket| theirs.get(*bucket) != mine.get(*bucket))
+            .collect()
     }
 
     /// Hashes of all records of a tree in one bucket.
     pub fn hashes_in(&self, tree: Tree, bucket: usize) -> impl Iterator<Item = u64> + '_ {
         let (tree, end) = (tree as usize, u64::MAX);
-        self.buckets.range((tree, bucket, 0)..=(tree, bucket, end)).map(|(.., hash)| *hash)
+        self.buckets
+            .range((tree, bucket, 0)..=(tree, bucket, end))
+            .map(|(.., hash)| *hash)
     }
 
     /// Whether a record with this hash is held.
@@ -263,17 +278,30 @@
     }
 
     /// The records of a tree that follow `after`, in the order of their keys.
-    pub fn from<'a>(&'a self, tree: Tree, after: Option<&'a Key>) -> impl Iterator<Item = Record> + 'a {
+    pub fn from<'a>(
+        &'a self,
+        tree: Tree,
+        after: Option<&'a Key>,
+    ) -> impl Iterator<Item = Record> + 'a {
         tree.kinds().iter().flat_map(move |(from, to)| {
-            let first = Key { kind: *from, name: Vec::new() };
+            let first = Key {
+                kind: *from,
+                name: Vec::new(),
+            };
             let start = match after {
                 Some(after) if *after >= first => Bound::Excluded(after.clone()),
                 _ => Bound::Included(first),
             };
-            let end = Key { kind: *to, name: Vec::new() };
+            let end = Key {
+                kind: *to,
+                name: Vec::new(),
+            };
             let empty = after.is_some_and(|after| *after >= end);
             let range = (!empty).then(|| self.entries.range((start, Bound::Excluded(end))));
-            range.into_iter().flatten().map(|(key, entry)| record(key, entry))
+            range
+                .into_iter()
+                .flatten()
+                .map(|(key, entry)| record(key, entry))
         })
     }
 
--- a/crates/replication/src/opinion.rs
+++ b/crates/replication/src/opinion.rs
@@ -28,22 +28,37 @@
 pub fn sights(map: &Map, kind: Kind, what: &[u8], (me, start): (&str, u64)) -> Vec<Sight> {
     let prefix = kinds::sight_prefix(what);
     let all = map.with_prefix(kind, &prefix);
-    let sights = all.filter_map(|(key, entry)| Some((entry.rank.0, kinds::read_sight(key, entry)?.1)));
-    sights.filter(|(by, sight)| sight.writer != me || *by != start).map(|(_, sight)| sight).collect()
+    let sights =
+        all.filter_map(|(key, entry)| Some((entry.rank.0, kinds::read_sight(key, entry)?.1)));
+    sights
+        .filter(|(by, sight)| sight.writer != me || *by != start)
+        .map(|(_, sight)| sight)
+        .collect()
 }
 
 /// Sums up observations; none where there are none, or where one has no numbers.
 pub fn of(sights: &[Sight], zone: &str, now: Micros) -> Option<Opinion> {
     let weights = weights(sights, zone, now);
-    let count = sights.iter().map(|sight| sight.numbers.len()).min().filter(|count| *count > 0)?;
+    let count = sights
+        .iter()
+        .map(|sight| sight.numbers.len())
+        .min()
+        .filter(|count| *count > 0)?;
     let median = |index: usize| {
-        let values = sights.iter().zip(&weights).map(|(sight, weight)| (sight.numbers[index], *weight));
+        let values = sights
+            .iter()
+            .zip(&weights)
+            .map(|(sight, weight)| (sight.numbers[index], *weight));
         weighted_median(values.collect())
     };
     Some(Opinion {
         numbers: (0..count).map(median).collect(),
         writers: sights.len(),
-        age: sights.iter().map(|sight| age(sight, now)).min().unwrap_or(0),
+        age: sights
+            .iter()
+            .map(|sight| age(sight, now))
+            .min()
+            .unwrap_or(0),
     })
 }
 
@@ -53,13 +68,19 @@
 
 fn weights(sights: &[Sight], zone: &str, now: Micros) -> Vec<f64> {
     let weight = |sight: &Sight| {
-        let near = if sight.zone == zone { 1.0 } else { OTHER_ZONE_WEIGHT };
+        let near = if sight.zone == zone {
+            1.0
+        } else {
+            OTHER_ZONE_WEIGHT
+        };
         near * 0.5f64.powf(age(sight, now) as f64 / HALF_LIFE)
     };
     let mut weights: Vec<f64> = sights.iter().map(weight).collect();
     if weights.len() > 2 {
         let all: f64 = weights.iter().sum();
-        weights.iter_mut().for_each(|weight| *weight = weight.min(all * WEIGHT_SHARE_MOST));
+        weights
+            .iter_mut()
+            .for_each(|weight| *weight = weight.min(all * WEIGHT_SHARE_MOST));
     }
     weights
 }
--- a/crates/replication/src/plan.rs
+++ b/crates/replication/src/plan.rs
@@ -108,21 +108,44 @@
     pub fn check(&self) -> Result<(), Faulty> {
         let within = |key, value: f64, least: f64, most: f64| {
             let good = (least..=most).contains(&value);
-            good.then_some(()).ok_or(Faulty { key, what: format!("is not within {least} to {most}") })
+            good.then_some(()).ok_or(Faulty {
+                key,
+                what: format!("is not within {least} to {most}"),
+            })
         };
         within("period_ms", self.period as f64 / 1e3, 50.0, 60_000.0)?;
         within("bytes_per_s", self.bytes_per_s as f64, 2000.0, 1e9)?;
-        within("catch_up_bytes_per_s", self.catch_up_bytes_per_s as f64, 2000.0, 1e9)?;
+        within(
+            "catch_up_bytes_per_s",
+            self.catch_up_bytes_per_s as f64,
+            2000.0,
+            1e9,
+        )?;
         within("entries_most", self.entries as f64, 100.0, 1e6)?;
         within("bytes_most", self.bytes as f64, 1e5, 1e9)?;
         within("purge_keep_s", self.purge_keep as f64 / 1e6, 1.0, 86_400.0)?;
-        within("learned_keep_s", self.learned_keep as f64 / 1e6, 1.0, 86_400.0)?;
-        within("ready_after_ms", self.ready_after as f64 / 1e3, 0.0, 60_000.0)?;
+        within(
+            "learned_keep_s",
+            self.learned_keep as f64 / 1e6,
+            1.0,
+            86_400.0,
+        )?;
+        within(
+            "ready_after_ms",
+            self.ready_after as f64 / 1e3,
+            0.0,
+            60_000.0,
+        )?;
         if let Some(ledger) = &self.ledger {
             within("ledger.copies", ledger.copies as f64, 1.0, 9.0)?;
             within("ledger.write_part", ledger.write_part, 0.01, 0.9)?;
             within("ledger.keep_s", ledger.keep as f64 / 1e6, 1.0, 86_400.0)?;
-            within("ledger.fronts_least", ledger.fronts_least as f64, 1.0, 65_536.0)?;
+            within(
+                "ledger.fronts_least",
+                ledger.fronts_least as f64,
+                1.0,
+                65_536.0,
+            )?;
             within("ledger.body_bytes", ledger.body_most as f64, 0.0, 3500.0)?;
         }
         Ok(())
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -18,12 +18,18 @@
 impl Key {
     /// The key of a known kind.
     pub fn new(kind: Kind, name: impl Into<Vec<u8>>) -> Key {
-        Key { kind: kind as u32, name: name.into() }
+        Key {
+            kind: kind as u32,
+            name: name.into(),
+        }
     }
 
     /// The key of a record from the wire.
     pub fn of(record: &Record) -> Key {
-        Key { kind: record.kind, name: record.name.clone() }
+        Key {
+            kind: record.kind,
+            name: record.name.clone(),
+        }
     }
 }
 
@@ -41,7 +47,11 @@
 /// The entry of a record from the wire.
 pub fn entry(record: &Record) -> Entry {
     let until = Micros::try_from(record.until).unwrap_or(Micros::MAX);
-    Entry { rank: (record.high, record.low), value: record.value.clone(), until }
+    Entry {
+        rank: (record.high, record.low),
+        value: record.value.clone(),
+        until,
+    }
 }
 
 /// A key and its entry as a record for the wire.
--- a/crates/replication/src/replica/budget.rs
+++ b/crates/replication/src/replica/budget.rs
@@ -33,7 +33,13 @@
 
     fn full(bytes_per_s: u64, capacity: f64, lowest: f64, now: Micros) -> TokenBucket {
         let bytes_per_s = bytes_per_s as f64;
-        TokenBucket { bytes_per_s, capacity, lowest, available: capacity, refilled_at: now }
+        TokenBucket {
+            bytes_per_s,
+            capacity,
+            lowest,
+            available: capacity,
+            refilled_at: now,
+        }
     }
 
     /// Adds the tokens of the time that has passed.
--- a/crates/replication/src/replica/claims.rs
+++ b/crates/replication/src/replica/claims.rs
@@ -10,22 +10,35 @@
 
 impl Replica {
     /// A keyed lookup came: the ledger's decisions on it follow as actions. False where there is no ledger.
-    pub fn ask(&mut self, now: Micros, token: u64, key: &[u8], terms: Terms, acts: &mut Vec<Act>) -> bool {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        token: u64,
+        key: &[u8],
+        terms: Terms,
+        acts: &mut Vec<Act>,
+    ) -> bool {
         self.advance(now);
-        self.with_ledger(acts, |ledger, input, out| ledger.ask(token, key, terms, input, out))
+        self.with_ledger(acts, |ledger, input, out| {
+            ledger.ask(token, key, terms, input, out)
+        })
     }
 
     /// A lookup that the ledger let through has ended.
     pub fn end(&mut self, now: Micros, token: u64, end: End, acts: &mut Vec<Act>) {
         self.advance(now);
-        self.with_ledger(acts, |ledger, input, out| ledger.end(token, end, input, out));
+        self.with_ledger(acts, |ledger, input, out| {
+            ledger.end(token, end, input, out)
+        });
     }
 
     /// The client of a lookup has gone. True if nothing of the lookup was sent.
     pub fn left(&mut self, now: Micros, token: u64, acts: &mut Vec<Act>) -> bool {
         self.advance(now);
         let mut unsent = false;
-        self.with_ledger(acts, |ledger, input, out| unsent = ledger.left(token, input, out));
+        self.with_ledger(acts, |ledger, input, out| {
+            unsent = ledger.left(token, input, out)
+        });
         unsent
     }
 
@@ -35,10 +48,20 @@
         acts: &mut Vec<Act>,
         step: impl FnOnce(&mut Ledger, &mut StepInput, &mut StepOutput),
     ) -> bool {
-        let Some(ledger) = &mut self.ledger else { return false };
+        let Some(ledger) = &mut self.ledger else {
+            return false;
+        };
         let (now, electors) = (self.now, &self.electors);
         let mut out = StepOutput::default();
-        step(ledger, &mut StepInput { now, map: &mut self.map, electors }, &mut out);
+        step(
+            ledger,
+            &mut StepInput {
+                now,
+                map: &mut self.map,
+                electors,
+            },
+            &mut out,
+        );
         self.send_ended_claims(&out.changed, acts);
         for request in out.requests {
             self.send(&request.to, Body::ClaimRequest(request.request), acts);
@@ -61,10 +84,18 @@
     /// By owner of their keys, those of the changed claims that have ended.
     fn ended_claims(&self, changed: &[Key]) -> BTreeMap<String, Vec<Record>> {
         let mut by_owner: BTreeMap<String, Vec<Record>> = BTreeMap::new();
-        let Some(ledger) = &self.ledger else { return by_owner };
+        let Some(ledger) = &self.ledger else {
+            return by_owner;
+        };
         for key in changed {
-            let open = self.map.get(key).and_then(kinds::read_effect).is_none_or(|(state, _)| state.open());
-            let Some(record) = self.map.record(key).filter(|_| !open) else { continue };
+            let open = self
+                .map
+                .get(key)
+                .and_then(kinds::read_effect)
+                .is_none_or(|(state, _)| state.open());
+            let Some(record) = self.map.record(key).filter(|_| !open) else {
+                continue;
+            };
             for owner in ledger.owners(key, &self.electors) {
                 by_owner.entry(owner).or_default().push(record.clone());
             }
@@ -80,11 +111,29 @@
     }
 
     /// Another front asks this one to grant a claim.
-    pub(super) fn receive_claim_request(&mut self, from: &str, request: &ClaimRequest, acts: &mut Vec<Act>) {
-        let Some(ledger) = &mut self.ledger else { return };
+    pub(super) fn receive_claim_request(
+        &mut self,
+        from: &str,
+        request: &ClaimRequest,
+        acts: &mut Vec<Act>,
+    ) {
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         let (now, electors) = (self.now, &self.electors);
-        let (verdict, claims) = ledger.judge(request, &mut StepInput { now, map: &mut self.map, electors });
-        let reply = ClaimReply { number: request.number, verdict: verdict as u32, claims };
+        let (verdict, claims) = ledger.judge(
+            request,
+            &mut StepInput {
+                now,
+                map: &mut self.map,
+                electors,
+            },
+        );
+        let reply = ClaimReply {
+            number: request.number,
+            verdict: verdict as u32,
+            claims,
+        };
         self.send(from, Body::ClaimReply(reply), acts);
     }
 }
--- a/crates/replication/src/replica/donor.rs
+++ b/crates/replication/src/replica/donor.rs
@@ -29,7 +29,10 @@
 
 impl Donor {
     pub(super) fn new(bytes_per_s: u64, now: Micros) -> Donor {
-        Donor { pending: VecDeque::new(), budget: TokenBucket::for_catch_up(bytes_per_s, now) }
+        Donor {
+            pending: VecDeque::new(),
+            budget: TokenBucket::for_catch_up(bytes_per_s, now),
+        }
     }
 
     /// Whether requests wait for budget.
@@ -49,7 +52,8 @@
 
     /// Adds a request. A later one of the same front for the same tree replaces the earlier.
     fn add(&mut self, from: String, request: CatchUpRequest) {
-        self.pending.retain(|pending| pending.from != from || pending.request.tree != request.tree);
+        self.pending
+            .retain(|pending| pending.from != from || pending.request.tree != request.tree);
         if self.pending.len() < REQUESTS_MOST {
             self.pending.push_back(PendingRequest { from, request });
         }
@@ -72,9 +76,16 @@
     /// Answers requests as far as the budget goes.
     pub(super) fn serve_catch_up_requests(&mut self, acts: &mut Vec<Act>) {
         while self.donor.budget.has_tokens() {
-            let Some(PendingRequest { from, request }) = self.donor.pending.pop_front() else { return };
-            let Some(tree) = Tree::number(request.tree) else { continue };
-            let after = (!request.first).then_some(Key { kind: request.kind, name: request.name });
+            let Some(PendingRequest { from, request }) = self.donor.pending.pop_front() else {
+                return;
+            };
+            let Some(tree) = Tree::number(request.tree) else {
+                continue;
+            };
+            let after = (!request.first).then_some(Key {
+                kind: request.kind,
+                name: request.name,
+            });
             let page = self.page(tree, after.as_ref());
             self.send(&from, Body::CatchUpPage(page), acts);
         }
@@ -82,7 +93,11 @@
 
     /// The records of a tree that follow a key, as many as fit into one answer.
     fn page(&self, tree: Tree, after: Option<&Key>) -> CatchUpPage {
-        let mut page = CatchUpPage { tree: tree as u32, records: Vec::new(), last: true };
+        let mut page = CatchUpPage {
+            tree: tree as u32,
+            records: Vec::new(),
+            last: true,
+        };
         let mut size = 0;
         for record in self.map.from(tree, after) {
             if size > PAGE_BYTES {
--- a/crates/replication/src/replica/learned.rs
+++ b/crates/replication/src/replica/learned.rs
@@ -36,7 +36,10 @@
 
 impl Default for Observations {
     fn default() -> Observations {
-        Observations { machines: BTreeMap::new(), objects_left: OBJECTS_A_PERIOD }
+        Observations {
+            machines: BTreeMap::new(),
+            objects_left: OBJECTS_A_PERIOD,
+        }
     }
 }
 
@@ -45,14 +48,20 @@
         self.failing += SMOOTHING * (f64::from(u8::from(failed)) - self.failing);
         if let Some(time) = first_byte {
             let time = time as f64;
-            let smoothed = self.first_byte.map_or(time, |former| former + SMOOTHING * (time - former));
+            let smoothed = self
+                .first_byte
+                .map_or(time, |former| former + SMOOTHING * (time - former));
             self.first_byte = Some(smoothed);
         }
         self.sends += 1;
     }
 
     fn numbers(&self) -> Vec<f64> {
-        vec![self.failing, self.first_byte.unwrap_or(NO_FIRST_BYTE), self.sends as f64]
+        vec![
+            self.failing,
+            self.first_byte.unwrap_or(NO_FIRST_BYTE),
+            self.sends as f64,
+        ]
     }
 }
 
@@ -74,8 +83,14 @@
     /// Shares an observation by this front.
     pub fn put_sight(&mut self, now: Micros, kind: Kind, what: &[u8], numbers: Vec<f64>) -> bool {
         let (writer, zone) = (self.name.clone(), self.plan.zone.clone());
-        let sight = Sight { writer, zone, numbers, at: now as u64 };
-        let (key, entry) = kinds::sight(kind, what, self.start, &sight, now + self.plan.learned_keep);
+        let sight = Sight {
+            writer,
+            zone,
+            numbers,
+            at: now as u64,
+        };
+        let (key, entry) =
+            kinds::sight(kind, what, self.start, &sight, now + self.plan.learned_keep);
         self.put(now, key, entry)
     }
 
@@ -83,7 +98,9 @@
     pub fn saw_part(&mut self, now: Micros, object: u64, part: u32) {
         let what = sight_of_object(object);
         let known = |numbers: Vec<f64>| numbers[0] >= f64::from(part);
-        if self.observations.objects_left == 0 || self.recent_observation(&what, now).is_some_and(known) {
+        if self.observations.objects_left == 0
+            || self.recent_observation(&what, now).is_some_and(known)
+        {
             return;
         }
         self.observations.objects_left -= 1;
@@ -92,17 +109,27 @@
 
     /// What this front shared of a subject itself, in the first half of its time to live.
     fn recent_observation(&self, what: &[u8], now: Micros) -> Option<Vec<f64>> {
-        let sight = Sight { writer: self.name.clone(), ..Sight::default() };
+        let sight = Sight {
+            writer: self.name.clone(),
+            ..Sight::default()
+        };
         let (key, _) = kinds::sight(Kind::Learned, what, self.start, &sight, 0);
         let fresh_until = |until: Micros| until - self.plan.learned_keep / 2;
-        let entry = self.map.get(&key).filter(|entry| now < fresh_until(entry.until))?;
+        let entry = self
+            .map
+            .get(&key)
+            .filter(|entry| now < fresh_until(entry.until))?;
         let (_, sight) = kinds::read_sight(&key, entry)?;
         Some(sight.numbers).filter(|numbers| !numbers.is_empty())
     }
 
     /// A send to a machine has ended.
     pub fn saw_end(&mut self, machine: &str, failed: bool, first_byte: Option<Micros>) {
-        let stats = self.observations.machines.entry(machine.to_string()).or_default();
+        let stats = self
+            .observations
+            .machines
+            .entry(machine.to_string())
+            .or_default();
         stats.record(failed, first_byte);
     }
 
@@ -122,6 +149,7 @@
     /// All subjects of which there are observations.
     pub fn learned(&self) -> BTreeSet<Vec<u8>> {
         let all = self.map.of_kind(Kind::Learned);
-        all.filter_map(|(key, entry)| kinds::read_sight(key, entry).map(|(what, _)| what)).collect()
+        all.filter_map(|(key, entry)| kinds::read_sight(key, entry).map(|(what, _)| what))
+            .collect()
     }
 }
--- a/crates/replication/src/replica/machines.rs
+++ b/crates/replication/src/replica/machines.rs
@@ -32,11 +32,15 @@
         phase: u8,
         machine: &Machine,
     ) -> bool {
-        self.journal_reports.record(id, start, phase, self.plan.entries);
+        self.journal_reports
+            .record(id, start, phase, self.plan.entries);
         // Rounded, so that fronts which hear of it at about the same time write the same record.
         let until = (now / self.plan.machine_keep + 2) * self.plan.machine_keep;
         let (key, entry) = kinds::machine(id, start, phase, machine, until);
-        let known = self.map.get(&key).is_some_and(|held| held.rank >= entry.rank && held.until >= until);
+        let known = self
+            .map
+            .get(&key)
+            .is_some_and(|held| held.rank >= entry.rank && held.until >= until);
         !known && self.put(now, key, entry)
     }
 
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -82,7 +82,10 @@
     /// An empty copy for the front `name`, whose process started at `start`.
     pub fn new(plan: Plan, name: &str, start: u64, now: Micros, seed: u64) -> Replica {
         let mut rng = fastrand::Rng::with_seed(seed ^ start);
-        let ledger = plan.ledger.clone().map(|plan| Ledger::new(plan, name, start, rng.u64(..)));
+        let ledger = plan
+            .ledger
+            .clone()
+            .map(|plan| Ledger::new(plan, name, start, rng.u64(..)));
         let next_period = now + rng.i64(0..plan.period);
         Replica {
             name: name.into(),
@@ -90,9 +93,15 @@
             now,
             next_period,
             rng,
-            map: Map::new(Room { entries: plan.entries, bytes: plan.bytes }),
+            map: Map::new(Room {
+                entries: plan.entries,
+                bytes: plan.bytes,
+            }),
             peers: BTreeMap::new(),
-            electors: Electors { all: [(name.to_string(), Some(start))].into(), ..Electors::default() },
+            electors: Electors {
+                all: [(name.to_string(), Some(start))].into(),
+                ..Electors::default()
+            },
             ledger,
             vouching: Vouching::new(now),
             rumors: RumorQueue::default(),
@@ -148,7 +157,12 @@
     pub fn next(&self) -> Micros {
         let mut next = self.next_period;
         next = self.rumors.due().into_iter().fold(next, Micros::min);
-        next = self.ledger.as_ref().and_then(Ledger::next).into_iter().fold(next, Micros::min);
+        next = self
+            .ledger
+            .as_ref()
+            .and_then(Ledger::next)
+            .into_iter()
+            .fold(next, Micros::min);
         if self.donor.has_requests() {
             next = next.min(self.now + GATHER);
         }
--- a/crates/replication/src/replica/peers.rs
+++ b/crates/replication/src/replica/peers.rs
@@ -46,7 +46,12 @@
 
 impl PeerState {
     fn new(peer: Peer, elector: bool, last_here: Micros) -> PeerState {
-        PeerState { peer, elector, last_here, compared: false }
+        PeerState {
+            peer,
+            elector,
+            last_here,
+            compared: false,
+        }
     }
 
     /// It is alive and shares state.
@@ -90,7 +95,10 @@
 
     fn update_peer(&mut self, now: Micros, peer: Peer) {
         let name = peer.name.clone();
-        let state = self.peers.entry(name).or_insert_with(|| PeerState::new(peer.clone(), false, now));
+        let state = self
+            .peers
+            .entry(name)
+            .or_insert_with(|| PeerState::new(peer.clone(), false, now));
         state.elector |= peer.ledger;
         if peer.here || state.peer.here {
             state.last_here = now;
@@ -113,7 +121,8 @@
         let last_here = self.now - self.settling_time();
         for name in names {
             if name != self.name {
-                let unseen = |name: &String| PeerState::new(unseen_peer(name.clone()), true, last_here);
+                let unseen =
+                    |name: &String| PeerState::new(unseen_peer(name.clone()), true, last_here);
                 self.peers.entry(name).or_insert_with_key(unseen);
             }
         }
@@ -122,11 +131,16 @@
     /// Brings the list of those that decide on effects up to date.
     pub(super) fn update_electors(&mut self) {
         let (now, settled) = (self.now, self.settling_time());
-        let deciding = self.peers.iter().filter(|(_, state)| state.decides(now, settled));
+        let deciding = self
+            .peers
+            .iter()
+            .filter(|(_, state)| state.decides(now, settled));
         self.electors.all = deciding
             .map(|(name, state)| (name.clone(), state.peer.here.then_some(state.peer.start)))
             .collect();
-        self.electors.all.insert(self.name.clone(), Some(self.start));
+        self.electors
+            .all
+            .insert(self.name.clone(), Some(self.start));
         let compared = self.peers.iter().filter(|(_, state)| state.compared);
         self.electors.compared = compared.map(|(name, _)| name.clone()).collect();
     }
@@ -159,12 +173,18 @@
 
     /// The front that shares state and is nearest, by zone and then by round trip.
     pub(super) fn nearest_peer(&self, excluded: &BTreeSet<String>) -> Option<String> {
-        let partners = self.peers.values().filter(|state| state.is_partner()).map(|state| &state.peer);
+        let partners = self
+            .peers
+            .values()
+            .filter(|state| state.is_partner())
+            .map(|state| &state.peer);
         let distance = |peer: &&Peer| {
             let round_trip = peer.round_trip.unwrap_or(UNKNOWN_ROUND_TRIP) as i64;
             (peer.zone != self.plan.zone, round_trip, peer.name.clone())
         };
-        let nearest = partners.filter(|peer| !excluded.contains(&peer.name)).min_by_key(distance);
+        let nearest = partners
+            .filter(|peer| !excluded.contains(&peer.name))
+            .min_by_key(distance);
         nearest.map(|peer| peer.name.clone())
     }
 }
--- a/crates/replication/src/replica/persistence.rs
+++ b/crates/replication/src/replica/persistence.rs
@@ -8,7 +8,11 @@
 
 impl Replica {
     /// Merges a snapshot, whole or not at all; how many records it brought, and how old it is.
-    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(usize, Micros), snapshot::Refused> {
+    pub fn restore(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+    ) -> Result<(usize, Micros), snapshot::Refused> {
         let oldest = self.plan.purge_keep.max(self.plan.learned_keep);
         snapshot::read(bytes, &mut self.map, self.plan.fleet, oldest, now)
     }
@@ -21,7 +25,11 @@
 
     /// Has the host apply all purges and machines that are held, as after a restore.
     pub fn recall(&self, acts: &mut Vec<Act>) {
-        for (key, entry) in self.map.of_kind(Kind::Purge).chain(self.map.of_kind(Kind::Machine)) {
+        for (key, entry) in self
+            .map
+            .of_kind(Kind::Purge)
+            .chain(self.map.of_kind(Kind::Machine))
+        {
             acts.extend(action_for(key, entry));
         }
     }
--- a/crates/replication/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -49,17 +49,25 @@
             Some(Body::Rumors(rumors)) => self.receive_rumors(rumors.records, acts),
             Some(Body::Delta(delta)) => self.receive_delta(&from, delta, acts),
             Some(Body::Roots(roots)) => self.receive_roots(&from, &roots.roots, acts),
-            Some(Body::BucketDigests(digests)) => self.receive_bucket_digests(&from, &digests, acts),
+            Some(Body::BucketDigests(digests)) => {
+                self.receive_bucket_digests(&from, &digests, acts)
+            }
             Some(Body::BucketHashes(hashes)) => self.receive_bucket_hashes(&from, hashes, acts),
-            Some(Body::RecordRequest(request)) => self.receive_record_request(&from, &request, acts),
-            Some(Body::CatchUpRequest(request)) => self.receive_catch_up_request(from, request, acts),
+            Some(Body::RecordRequest(request)) => {
+                self.receive_record_request(&from, &request, acts)
+            }
+            Some(Body::CatchUpRequest(request)) => {
+                self.receive_catch_up_request(from, request, acts)
+            }
             Some(Body::CatchUpPage(page)) => {
                 self.receive_page(&from, page, acts);
                 self.update_waiting_lookups(acts);
             }
             Some(Body::ClaimRequest(request)) => self.receive_claim_request(&from, &request, acts),
             Some(Body::ClaimReply(reply)) => {
-                self.with_ledger(acts, |ledger, input, out| ledger.reply(&from, reply, input, out));
+                self.with_ledger(acts, |ledger, input, out| {
+                    ledger.reply(&from, reply, input, out)
+                });
             }
             None => {}
         }
@@ -136,11 +144,20 @@
     match Kind::of(key.kind)? {
         Kind::Purge => {
             let (object, group, stamp) = kinds::read_purge(key, entry)?;
-            Some(Act::Purged { object, group, stamp })
+            Some(Act::Purged {
+                object,
+                group,
+                stamp,
+            })
         }
         Kind::Machine => {
             let (id, start, phase, machine) = kinds::read_machine(key, entry)?;
-            Some(Act::Machine { id, start, phase, machine })
+            Some(Act::Machine {
+                id,
+                start,
+                phase,
+                machine,
+            })
         }
         Kind::Learned => {
             let (what, _) = kinds::read_sight(key, entry)?;
--- a/crates/replication/src/replica/rumors.rs
+++ b/crates/replication/src/replica/rumors.rs
@@ -53,7 +53,9 @@
     fn next_round(&mut self, map: &Map) -> Vec<Record> {
         let (mut round, mut size, mut requeued) = (Vec::new(), 0, Vec::new());
         while let Some(key) = self.waiting.pop_front() {
-            let Some(rounds_left) = self.rounds_left.get_mut(&key) else { continue };
+            let Some(rounds_left) = self.rounds_left.get_mut(&key) else {
+                continue;
+            };
             let Some(record) = map.record(&key) else {
                 self.rounds_left.remove(&key);
                 continue;
@@ -85,7 +87,8 @@
         }
         let fleet = self.peers.len() + 1;
         let doublings = usize::BITS - fleet.leading_zeros();
-        self.rumors.add(key, ROUNDS_PER_DOUBLING * doublings, self.now + GATHER);
+        self.rumors
+            .add(key, ROUNDS_PER_DOUBLING * doublings, self.now + GATHER);
     }
 
     /// Sends the next round once it is due.
--- a/crates/replication/src/replica/send.rs
+++ b/crates/replication/src/replica/send.rs
@@ -23,7 +23,11 @@
 /// Splits records over as many messages as it takes.
 fn split(records: &[Record]) -> Vec<Records> {
     let whole: usize = records.iter().map(encoded_size).sum();
-    let most = if whole > DATAGRAMS_MOST * DATAGRAM_BYTES { STREAM_BYTES } else { DATAGRAM_BYTES };
+    let most = if whole > DATAGRAMS_MOST * DATAGRAM_BYTES {
+        STREAM_BYTES
+    } else {
+        DATAGRAM_BYTES
+    };
     let (mut messages, mut message, mut size) = (Vec::new(), Records::default(), 0);
     for record in records {
         let more = encoded_size(record);
@@ -58,7 +62,12 @@
     pub(super) fn send(&mut self, to: &str, body: Body, acts: &mut Vec<Act>) {
         let kind = body.kind();
         let (fleet, from, start) = (self.plan.fleet, self.name.clone(), self.start);
-        let packet = Packet { fleet, from, start, body: Some(body) };
+        let packet = Packet {
+            fleet,
+            from,
+            start,
+            body: Some(body),
+        };
         let plain = packet.encoded_len();
         let stream = plain > wire::DATAGRAM_MOST - ENVELOPE_BYTES;
         if stream {
@@ -69,7 +78,11 @@
         let bytes = self.buffer.clone();
         self.account_for(kind, plain, bytes.len());
         let to = to.to_string();
-        acts.push(if stream { Act::Stream { to, bytes } } else { Act::Send { to, bytes } });
+        acts.push(if stream {
+            Act::Stream { to, bytes }
+        } else {
+            Act::Send { to, bytes }
+        });
     }
 
     fn account_for(&mut self, kind: MessageKind, plain: usize, packed: usize) {
--- a/crates/replication/src/replica/subject.rs
+++ b/crates/replication/src/replica/subject.rs
@@ -27,7 +27,10 @@
 pub fn thing(what: &[u8]) -> Option<Thing> {
     let (letter, rest) = what.split_first()?;
     match *letter {
-        OBJECT => rest.try_into().ok().map(|object| Thing::Object(u64::from_be_bytes(object))),
+        OBJECT => rest
+            .try_into()
+            .ok()
+            .map(|object| Thing::Object(u64::from_be_bytes(object))),
         MACHINE => String::from_utf8(rest.to_vec()).ok().map(Thing::Machine),
         _ => None,
     }
--- a/crates/replication/src/replica/vouching.rs
+++ b/crates/replication/src/replica/vouching.rs
@@ -31,7 +31,11 @@
 
 impl Comparison {
     fn new(requested_at: Micros) -> Comparison {
-        Comparison { requested_at, missing: None, covers_all: false }
+        Comparison {
+            requested_at,
+            missing: None,
+            covers_all: false,
+        }
     }
 
     fn is_complete(&self) -> bool {
@@ -41,7 +45,11 @@
 
 impl Vouching {
     pub(super) fn new(now: Micros) -> Vouching {
-        Vouching { vouches: false, since: now, comparisons: BTreeMap::new() }
+        Vouching {
+            vouches: false,
+            since: now,
+            comparisons: BTreeMap::new(),
+        }
     }
 }
 
@@ -53,7 +61,9 @@
         }
         let vouches = self.may_vouch();
         if vouches && !self.vouching.vouches {
-            acts.push(Act::Tell(Told::Vouches { took: self.now - self.vouching.since }));
+            acts.push(Act::Tell(Told::Vouches {
+                took: self.now - self.vouching.since,
+            }));
         }
         self.vouching.vouches = vouches;
         for peer in self.peers_to_compare_with() {
@@ -70,8 +80,10 @@
     }
 
     fn peers_to_compare_with(&self) -> Vec<String> {
-        let pending =
-            self.peers.iter().filter(|(_, state)| state.elector && !state.compared && state.peer.here);
+        let pending = self
+            .peers
+            .iter()
+            .filter(|(_, state)| state.elector && !state.compared && state.peer.here);
         pending.map(|(name, _)| name.clone()).collect()
     }
 
@@ -80,13 +92,22 @@
         if running.is_some_and(|comparison| self.now < comparison.requested_at + STALLED) {
             return;
         }
-        self.vouching.comparisons.insert(peer.clone(), Comparison::new(self.now));
+        self.vouching
+            .comparisons
+            .insert(peer.clone(), Comparison::new(self.now));
         self.send_bucket_digests(&peer, Tree::Effects, acts);
     }
 
     /// Another front has answered with its claims, of which this front lacks some.
-    pub(super) fn continue_vouching(&mut self, from: &str, theirs: BucketHashes, missing: &BTreeSet<u64>) {
-        let Some(comparison) = self.vouching.comparisons.get_mut(from) else { return };
+    pub(super) fn continue_vouching(
+        &mut self,
+        from: &str,
+        theirs: BucketHashes,
+        missing: &BTreeSet<u64>,
+    ) {
+        let Some(comparison) = self.vouching.comparisons.get_mut(from) else {
+            return;
+        };
         comparison.missing = Some(missing.clone());
         comparison.covers_all = theirs.all && theirs.knows;
         if !comparison.covers_all {
@@ -108,7 +129,12 @@
     }
 
     fn finish_comparison(&mut self, peer: &str) {
-        if !self.vouching.comparisons.get(peer).is_some_and(Comparison::is_complete) {
+        if !self
+            .vouching
+            .comparisons
+            .get(peer)
+            .is_some_and(Comparison::is_complete)
+        {
             return;
         }
         self.vouching.comparisons.remove(peer);
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -66,12 +66,21 @@
 /// Writes a snapshot of all records, open claims among them: what may have run must not be forgotten.
 pub fn write(map: &Map, fleet: u64, now: Micros) -> Vec<u8> {
     let records: Vec<Record> = map.iter().map(|(key, entry)| record(key, entry)).collect();
-    let chunks: Vec<&[Record]> =
-        if records.is_empty() { vec![&[]] } else { records.chunks(PART_RECORDS).collect() };
+    let chunks: Vec<&[Record]> = if records.is_empty() {
+        vec![&[]]
+    } else {
+        records.chunks(PART_RECORDS).collect()
+    };
     let (mut snapshot, mut bytes) = (Vec::new(), Vec::new());
     for (number, records) in (0..).zip(&chunks) {
         let (at, of, records) = (now as u64, chunks.len() as u32, records.to_vec());
-        let part = Part { fleet, at, number, of, records };
+        let part = Part {
+            fleet,
+            at,
+            number,
+            of,
+            records,
+        };
         envelope::write_packed(MARK, VERSION, envelope::SMALL, &part, &mut bytes);
         snapshot.extend((bytes.len() as u32).to_le_bytes());
         snapshot.extend(&bytes);
@@ -96,7 +105,11 @@
         return Err(Refused::Old);
     }
     let mut count = 0;
-    for record in parts.into_iter().flat_map(|part| part.records).filter(outlives_restart) {
+    for record in parts
+        .into_iter()
+        .flat_map(|part| part.records)
+        .filter(outlives_restart)
+    {
         let merged = map.merge(Key::of(&record), entry(&record), now);
         count += usize::from(matches!(merged, Took::New(_)));
     }
@@ -106,7 +119,9 @@
 fn read_parts(bytes: &[u8]) -> Result<Vec<Part>, Refused> {
     let (mut rest, mut parts): (&[u8], Vec<Part>) = (bytes, Vec::new());
     while !rest.is_empty() {
-        let (length, after) = rest.split_first_chunk::<LENGTH_BYTES>().ok_or(Refused::Torn)?;
+        let (length, after) = rest
+            .split_first_chunk::<LENGTH_BYTES>()
+            .ok_or(Refused::Torn)?;
         let length = u32::from_le_bytes(*length) as usize;
         let (part, after) = after.split_at_checked(length).ok_or(Refused::Torn)?;
         parts.push(envelope::read(MARK, MARK, VERSION, part).map_err(Refused::Damaged)?);
@@ -124,8 +139,9 @@
     if parts.iter().any(|part| part.fleet != fleet) {
         return Err(Refused::Fleet);
     }
-    let fits =
-        |(number, part): (u32, &Part)| part.number == number && part.of == first.of && part.at == first.at;
+    let fits = |(number, part): (u32, &Part)| {
+        part.number == number && part.of == first.of && part.at == first.at
+    };
     if !(0..).zip(parts).all(fits) {
         return Err(Refused::Torn);
     }
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -14,7 +14,11 @@
 
 impl<K> Default for EndpointIndices<K> {
     fn default() -> Self {
-        EndpointIndices { index: HashMap::new(), names: Vec::new(), free: Vec::new() }
+        EndpointIndices {
+            index: HashMap::new(),
+            names: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -49,7 +53,9 @@
 
 /// A stable number for an id that is a text (FNV-1a): the same at every front and over restarts.
 pub fn stable_id(id: &str) -> u64 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 pub fn micros(seconds: f64) -> Micros {
@@ -58,7 +64,9 @@
 
 /// The module's plain map out of names and values.
 pub fn settings<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Settings {
-    pairs.map(|(name, value)| (name.trim().to_string(), value.trim().to_string())).collect()
+    pairs
+        .map(|(name, value)| (name.trim().to_string(), value.trim().to_string()))
+        .collect()
 }
 
 /// A cache's note on how it came by an answer, by its place in the platform's order, from 1.
@@ -82,6 +90,8 @@
 pub fn catch_panic<T>(handle: impl FnOnce() -> T) -> Result<T, String> {
     catch_unwind(AssertUnwindSafe(handle)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no message").to_string()
+        text.or_else(|| panic.downcast_ref::<&str>().copied())
+            .unwrap_or("no message")
+            .to_string()
     })
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -103,7 +103,10 @@
     /// Whether an attempt that ended so may have run at the endpoint.
     pub fn may_have_run(self) -> bool {
         use AttemptOutcome::{Cancelled, ConnectionReset, Error, Success, TimedOut};
-        matches!(self, Success | Error | TimedOut | ConnectionReset | Cancelled)
+        matches!(
+            self,
+            Success | Error | TimedOut | ConnectionReset | Cancelled
+        )
     }
 }
 
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/room.rs
@@ -17,7 +17,10 @@
 impl Smooth {
     /// Starts from what is taken to hold until something else is seen.
     pub fn at(value: f64) -> Smooth {
-        Smooth { value: Some(value), at: 0 }
+        Smooth {
+            value: Some(value),
+            at: 0,
+        }
     }
 
     pub fn add(&mut self, now: Micros, sample: f64, weight: f64) {
@@ -28,7 +31,8 @@
     /// Guards against a peer that is never tried again for what it once was.
     pub fn drifted(&self, now: Micros, average: f64, drift: f64) -> f64 {
         let idle = (now - self.at) as f64;
-        self.value.map_or(average, |v| average + (v - average) * (-idle / drift).exp())
+        self.value
+            .map_or(average, |v| average + (v - average) * (-idle / drift).exp())
     }
 }
 
@@ -63,7 +67,11 @@
 impl Rules {
     pub fn new(all: Settings) -> Rules {
         let numbers = (0..READ).map(|_| Cell::new((0, f64::NAN))).collect();
-        Rules { all, numbers, flags: (0..READ).map(|_| Cell::new((0, false))).collect() }
+        Rules {
+            all,
+            numbers,
+            flags: (0..READ).map(|_| Cell::new((0, false))).collect(),
+        }
     }
 }
 
@@ -83,18 +91,29 @@
 
     /// The same for a name that is made up, read each time.
     pub fn told(&self, name: &str, default: f64) -> f64 {
-        self.text(name).parse().ok().filter(|v: &f64| v.is_finite()).unwrap_or(default)
+        self.text(name)
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite())
+            .unwrap_or(default)
     }
 
     /// No number where none is told.
     fn number(&self, name: &'static str) -> f64 {
-        Rules::read(&self.numbers, name, || self.text(name).parse().unwrap_or(f64::NAN))
+        Rules::read(&self.numbers, name, || {
+            self.text(name).parse().unwrap_or(f64::NAN)
+        })
     }
 
     /// By where the name stands in the program. The same name may stand in several places; each is read once.
-    fn read<T: Copy>(places: &[Cell<(usize, T)>], name: &'static str, value: impl FnOnce() -> T) -> T {
+    fn read<T: Copy>(
+        places: &[Cell<(usize, T)>],
+        name: &'static str,
+        value: impl FnOnce() -> T,
+    ) -> T {
         let here = name.as_ptr() as usize;
-        let place = &places[here.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> (usize::BITS - READ.ilog2())];
+        let place =
+            &places[here.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> (usize::BITS - READ.ilog2())];
         let (whose, known) = place.get();
         // Literals may share their memory, so the length belongs to the place too.
         let whole = here ^ name.len().rotate_right(8);
@@ -133,7 +152,12 @@
 
 impl<K: Copy + Eq + Hash, V: Copy> Memory<K, V> {
     pub fn new(life: Micros, most: usize) -> Self {
-        Memory { known: HashMap::new(), order: VecDeque::new(), life, most }
+        Memory {
+            known: HashMap::new(),
+            order: VecDeque::new(),
+            life,
+            most,
+        }
     }
 
     /// What was forgotten for want of room before its time, the last of it.
@@ -141,7 +165,9 @@
         self.known.insert(key, (now, value));
         self.order.push_back((now, key));
         let mut dropped = None;
-        while self.order.front().is_some_and(|f| f.0 + self.life < now) || self.order.len() > self.most {
+        while self.order.front().is_some_and(|f| f.0 + self.life < now)
+            || self.order.len() > self.most
+        {
             let Some((at, old)) = self.order.pop_front() else {
                 break;
             };
@@ -154,7 +180,10 @@
     }
 
     pub fn get(&self, now: Micros, key: K) -> Option<V> {
-        self.known.get(&key).filter(|k| k.0 + self.life >= now).map(|k| k.1)
+        self.known
+            .get(&key)
+            .filter(|k| k.0 + self.life >= now)
+            .map(|k| k.1)
     }
 }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -12,7 +12,9 @@
 
 use crate::interface::*;
 use crate::room::{Memory, Room, Rules, Smooth};
-use crate::state::{Ask, Bid, Card, CopyBound, Held, Kind, Note, Peers, Repeat, Role, Sent, Verdict};
+use crate::state::{
+    Ask, Bid, Card, CopyBound, Held, Kind, Note, Peers, Repeat, Role, Sent, Verdict,
+};
 use smallvec::SmallVec;
 use std::collections::BTreeMap;
 
@@ -134,7 +136,12 @@
 
 impl Gate {
     fn new(step_up: f64, least: f64) -> Gate {
-        Gate { window: WINDOW, step_up, least: least.max(WINDOW_LEAST), ..Gate::default() }
+        Gate {
+            window: WINDOW,
+            step_up,
+            least: least.max(WINDOW_LEAST),
+            ..Gate::default()
+        }
     }
 
     fn pressed(&self, share: f64) -> bool {
@@ -150,7 +157,9 @@
 
     fn enter(&mut self, now: Micros, share: f64) {
         self.out += share;
-        self.usual = self.out.max(self.usual + SMOOTHING * (self.out - self.usual));
+        self.usual = self
+            .out
+            .max(self.usual + SMOOTHING * (self.out - self.usual));
         self.entered_at = if share > 0.0 { now } else { self.entered_at };
     }
 
@@ -162,7 +171,11 @@
     /// True when it was cut to where it binds, for the log, and not said lately.
     fn judge(&mut self, now: Micros, time: f64, share: f64) -> bool {
         if time <= 1.0 {
-            self.window += if self.pressed(share) { self.step_up * share } else { 0.0 };
+            self.window += if self.pressed(share) {
+                self.step_up * share
+            } else {
+                0.0
+            };
             return false;
         }
         self.window = self.window.min(USED * self.usual.max(1.0));
@@ -179,13 +192,21 @@
         self.seen = (self.seen + 1.0).min(if told { 500.0 } else { 50.0 });
         // Times seen grow with a jam; taken at their word they would hide it. The lowest mean stands, and
         // gives way slowly.
-        self.work = if told { self.recent } else { self.recent.min(self.work * GIVE) };
+        self.work = if told {
+            self.recent
+        } else {
+            self.recent.min(self.work * GIVE)
+        };
         // The lowest mean is soon one of very few, low by chance, and by as much cold machines would get more than they
         // bear: they are counted by another, without these. Could hurt where a jam is there from the start.
         self.counted += 1.0;
         self.mean += (work - self.mean) / self.counted.min(MANY);
         if told || self.counted >= FEW {
-            self.load = if told { self.recent } else { self.mean.min(self.load * GIVE) };
+            self.load = if told {
+                self.recent
+            } else {
+                self.mean.min(self.load * GIVE)
+            };
         }
     }
 }
@@ -207,7 +228,16 @@
 impl Peer {
     fn new(ix: EndpointIndex) -> Peer {
         let (card, gate) = (Card::new(), Gate::new(STEP_UP, 0.0));
-        Peer { ix, card, gate, gone_at: None, since: 0, listed_since: 0, level: None, level_at: 0 }
+        Peer {
+            ix,
+            card,
+            gate,
+            gone_at: None,
+            since: 0,
+            listed_since: 0,
+            level: None,
+            level_at: 0,
+        }
     }
 
     fn read(&mut self, note: Note, room: &mut Room<Note>) {
@@ -237,7 +267,14 @@
                 room.tell(bid.cache, Note::Carry(bid));
             }
             Note::Carry(bid) => return self.carry(bid, room),
-            Note::Done { verdict, lost, heard, time, pace, work } => {
+            Note::Done {
+                verdict,
+                lost,
+                heard,
+                time,
+                pace,
+                work,
+            } => {
                 if heard {
                     // Back after a long silence it may have started anew, unlisted yet: cold as well.
                     if self.card.owed >= OWED && now > self.card.owed_since + LONG_SILENT {
@@ -258,7 +295,8 @@
                 self.card.lost += u32::from(lost);
                 if lost && self.card.lost >= LOST {
                     if now > self.since + SAY_REST {
-                        room.out.push(Action::Log(LogEvent::EndpointUnreachable { stable_id: id }));
+                        room.out
+                            .push(Action::Log(LogEvent::EndpointUnreachable { stable_id: id }));
                     }
                     self.since = now;
                     if self.card.lost == LOST {
@@ -275,13 +313,24 @@
                 self.gate.leave(now, share);
                 if time.is_some_and(|time| self.gate.judge(now, time, share)) {
                     let window = self.gate.window;
-                    room.out.push(Action::Log(LogEvent::ParentLimitCut { stable_id: id, limit: window }));
+                    room.out.push(Action::Log(LogEvent::ParentLimitCut {
+                        stable_id: id,
+                        limit: window,
+                    }));
                 }
             }
-            Note::Gave { verdict, first_byte, took, work } => {
+            Note::Gave {
+                verdict,
+                first_byte,
+                took,
+                work,
+            } => {
                 self.judged(now, verdict);
                 let card = &mut self.card;
-                for (time, figure) in [(first_byte, &mut card.first_byte), (took, &mut card.latency)] {
+                for (time, figure) in [
+                    (first_byte, &mut card.first_byte),
+                    (took, &mut card.latency),
+                ] {
                     if let Some(time) = time {
                         figure.add(now, time as f64, SOURCE_SMOOTHING);
                     }
@@ -308,7 +357,10 @@
 
     fn judged(&mut self, now: Micros, verdict: Verdict) {
         let card = &mut self.card;
-        for (failed, share) in [(verdict.sure, &mut card.failing), (verdict.doubt, &mut card.doubt)] {
+        for (failed, share) in [
+            (verdict.sure, &mut card.failing),
+            (verdict.doubt, &mut card.doubt),
+        ] {
             if let Some(failed) = failed {
                 share.add(now, f64::from(failed), SMOOTHING / 2.0);
             }
@@ -334,16 +386,28 @@
         };
         if entry.started_at != self.listed_since {
             // What was seen of the process before says nothing of the new one.
-            *card = Card { failing: Smooth::at(0.0), doubt: Smooth::at(0.0), pace: Smooth::at(1.0), ..*card };
+            *card = Card {
+                failing: Smooth::at(0.0),
+                doubt: Smooth::at(0.0),
+                pace: Smooth::at(1.0),
+                ..*card
+            };
             (self.since, self.listed_since) = (entry.started_at, entry.started_at);
             (self.level, self.level_at) = (None, room.now);
         }
         card.stable = entry.stable_id;
         card.zone = usize::from(entry.zone);
-        card.weight = if room.rules.text("weight_kind") == "off" { 1.0 } else { entry.weight.max(0.01) };
+        card.weight = if room.rules.text("weight_kind") == "off" {
+            1.0
+        } else {
+            entry.weight.max(0.01)
+        };
         card.open = entry.status == EndpointStatus::Ready;
-        self.gone_at =
-            if entry.status == EndpointStatus::Removed { self.gone_at.or(Some(room.now)) } else { None };
+        self.gone_at = if entry.status == EndpointStatus::Removed {
+            self.gone_at.or(Some(room.now))
+        } else {
+            None
+        };
     }
 
     /// The only place from which sends go out. Guards rules 3 and 4 for the cache; [`Note::Lend`] has done
@@ -383,30 +447,48 @@
         let (from, warm, factor, fronts) = match self.card.role {
             Role::Cache | Role::Foreign => {
                 let fronts = rules.item_num("specifics.zone_balancers", self.card.zone);
-                ("guarantees.cold_from", "guarantees.warm_after_s", "guarantees.overload_factor", fronts)
+                (
+                    "guarantees.cold_from",
+                    "guarantees.warm_after_s",
+                    "guarantees.overload_factor",
+                    fronts,
+                )
             }
             Role::Parent => {
                 let names = ("specifics.upper_cold_from", "specifics.parent_warms_in_s");
-                (names.0, names.1, "specifics.parent_fall_multiple", rules.num("balancers", 1.0))
+                (
+                    names.0,
+                    names.1,
+                    "specifics.parent_fall_multiple",
+                    rules.num("balancers", 1.0),
+                )
             }
             Role::Origin => return true,
         };
-        let (from, warm, factor) = (rules.num(from, 0.05), rules.span(warm, 30.0), rules.num(factor, 2.0));
+        let (from, warm, factor) = (
+            rules.num(from, 0.05),
+            rules.span(warm, 30.0),
+            rules.num(factor, 2.0),
+        );
         let up = (room.now - self.since).max(0);
         if self.since <= 0 || up >= warm {
             return true;
         }
         let share = from + (1.0 - from) * up as f64 / warm as f64;
         let part = self.card.weight * SEC as f64 / fronts.max(1.0);
-        let norm = if rules.text("weight_kind") == "off" { norm.max(part) } else { part };
+        let norm = if rules.text("weight_kind") == "off" {
+            norm.max(part)
+        } else {
+            part
+        };
         let rate = factor * share * norm * COLD_USE / SEC as f64;
         let window = rate * rules.span("guarantees.overload_for_s", 1.0) as f64;
         // What may go out at once is one call at least: where a front's part is less, it waits the longer. All
         // start at a moment of their own, so that the calls of many fronts, and of such as start anew themselves, come
         // one by one: in a window their sum is this rate's share of the budget, and spreads less than by chance.
         let most = work.max(window * COLD_BURST);
-        let level =
-            self.level.unwrap_or_else(|| room.draw() * most) - rate * (room.now - self.level_at) as f64;
+        let level = self.level.unwrap_or_else(|| room.draw() * most)
+            - rate * (room.now - self.level_at) as f64;
         let level = level.max(0.0);
         let fits = level + work <= most;
         self.level = Some(if fits { level + work } else { level });
@@ -472,7 +554,12 @@
             let work = self.own_work(&lk, room);
             self.kinds[lk.class].learn(work, true);
         }
-        let held = Held { keep, again, asked_at: room.now, ..Held::new(lk) };
+        let held = Held {
+            keep,
+            again,
+            asked_at: room.now,
+            ..Held::new(lk)
+        };
         self.lookups.insert(lk.id, held);
         self.extra = (self.extra + EXTRA_EARNED).min(EXTRA_SAVED);
         self.plan(lk.id, room);
@@ -488,9 +575,16 @@
         self.asked.put(now, (lk.object, lk.part), again);
         let tail = f64::from(lk.part) >= NU * f64::from(highest + 1);
         // Against herds too: each next part of a new object is the highest yet, and each front would pass it.
-        let just = |back| self.asked.get(now, (lk.object, lk.part.wrapping_sub(back))) == Some(true);
-        let fronts = || rules.item_num("specifics.zone_balancers", rules.num("locality", 0.0) as usize);
-        let led = tail && lk.part > seen && (1..=WALK).any(just) && !rules.is("specifics.shares_fills");
+        let just =
+            |back| self.asked.get(now, (lk.object, lk.part.wrapping_sub(back))) == Some(true);
+        let fronts = || {
+            rules.item_num(
+                "specifics.zone_balancers",
+                rules.num("locality", 0.0) as usize,
+            )
+        };
+        let led =
+            tail && lk.part > seen && (1..=WALK).any(just) && !rules.is("specifics.shares_fills");
         let led = led && fronts() >= f64::from(WALK);
         (if tail && !again && !led { 0 } else { RANK }, again)
     }
@@ -506,19 +600,28 @@
 
     /// The latest purge of the object or its group, while old copies may lie about.
     fn purge(&self, lk: &Request, now: Micros) -> Option<Micros> {
-        self.purged.get(now, (Some(lk.object), 0)).max(self.purged.get(now, (None, lk.group)))
+        self.purged
+            .get(now, (Some(lk.object), 0))
+            .max(self.purged.get(now, (None, lk.group)))
     }
 
     /// Out of touch for longer than news may take, any object may have been purged between then and the last moment
     /// of which news would count as told. Only where there are purges: it costs each hit of an older copy.
     fn kept_back(&self, now: Micros) -> Option<Micros> {
-        let untold = self.behind.filter(|since| self.purges && now > since + TOLD_BY).map(|_| now - TOLD_BY);
-        untold.max(self.copies.refused_before(now)).max(self.dropped.get(now, ()))
+        let untold = self
+            .behind
+            .filter(|since| self.purges && now > since + TOLD_BY)
+            .map(|_| now - TOLD_BY);
+        untold
+            .max(self.copies.refused_before(now))
+            .max(self.dropped.get(now, ()))
     }
 
     /// What a send that is written now has to have known of.
     fn binding(&self, lk: &Request, now: Micros) -> Option<Micros> {
-        self.purge(lk, now).max(self.copies.binds_from()).max(self.dropped.get(now, ()))
+        self.purge(lk, now)
+            .max(self.copies.binds_from())
+            .max(self.dropped.get(now, ()))
     }
 
     /// Rule 5: how old a copy may be, 0 for any that the kind allows.
@@ -526,7 +629,10 @@
         let kind = &self.kinds[lk.class];
         let most = (kind.fresh > 0).then_some(kind.fresh + grace);
         // 0 would mean the default.
-        let since = self.purge(lk, now).max(self.kept_back(now)).map(|at| (now - at).max(1));
+        let since = self
+            .purge(lk, now)
+            .max(self.kept_back(now))
+            .map(|at| (now - at).max(1));
         since.into_iter().chain(most).min().unwrap_or(0)
     }
 
@@ -560,7 +666,8 @@
         let card = &self.cards[ix];
         // A peer that is well again is back after a few good answers, whatever it was before. Who hardly
         // fails stands out nowhere, so its like are not looked through for it: lists are long.
-        let stands_out = || card.failing(room.now, DRIFT) > FAILING && self.stands_out(ix, room) > FAILING;
+        let stands_out =
+            || card.failing(room.now, DRIFT) > FAILING && self.stands_out(ix, room) > FAILING;
         room.now < card.tried_at + (TRIAL_REST >> card.streak)
             && (Desk::silent(card, room.now) || stands_out())
     }
@@ -571,7 +678,9 @@
         let rate = |c: &Card| c.failing(room.now, DRIFT);
         let others = self.cards.iter().enumerate();
         let others = others.filter(|(i, c)| *i != ix && c.role == self.cards[ix].role && c.open);
-        let (sum, count) = others.fold((0.0, 0.0), |(sum, count), (_, c)| (sum + rate(c), count + 1.0));
+        let (sum, count) = others.fold((0.0, 0.0), |(sum, count), (_, c)| {
+            (sum + rate(c), count + 1.0)
+        });
         rate(&self.cards[ix]) - sum / f64::max(count, 1.0)
     }
 
@@ -579,12 +688,18 @@
     /// holds itself, so it is not a jam that all of the location share, and the next one has room.
     fn passes_on(&self, bid: &Bid, room: &Room<Note>) -> bool {
         let pace = |c: &Card| c.pace.drifted(room.now, 1.0, DRIFT);
-        let like = self.cards.iter().filter(|c| c.role == Role::Cache && c.open);
-        let drags = pace(&self.cards[bid.cache]) > DRAGS * like.map(pace).fold(f64::INFINITY, f64::min);
+        let like = self
+            .cards
+            .iter()
+            .filter(|c| c.role == Role::Cache && c.open);
+        let drags =
+            pace(&self.cards[bid.cache]) > DRAGS * like.map(pace).fold(f64::INFINITY, f64::min);
         drags
             && self.lookups.get(&bid.lk).is_some_and(|held| {
                 let all = self.order(held, Role::Cache, u64::from(held.lk.part));
-                let next = all.into_iter().find(|ix| *ix != bid.cache && !self.shunned(*ix, room));
+                let next = all
+                    .into_iter()
+                    .find(|ix| *ix != bid.cache && !self.shunned(*ix, room));
                 next.is_some_and(|ix| !self.cards[ix].pressed)
             })
     }
@@ -594,13 +709,20 @@
         let spent = |ix: EndpointIndex| {
             held.turned.contains(&ix)
                 || held.sends.iter().any(|s| {
-                    (s.peer == ix && (s.out || s.cache_failed)) || (s.source == Some(ix) && s.source_failed)
+                    (s.peer == ix && (s.out || s.cache_failed))
+                        || (s.source == Some(ix) && s.source_failed)
                 })
         };
-        let fits = |ix: &EndpointIndex| self.cards[*ix].role == role && self.cards[*ix].open && !spent(*ix);
+        let fits = |ix: &EndpointIndex| {
+            self.cards[*ix].role == role && self.cards[*ix].open && !spent(*ix)
+        };
         let all = (0..self.cards.len()).filter(fits);
         let score = |ix: EndpointIndex| {
-            let weight = if role == Role::Cache { self.cards[ix].weight } else { 1.0 };
+            let weight = if role == Role::Cache {
+                self.cards[ix].weight
+            } else {
+                1.0
+            };
             draw(self.cards[ix].stable, weight, held.lk.object, part)
         };
         let mut all: SmallVec<[(f64, EndpointIndex); 16]> = all.map(|ix| (score(ix), ix)).collect();
@@ -609,19 +731,39 @@
     }
 
     /// The design's companion: of two parents by the object's hash the one with the lower figure.
-    fn source(&self, held: &Held, origin: Option<EndpointIndex>, room: &Room<Note>) -> Option<EndpointIndex> {
+    fn source(
+        &self,
+        held: &Held,
+        origin: Option<EndpointIndex>,
+        room: &Room<Note>,
+    ) -> Option<EndpointIndex> {
         let all = self.order(held, Role::Parent, 0);
-        let up: Peers = all.iter().copied().filter(|ix| !self.shunned(*ix, room)).take(2).collect();
-        let bytes = up.iter().all(|ix| self.cards[*ix].first_byte.value.is_some());
+        let up: Peers = all
+            .iter()
+            .copied()
+            .filter(|ix| !self.shunned(*ix, room))
+            .take(2)
+            .collect();
+        let bytes = up
+            .iter()
+            .all(|ix| self.cards[*ix].first_byte.value.is_some());
         let figure = |c: &Card| if bytes { c.first_byte } else { c.latency };
-        let average = self.average(Role::Parent, |c| figure(c).value).unwrap_or(0.0);
+        let average = self
+            .average(Role::Parent, |c| figure(c).value)
+            .unwrap_or(0.0);
         let seen = |ix: &EndpointIndex| figure(&self.cards[*ix]).drifted(room.now, average, DRIFT);
-        up.iter().copied().min_by(|a, b| seen(a).total_cmp(&seen(b))).or(origin).or(all.first().copied())
+        up.iter()
+            .copied()
+            .min_by(|a, b| seen(a).total_cmp(&seen(b)))
+            .or(origin)
+            .or(all.first().copied())
     }
 
     /// Chooses cache and source for the next send of a lookup, or gives it up.
     fn plan(&mut self, id: u32, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get(&id).filter(|h| !h.ended && !h.began) else { return };
+        let Some(held) = self.lookups.get(&id).filter(|h| !h.ended && !h.began) else {
+            return;
+        };
         let (lk, now) = (held.lk, room.now);
         let left = lk.deadline - now;
         let cap = room.rules.num("limits.send_cap", 4.0) as usize;
@@ -650,7 +792,11 @@
         let kind = &self.kinds[lk.class];
         let grace = kind.grace;
         // A parent that names itself would fetch nothing.
-        let behind = if self.cards[cache].role == Role::Parent { origin } else { source };
+        let behind = if self.cards[cache].role == Role::Parent {
+            origin
+        } else {
+            source
+        };
         let mut fill = Fill {
             source: behind.unwrap_or(cache),
             retention: if uncacheable { 0 } else { held.keep },
@@ -662,22 +808,31 @@
         // Against a jam of fills: while many are out, the cache is first asked for what it holds, then the
         // parent, and only what is missing there waits for a place among the fetches behind. So a slow origin
         // shuts off neither hits nor parents. What is past its fresh time is better than nothing then.
-        let missed =
-            |ask: Ask| held.sends.iter().any(|s| s.peer == cache && !s.out && !s.waited && s.ask == ask);
+        let missed = |ask: Ask| {
+            held.sends
+                .iter()
+                .any(|s| s.peer == cache && !s.out && !s.waited && s.ask == ask)
+        };
         let usual = self.filled.drifted(now, FILLED, DRIFT);
         let lacking = missed(Ask::Held) || self.cards[fill.source].role == Role::Origin;
         // What the origin runs only passes through, however long that takes.
         // In a lasting jam the rest would fill the windows and the largest never get in: those that are owed go in with
         // the first, but count as usual ones before a link that all share. Could hurt where those alone are the jam.
-        let owed = self.large(&lk, room).is_some_and(|at| kind.kept_back[at] > 0.0);
-        let own = if uncacheable { EASY } else { self.ease(&lk, room) };
+        let owed = self
+            .large(&lk, room)
+            .is_some_and(|at| kind.kept_back[at] > 0.0);
+        let own = if uncacheable {
+            EASY
+        } else {
+            self.ease(&lk, room)
+        };
         let ease = if owed { EASY } else { own };
         // A fetch costs the origin much the same whatever the size.
         let fetches_full = self.fetches.full(now, ease.sqrt());
         // The link is shared with fronts that are not seen; reports tell of it before anything comes late.
         let link = self.link.drifted(now, 0.0, LINK_FADES) / LINK_BEARS;
-        let fills_full =
-            self.fills.full(now, ease) || room.draw() * link > if owed { own.max(1.0) } else { own };
+        let fills_full = self.fills.full(now, ease)
+            || room.draw() * link > if owed { own.max(1.0) } else { own };
         let ask = if uncacheable {
             Ask::Plain
         } else if self.cards[cache].role != Role::Cache {
@@ -724,9 +879,16 @@
         // What may still come in time is asked for again, the next wait is longer, lest large ones starve.
         let part = PATIENCE * (held.sends.len() + 1) as f64 * self.budget(&lk, kind.work);
         let last = held.sends.len() + 1 >= cap || kind.repeat == Repeat::SideEffecting;
-        let wait = if last || self.cards[cache].owed < OWED { left } else { left * 6 / 10 };
+        let wait = if last || self.cards[cache].owed < OWED {
+            left
+        } else {
+            left * 6 / 10
+        };
         let hangs = !last && self.hangs(cache, now);
-        let norm = |role| self.average(role, |c| Some(c.carried.value(now, DRIFT))).unwrap_or(0.0);
+        let norm = |role| {
+            self.average(role, |c| Some(c.carried.value(now, DRIFT)))
+                .unwrap_or(0.0)
+        };
         let bid = Bid {
             lk: id,
             cache,
@@ -735,10 +897,18 @@
             share,
             fetch,
             ease,
-            timeout: if hangs { wait.min(part as Micros) } else { wait },
+            timeout: if hangs {
+                wait.min(part as Micros)
+            } else {
+                wait
+            },
             work: kind.load,
             // All of it: emptied caches push a cold parent over before a share of misses seen has moved.
-            fill_work: if lk.size_kb > 0.0 { self.own_work(&lk, room) } else { kind.load },
+            fill_work: if lk.size_kb > 0.0 {
+                self.own_work(&lk, room)
+            } else {
+                kind.load
+            },
             norm: norm(self.cards[cache].role),
             fill_norm: norm(Role::Parent),
             purged: self.binding(&lk, now),
@@ -774,8 +944,12 @@
     /// would break a rule; what is not written never ran. Could hurt where purges are so many that no send is written
     /// in time; each that is called back counts towards the cap.
     fn connected(&mut self, id: u32, send: u8, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get(&id) else { return };
-        let Some(sent) = held.sends.get(usize::from(send)).filter(|s| s.out) else { return };
+        let Some(held) = self.lookups.get(&id) else {
+            return;
+        };
+        let Some(sent) = held.sends.get(usize::from(send)).filter(|s| s.out) else {
+            return;
+        };
         let open = |ix: EndpointIndex| self.cards[ix].open;
         let good = !(held.ended || held.half_closed)
             && open(sent.peer)
@@ -793,7 +967,9 @@
 
     /// The client has ended its side: what is out may still find it listening, and what is not never goes out.
     fn half_closed(&mut self, id: u32, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get_mut(&id) else { return };
+        let Some(held) = self.lookups.get_mut(&id) else {
+            return;
+        };
         held.half_closed = true;
         if held.sends.iter().all(|s| !s.out) {
             self.give_up(id, room);
@@ -801,7 +977,9 @@
     }
 
     fn sent(&mut self, bid: Bid, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get_mut(&bid.lk) else { return };
+        let Some(held) = self.lookups.get_mut(&bid.lk) else {
+            return;
+        };
         held.sends.push(Sent::new(&bid, room.now));
         if self.cards[bid.fill.source].role == Role::Parent && bid.fill.source != bid.cache {
             room.tell(bid.fill.source, Note::Lent(bid.share));
@@ -812,11 +990,16 @@
 
     /// Ends a lookup: calls back what is still out of it, and forgets it once nothing is.
     fn close(&mut self, id: u32, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get_mut(&id) else { return };
+        let Some(held) = self.lookups.get_mut(&id) else {
+            return;
+        };
         held.ended = true;
         let out = (0u8..).zip(&held.sends).filter(|(_, s)| s.out);
         if room.rules.is("limits.cancel") && !held.began {
-            room.out.extend(out.clone().map(|(send, _)| Action::CancelAttempt { id, attempt: send }));
+            room.out.extend(
+                out.clone()
+                    .map(|(send, _)| Action::CancelAttempt { id, attempt: send }),
+            );
         }
         if out.count() == 0 {
             self.lookups.remove(&id);
@@ -826,7 +1009,9 @@
     /// The only place from which the front answers. At once, whatever time is left: the client does better
     /// elsewhere or later.
     fn give_up(&mut self, id: u32, room: &mut Room<Note>) {
-        let Some(held) = self.lookups.get(&id).filter(|h| !h.ended) else { return };
+        let Some(held) = self.lookups.get(&id).filter(|h| !h.ended) else {
+            return;
+        };
         let ran = held.sends.iter().any(|s| s.may_have_run);
         let kind = &self.kinds[held.lk.class];
         let all = kind.repeat == Repeat::Deduplicated && kind.group == "all";
@@ -834,24 +1019,39 @@
         let most = room.rules.span("limits.max_retry_after_s", 0.0);
         // Spread, lest all that a jam turned down come back together.
         let wait = SEC / 100 + (room.draw() * SEC as f64 / 2.0) as Micros;
-        let retry_after = if room.rules.is("limits.retry_after") { most.min(wait) } else { 0 };
+        let retry_after = if room.rules.is("limits.retry_after") {
+            most.min(wait)
+        } else {
+            0
+        };
         let lk = held.lk;
-        room.out.push(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
+        room.out.push(if harmless {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
         self.counted(&lk, false, room);
         self.close(id, room);
     }
 
     fn ended(&mut self, o: AttemptEnd, room: &mut Room<Note>) {
-        let hung =
-            o.outcome == AttemptOutcome::TimedOut && o.attempt == 0 && self.hangs(o.endpoint, room.now);
-        let Some(held) = self.lookups.get_mut(&o.id) else { return };
+        let hung = o.outcome == AttemptOutcome::TimedOut
+            && o.attempt == 0
+            && self.hangs(o.endpoint, room.now);
+        let Some(held) = self.lookups.get_mut(&o.id) else {
+            return;
+        };
         let (lk, ended) = (held.lk, held.ended);
-        let Some(send) = held.sends.get_mut(usize::from(o.attempt)).filter(|s| s.out) else { return };
+        let Some(send) = held.sends.get_mut(usize::from(o.attempt)).filter(|s| s.out) else {
+            return;
+        };
         send.out = false;
         send.may_have_run = o.outcome.may_have_run();
         let upstream = matches!(
             o.cache_status,
-            CacheStatus::SourceRejected | CacheStatus::SourceUnreachable | CacheStatus::OriginFailed
+            CacheStatus::SourceRejected
+                | CacheStatus::SourceUnreachable
+                | CacheStatus::OriginFailed
         );
         let told = room.rules.text("specifics.says") == "all";
         // Who is at fault: the cache, the source, or either where nothing tells.
@@ -885,8 +1085,10 @@
         let recalled = send.recalled && o.outcome == AttemptOutcome::Superseded;
         send.waited = hung || recalled;
         send.cache_failed = !(satisfied || upstream || send.waited || (unclear && source_worse));
-        send.source_failed = at_source || (unclear && source_worse) || o.outcome == AttemptOutcome::Miss;
-        let (at, source_ix, share, fetch, ask) = (send.at, send.source, send.fill, send.fetch, send.ask);
+        send.source_failed =
+            at_source || (unclear && source_worse) || o.outcome == AttemptOutcome::Miss;
+        let (at, source_ix, share, fetch, ask) =
+            (send.at, send.source, send.fill, send.fetch, send.ask);
         let look = matches!(ask, Ask::Look | Ask::Stale);
         // A miss that was asked for is no failure: it only tells where to ask next.
         let told_so = (look || ask == Ask::Held) && o.outcome == AttemptOutcome::Miss;
@@ -895,22 +1097,37 @@
         self.fills.leave(room.now, share);
         self.fetches.leave(room.now, fetch);
         // What is known to come from the cache itself: elsewhere fills are mixed in.
-        let held = matches!(o.cache_status, CacheStatus::Hit | CacheStatus::Stale) || (look && satisfied);
-        let filled = matches!(o.cache_status, CacheStatus::FilledFromParent | CacheStatus::FilledFromOrigin);
+        let held =
+            matches!(o.cache_status, CacheStatus::Hit | CacheStatus::Stale) || (look && satisfied);
+        let filled = matches!(
+            o.cache_status,
+            CacheStatus::FilledFromParent | CacheStatus::FilledFromOrigin
+        );
         let own = self.own_work(&lk, room);
         let uncacheable = self.kinds[lk.class].uncacheable;
         if o.size_kb > 0.0 && lk.size_kb <= 0.0 && !uncacheable {
-            let work = self.own_work(&Request { size_kb: o.size_kb, ..lk }, room);
+            let work = self.own_work(
+                &Request {
+                    size_kb: o.size_kb,
+                    ..lk
+                },
+                room,
+            );
             self.kinds[lk.class].learn(work, true);
         } else if satisfied && lk.size_kb <= 0.0 && (held || !told || uncacheable) {
             self.kinds[lk.class].learn(o.elapsed as f64, false);
         }
         // A cache that drags what it holds itself says nothing of the fills.
-        let drag = self.cards[o.endpoint].pace.drifted(room.now, 1.0, DRIFT).max(1.0);
+        let drag = self.cards[o.endpoint]
+            .pace
+            .drifted(room.now, 1.0, DRIFT)
+            .max(1.0);
         // Nor does a source that cannot be reached: it is passed by, links and other sources have room. Taken
         // for a jam, it shut the fills of all fronts at once. Could hurt where a jam shows as nothing else.
-        let elsewhere =
-            matches!(o.cache_status, CacheStatus::SourceUnreachable | CacheStatus::SourceRejected);
+        let elsewhere = matches!(
+            o.cache_status,
+            CacheStatus::SourceUnreachable | CacheStatus::SourceRejected
+        );
         let fills = share > 0.0 && !held && !uncacheable && !elsewhere;
         if let Some(time) = self.time(&lk, &o, own, drag).filter(|_| fills) {
             let late = time > 1.0;
@@ -923,7 +1140,9 @@
                 | CacheStatus::SourceUnreachable => false,
                 _ => ask == Ask::Fetch || (ask == Ask::Plain && !(told && satisfied)),
             };
-            let at_link = satisfied && o.first_byte.is_some_and(|b| b < self.kinds[lk.class].budget / 2);
+            let at_link = satisfied
+                && o.first_byte
+                    .is_some_and(|b| b < self.kinds[lk.class].budget / 2);
             let fetches = (&mut self.fetches, true, behind && !(late && at_link), fetch);
             let fills = (&mut self.fills, false, !late || !behind || at_link, share);
             for (gate, is_fetch, concerned, share) in [fetches, fills] {
@@ -952,21 +1171,45 @@
         let lost = o.outcome == AttemptOutcome::ConnectFailed;
         let heard = matches!(
             o.outcome,
-            AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Error | AttemptOutcome::Rejected
+            AttemptOutcome::Success
+                | AttemptOutcome::Miss
+                | AttemptOutcome::Error
+                | AttemptOutcome::Rejected
         );
-        let carried = if satisfied { self.kinds[lk.class].load } else { 0.0 };
+        let carried = if satisfied {
+            self.kinds[lk.class].load
+        } else {
+            0.0
+        };
         room.tell(
             o.endpoint,
-            Note::Done { verdict: verdict(at_cache && !uncacheable), lost, heard, time, pace, work: carried },
+            Note::Done {
+                verdict: verdict(at_cache && !uncacheable),
+                lost,
+                heard,
+                time,
+                pace,
+                work: carried,
+            },
         );
         if let Some(ix) = source_ix.filter(|ix| self.cards[*ix].role == Role::Parent) {
-            let refused =
-                o.outcome == AttemptOutcome::TimedOut || o.cache_status == CacheStatus::SourceRejected;
+            let refused = o.outcome == AttemptOutcome::TimedOut
+                || o.cache_status == CacheStatus::SourceRejected;
             // What the origin had to fetch says nothing of the parent's own link.
             let own_link = o.cache_status == CacheStatus::FilledFromParent && !uncacheable;
             let passed = || o.elapsed as f64 / self.budget(&lk, own).max(1.0) / drag;
-            let time = if refused { Some(f64::INFINITY) } else { own_link.then(passed) };
-            room.tell(ix, Note::Returned { share, time: time.filter(|_| share > 0.0) });
+            let time = if refused {
+                Some(f64::INFINITY)
+            } else {
+                own_link.then(passed)
+            };
+            room.tell(
+                ix,
+                Note::Returned {
+                    share,
+                    time: time.filter(|_| share > 0.0),
+                },
+            );
         }
         if let Some(ix) = source_ix {
             let part = if !told || filled { carried } else { 0.0 };
@@ -977,7 +1220,15 @@
                 let first_byte = if timed_out { Some(took) } else { o.first_byte };
                 // A quick failure is no quick answer.
                 let took = (satisfied || timed_out).then_some(took);
-                room.tell(ix, Note::Gave { verdict: verdict(at_source), first_byte, took, work: part });
+                room.tell(
+                    ix,
+                    Note::Gave {
+                        verdict: verdict(at_source),
+                        first_byte,
+                        took,
+                        work: part,
+                    },
+                );
             }
         }
         let wait = ask == Ask::Look
@@ -992,7 +1243,11 @@
             // Its ring brings it back.
         } else if told_so || recalled {
             self.plan(o.id, room);
-        } else if !self.lookups.get(&o.id).is_some_and(|h| h.sends.iter().any(|s| s.out)) {
+        } else if !self
+            .lookups
+            .get(&o.id)
+            .is_some_and(|h| h.sends.iter().any(|s| s.out))
+        {
             self.again(o.id, room);
         }
     }
@@ -1009,8 +1264,8 @@
         let kind = &mut self.kinds[lk.class];
         kind.answered.add(room.now, answered, SMOOTHING / 10.0);
         if let Some(at) = large {
-            let owed =
-                kind.kept_back[at] + LEAN_MOST * kind.answered.drifted(room.now, 1.0, DRIFT) - answered;
+            let owed = kind.kept_back[at] + LEAN_MOST * kind.answered.drifted(room.now, 1.0, DRIFT)
+                - answered;
             kind.kept_back[at] = owed.clamp(-OWED_MOST, OWED_MOST);
         }
     }
@@ -1020,7 +1275,9 @@
     fn ease(&self, lk: &Request, room: &Room<Note>) -> f64 {
         let slack = |k: &Kind, work: f64| k.stretch + k.budget as f64 / work.max(1.0);
         let cached = self.kinds.iter().rev().skip(1).filter(|k| !k.uncacheable);
-        let least = cached.map(|k| slack(k, k.work)).fold(f64::INFINITY, f64::min);
+        let least = cached
+            .map(|k| slack(k, k.work))
+            .fold(f64::INFINITY, f64::min);
         let own = slack(&self.kinds[lk.class], self.own_work(lk, room));
         (own / least).clamp(TIGHT, EASY)
     }
@@ -1032,7 +1289,9 @@
     /// How many times the latency budget, times the drag of its cache, an outcome took.
     fn time(&self, lk: &Request, o: &AttemptEnd, own: f64, drag: f64) -> Option<f64> {
         match o.outcome {
-            AttemptOutcome::Success => Some(o.elapsed as f64 / (drag * self.budget(lk, own)).max(1.0)),
+            AttemptOutcome::Success => {
+                Some(o.elapsed as f64 / (drag * self.budget(lk, own)).max(1.0))
+            }
             AttemptOutcome::TimedOut | AttemptOutcome::Rejected => Some(f64::INFINITY),
             _ => None,
         }
@@ -1042,7 +1301,9 @@
     /// for again after a part of its sending time, as long as that leaves the time to send it in time.
     fn wait(&mut self, lk: &Request, own: f64, room: &mut Room<Note>) -> bool {
         let budget = self.budget(lk, own) as Micros;
-        let Some(held) = self.lookups.get_mut(&lk.id) else { return false };
+        let Some(held) = self.lookups.get_mut(&lk.id) else {
+            return false;
+        };
         let at = room.now + held.sends.len() as Micros * (own as Micros / 4).max(WAIT_LEAST);
         let late = at + own as Micros > lk.deadline.min(held.asked_at + budget);
         held.waiting = !(late || held.half_closed || room.rules.is("specifics.shares_fills"));
@@ -1056,7 +1317,10 @@
     /// Extra sends are earned by first ones, so that retries cannot feed an overload. None is spent on what
     /// only the origin can do while the origin itself fails: eight sends each would hold it down.
     fn again(&mut self, id: u32, room: &mut Room<Note>) {
-        let passes = self.lookups.get(&id).is_some_and(|h| self.kinds[h.lk.class].uncacheable);
+        let passes = self
+            .lookups
+            .get(&id)
+            .is_some_and(|h| self.kinds[h.lk.class].uncacheable);
         let mut origins = (0..self.cards.len()).filter(|ix| self.cards[*ix].role == Role::Origin);
         let in_vain = passes && origins.any(|ix| self.cards[ix].open && self.shunned(ix, room));
         if self.extra < 1.0 || in_vain {
@@ -1082,10 +1346,14 @@
         }
         let least = FETCHES_LEAST / rules.num("balancers", 1.0).max(1.0);
         let mut fields = rules.text("feedback.fields").split(',');
-        let on_links = rules.text("specifics.report_x1").contains("location's_link");
+        let on_links = rules
+            .text("specifics.report_x1")
+            .contains("location's_link");
         let desk = Desk {
             cards: Vec::new(),
-            kinds: (0..=rules.num("classes.count", 0.0) as usize).map(|k| Kind::read(&rules, k)).collect(),
+            kinds: (0..=rules.num("classes.count", 0.0) as usize)
+                .map(|k| Kind::read(&rules, k))
+                .collect(),
             lookups: BTreeMap::new(),
             extra: EXTRA_SAVED,
             lengths: Memory::new(LENGTH_LIFE, MEMORY),
@@ -1102,7 +1370,11 @@
             link: Smooth::at(0.0),
             link_at: fields.position(|f| f == "x1").filter(|_| on_links),
         };
-        Router { desk, peers: Vec::new(), room: Room::new(now, rules.all, seed) }
+        Router {
+            desk,
+            peers: Vec::new(),
+            room: Room::new(now, rules.all, seed),
+        }
     }
 
     pub fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
@@ -1111,37 +1383,63 @@
         match event {
             Event::EndpointsUpdated(listing) => self.listed(listing),
             Event::RequestArrived(lk) => desk.asked(lk, room),
-            Event::ResponseStarted { id } => {
-                desk.lookups.get_mut(&id).into_iter().for_each(|held| held.began = true)
-            }
+            Event::ResponseStarted { id } => desk
+                .lookups
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|held| held.began = true),
             Event::AttemptEnded(outcome) => desk.ended(outcome, room),
             Event::ClientLeft { id } => desk.close(id, room),
             Event::ClientHalfClosed { id } => desk.half_closed(id, room),
             Event::AttemptConnected { id, attempt } => desk.connected(id, attempt, room),
             Event::TimerFired { timer: token } => {
-                match desk.lookups.get_mut(&token).map(|h| std::mem::take(&mut h.waiting)) {
+                match desk
+                    .lookups
+                    .get_mut(&token)
+                    .map(|h| std::mem::take(&mut h.waiting))
+                {
                     Some(true) => desk.plan(token, room),
                     _ => room.out.push(Action::PollDiscovery),
                 }
             }
-            Event::Invalidated { object, group, age: ago } => {
+            Event::Invalidated {
+                object,
+                group,
+                age: ago,
+            } => {
                 let name = (object, if object.is_some() { 0 } else { group });
                 let last = desk.purged.get(now, name).unwrap_or(Micros::MIN);
                 let dropped = desk.purged.put(now, name, last.max(now - ago));
-                if let Some(stamp) = dropped.max(desk.dropped.get(now, ()).filter(|_| dropped.is_some())) {
+                if let Some(stamp) =
+                    dropped.max(desk.dropped.get(now, ()).filter(|_| dropped.is_some()))
+                {
                     desk.dropped.put(now, (), stamp);
                 }
                 desk.purges = true;
             }
             Event::DiscoveryLag { since } => desk.behind = since,
-            Event::FreshnessBound { not_before, max_age: age } => {
-                desk.copies = CopyBound { not_before, age, told: now }
+            Event::FreshnessBound {
+                not_before,
+                max_age: age,
+            } => {
+                desk.copies = CopyBound {
+                    not_before,
+                    age,
+                    told: now,
+                }
             }
-            Event::SharedLength { object, highest_part: highest } => {
+            Event::SharedLength {
+                object,
+                highest_part: highest,
+            } => {
                 let known = desk.lengths.get(room.now, object).unwrap_or(0);
                 desk.lengths.put(room.now, object, known.max(highest));
             }
-            Event::SharedEstimate { endpoint: peer, failure_rate: failing, first_byte } => {
+            Event::SharedEstimate {
+                endpoint: peer,
+                failure_rate: failing,
+                first_byte,
+            } => {
                 room.tell(peer, Note::Thought(failing, first_byte));
             }
             Event::HealthCheckEnded { .. } | Event::PeerMessage { .. } => {}
@@ -1167,7 +1465,9 @@
     fn listed(&mut self, listing: EndpointUpdate) {
         let entries = match listing {
             EndpointUpdate::Snapshot(entries) => {
-                for ix in (0..self.peers.len()).filter(|ix| entries.iter().all(|e| e.endpoint != *ix)) {
+                for ix in
+                    (0..self.peers.len()).filter(|ix| entries.iter().all(|e| e.endpoint != *ix))
+                {
                     self.room.tell(ix, Note::Unlisted);
                 }
                 entries
@@ -1175,7 +1475,10 @@
             EndpointUpdate::Delta(entries) => entries,
             EndpointUpdate::Unavailable => {
                 if self.room.rules.text("registry_mode") == "on_request" {
-                    self.room.out.push(Action::SetTimer { at: self.room.now + SEC, timer: 0 });
+                    self.room.out.push(Action::SetTimer {
+                        at: self.room.now + SEC,
+                        timer: 0,
+                    });
                 }
                 return;
             }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -192,7 +192,9 @@
 impl Card {
     /// The share of what it gets that it fails, whether surely or in doubt.
     pub fn failing(&self, now: Micros, drift: f64) -> f64 {
-        self.failing.drifted(now, 0.0, drift).max(self.doubt.drifted(now, 0.0, drift))
+        self.failing
+            .drifted(now, 0.0, drift)
+            .max(self.doubt.drifted(now, 0.0, drift))
     }
 
     /// Of a peer of which nothing is known.
