--- a/crates/settings/src/events.rs
+++ b/crates/settings/src/events.rs
@@ -1,7 +1,9 @@
 //! `fleet { region events { ... } relay { ... } }`: how events come from relays, and what a relay does.
 
 use super::{address, fault, Faulty, Fleet, Node};
-use meadowrill_event_distribution::plan::{Faulty as PlanFaulty, Plan, RelayAddress, RelayPlan, TEXT_MOST};
+use meadowrill_event_distribution::plan::{
+    Faulty as PlanFaulty, Plan, RelayAddress, RelayPlan, TEXT_MOST,
+};
 use meadowrill_event_distribution::plan::{MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
 use std::net::SocketAddr;
@@ -36,11 +38,18 @@
 
 /// How events come from relays, if they do.
 pub(super) fn plan(fleet: &Node, members: &Fleet, text: &str) -> Result<Option<Plan>, Faulty> {
-    let Some(node) = fleet.node("events") else { return Ok(None) };
+    let Some(node) = fleet.node("events") else {
+        return Ok(None);
+    };
     let relays = node.nodes("relay");
-    let relays = relays.iter().map(|relay| relay_address(relay, text)).collect::<Result<Vec<_>, _>>()?;
+    let relays = relays
+        .iter()
+        .map(|relay| relay_address(relay, text))
+        .collect::<Result<Vec<_>, _>>()?;
     let usual = Plan::new(members.number(), relays);
-    let span = |key: &str, unit: Micros, usual: Micros| node.count(key).map_or(usual, |n| n as Micros * unit);
+    let span = |key: &str, unit: Micros, usual: Micros| {
+        node.count(key).map_or(usual, |n| n as Micros * unit)
+    };
     let plan = Plan {
         batch: span("batch_ms", MILLISECOND, usual.batch),
         heartbeat: span("heartbeat_ms", MILLISECOND, usual.heartbeat),
@@ -53,7 +62,8 @@
         purges_most: node.count("purges_most").unwrap_or(usual.purges_most),
         ..usual
     };
-    plan.check().map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
+    plan.check()
+        .map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
     Ok(Some(plan))
 }
 
@@ -75,10 +85,20 @@
 }
 
 /// What this process does as a relay, if it is to be one.
-pub(super) fn relay(fleet: &Node, events: Option<&Plan>, text: &str) -> Result<Option<Relay>, Faulty> {
-    let Some(node) = fleet.node("relay") else { return Ok(None) };
+pub(super) fn relay(
+    fleet: &Node,
+    events: Option<&Plan>,
+    text: &str,
+) -> Result<Option<Relay>, Faulty> {
+    let Some(node) = fleet.node("relay") else {
+        return Ok(None);
+    };
     let Some(events) = events else {
-        return Err(fault(text, fleet.key("relay"), "is told, but no fleet.events"));
+        return Err(fault(
+            text,
+            fleet.key("relay"),
+            "is told, but no fleet.events",
+        ));
     };
     let name = node.text("name").unwrap_or_default();
     let Some(listed) = events.relays.iter().find(|relay| relay.name == name) else {
@@ -87,24 +107,39 @@
     };
     let usual = RelayPlan::default();
     let plan = RelayPlan {
-        subscribers_most: node.count("subscribers_most").unwrap_or(usual.subscribers_most),
-        joins_per_s: node.count("joins_per_s").map_or(usual.joins_per_s, |n| n as u64),
+        subscribers_most: node
+            .count("subscribers_most")
+            .unwrap_or(usual.subscribers_most),
+        joins_per_s: node
+            .count("joins_per_s")
+            .map_or(usual.joins_per_s, |n| n as u64),
         snapshot_bytes_per_s: node
             .count("snapshot_bytes_per_s")
             .map_or(usual.snapshot_bytes_per_s, |n| n as u64),
         window_bytes: node.count("window_bytes").unwrap_or(usual.window_bytes),
     };
-    plan.check().map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
-    let publish = node.node("publish").map(|node| publish(&node, text)).transpose()?;
+    plan.check()
+        .map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
+    let publish = node
+        .node("publish")
+        .map(|node| publish(&node, text))
+        .transpose()?;
     if publish.is_some() != listed.publishes {
         let what = format!("does not agree with `publishes` of {name:?} in fleet.events.relay");
         return Err(fault(text, node.key("publish"), what));
     }
-    Ok(Some(Relay { name, plan, publish }))
+    Ok(Some(Relay {
+        name,
+        plan,
+        publish,
+    }))
 }
 
 fn publish(node: &Node, text: &str) -> Result<Publish, Faulty> {
     let told = node.text("journal").unwrap_or_default();
     let journal = address(text, node.key("journal"), &told)?;
-    Ok(Publish { journal, after: node.long_count("after").unwrap_or(0) })
+    Ok(Publish {
+        journal,
+        after: node.long_count("after").unwrap_or(0),
+    })
 }
--- a/crates/settings/src/places.rs
+++ b/crates/settings/src/places.rs
@@ -62,11 +62,22 @@
                     value = false;
                 } else if let Some((path, counts)) = open.last_mut() {
                     let count = counts.entry(name.to_string()).or_insert(0);
-                    let key =
-                        if repeated(path, name) { format!("{name}[{count}]") } else { name.to_string() };
+                    let key = if repeated(path, name) {
+                        format!("{name}[{count}]")
+                    } else {
+                        name.to_string()
+                    };
                     *count += 1;
-                    last = if path.is_empty() { key } else { format!("{path}.{key}") };
-                    places.push(Place { path: last.clone(), start, line });
+                    last = if path.is_empty() {
+                        key
+                    } else {
+                        format!("{path}.{key}")
+                    };
+                    places.push(Place {
+                        path: last.clone(),
+                        start,
+                        line,
+                    });
                 }
             }
             _ => {}
@@ -82,8 +93,9 @@
     let places = places(text);
     let mut path = path;
     loop {
-        if let Some(place) =
-            places.iter().find(|p| p.path == path || p.path.strip_suffix("[0]") == Some(path))
+        if let Some(place) = places
+            .iter()
+            .find(|p| p.path == path || p.path.strip_suffix("[0]") == Some(path))
         {
             return place.line;
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -81,11 +81,19 @@
         lines.iter().map(entry).collect()
     }
 
-    fn event(&mut self, lists: &BTreeMap<u8, Vec<Line>>, arrival: Arrival) -> Result<Event, String> {
+    fn event(
+        &mut self,
+        lists: &BTreeMap<u8, Vec<Line>>,
+        arrival: Arrival,
+    ) -> Result<Event, String> {
         Ok(match arrival {
-            Arrival::PeersKnown { mode: 1, .. } => Event::EndpointsUpdated(EndpointUpdate::Unavailable),
+            Arrival::PeersKnown { mode: 1, .. } => {
+                Event::EndpointsUpdated(EndpointUpdate::Unavailable)
+            }
             Arrival::PeersKnown { mode, slot } => {
-                let lines = lists.get(&slot).ok_or_else(|| format!("list {slot} was never introduced"))?;
+                let lines = lists
+                    .get(&slot)
+                    .ok_or_else(|| format!("list {slot} was never introduced"))?;
                 let entries = self.entries(lines);
                 Event::EndpointsUpdated(if mode == 4 {
                     EndpointUpdate::Delta(entries)
@@ -93,17 +101,23 @@
                     EndpointUpdate::Snapshot(entries)
                 })
             }
-            Arrival::Inbound { id, slice, length_kb, asset, expires_s, lane, batch_id } => {
-                Event::RequestArrived(Request {
-                    id,
-                    object: asset,
-                    part: slice as u32,
-                    size_kb: f64::from(length_kb),
-                    group: batch_id as u32,
-                    class: usize::from(lane),
-                    deadline: micros(expires_s),
-                })
-            }
+            Arrival::Inbound {
+                id,
+                slice,
+                length_kb,
+                asset,
+                expires_s,
+                lane,
+                batch_id,
+            } => Event::RequestArrived(Request {
+                id,
+                object: asset,
+                part: slice as u32,
+                size_kb: f64::from(length_kb),
+                group: batch_id as u32,
+                class: usize::from(lane),
+                deadline: micros(expires_s),
+            }),
             Arrival::First { id } => Event::ResponseStarted { id },
             Arrival::Done(d) => Event::AttemptEnded(AttemptEnd {
                 id: d.id,
@@ -119,14 +133,26 @@
             }),
             Arrival::Expired { id } => Event::ClientLeft { id },
             Arrival::Ring { handle } => Event::TimerFired { timer: handle },
-            Arrival::Heard { author, octets } => Event::PeerMessage { from: author, bytes: octets },
-            Arrival::Probed { cache, disposition, delay_seen_s, health_info } => Event::HealthCheckEnded {
+            Arrival::Heard { author, octets } => Event::PeerMessage {
+                from: author,
+                bytes: octets,
+            },
+            Arrival::Probed {
+                cache,
+                disposition,
+                delay_seen_s,
+                health_info,
+            } => Event::HealthCheckEnded {
                 endpoint: self.caches.of(&cache),
                 outcome: outcome(disposition),
                 elapsed: micros(delay_seen_s),
                 load_report: reports(&health_info),
             },
-            Arrival::Invalidated { asset, batch_id, oldness_s } => Event::Invalidated {
+            Arrival::Invalidated {
+                asset,
+                batch_id,
+                oldness_s,
+            } => Event::Invalidated {
                 object: (asset != 0).then_some(asset),
                 group: u32::from(batch_id),
                 age: micros(oldness_s),
@@ -140,24 +166,42 @@
 
     fn deed(&mut self, action: Action) -> Option<Deed> {
         Some(match action {
-            Action::StartAttempt { id, endpoint, timeout, fill: None } => {
-                Deed::Route { id, cache: *self.caches.name(endpoint), limit_s: seconds(timeout) }
-            }
-            Action::StartAttempt { id, endpoint, timeout, fill: Some(fill) } => Deed::Obtain {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+                fill: None,
+            } => Deed::Route {
+                id,
+                cache: *self.caches.name(endpoint),
+                limit_s: seconds(timeout),
+            },
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+                fill: Some(fill),
+            } => Deed::Obtain {
                 id,
                 cache: *self.caches.name(endpoint),
                 limit_s: seconds(timeout),
                 supplier: *self.caches.name(fill.source),
                 admit: fill.retention,
                 oldness_s: seconds(fill.max_age),
-                mode: u8::from(fill.join) | u8::from(fill.cached_only) << 1 | u8::from(fill.revalidate) << 3,
+                mode: u8::from(fill.join)
+                    | u8::from(fill.cached_only) << 1
+                    | u8::from(fill.revalidate) << 3,
+            },
+            Action::Reject { id, retry_after } => Deed::OverloadReply {
+                id,
+                cool_down_s: seconds(retry_after),
             },
-            Action::Reject { id, retry_after } => {
-                Deed::OverloadReply { id, cool_down_s: seconds(retry_after) }
-            }
             Action::Fail { id } => Deed::Surrender { id },
             Action::CancelAttempt { id, attempt: send } => Deed::Revoke { id, go: send },
-            Action::SetTimer { at, timer: token } => Deed::Defer { alarm_time_s: seconds(at), handle: token },
+            Action::SetTimer { at, timer: token } => Deed::Defer {
+                alarm_time_s: seconds(at),
+                handle: token,
+            },
             Action::PollDiscovery => Deed::Track(true),
             Action::Log(event) => Deed::Emit(log_line(event)),
             Action::ReleaseEndpoint { endpoint: peer } => {
@@ -199,7 +243,13 @@
             let played = if let Arrival::Start { prng, env } = arrival {
                 let settings = settings(env.lines().filter_map(|l| l.split_once('=')));
                 catch_panic(|| Router::new(prng, settings, now, &mut actions)).map(|front| {
-                    self.instances.insert(id, Instance { front, caches: EndpointIndices::default() });
+                    self.instances.insert(
+                        id,
+                        Instance {
+                            front,
+                            caches: EndpointIndices::default(),
+                        },
+                    );
                 })
             } else {
                 let unknown = || bad(format!("instance {id} was never introduced"));
@@ -216,7 +266,11 @@
                 return Ok(deeds);
             }
             if let Some(instance) = self.instances.get_mut(&id) {
-                deeds.extend(actions.into_iter().filter_map(|action| instance.deed(action)));
+                deeds.extend(
+                    actions
+                        .into_iter()
+                        .filter_map(|action| instance.deed(action)),
+                );
             }
         }
         Ok(deeds)
@@ -230,19 +284,30 @@
         let mut length = [0; 4];
         match input.read(&mut length[..1]).map_err(|e| e.to_string())? {
             0 => break,
-            _ => input.read_exact(&mut length[1..]).map_err(|e| format!("frame {number}, offset 0: {e}"))?,
+            _ => input
+                .read_exact(&mut length[1..])
+                .map_err(|e| format!("frame {number}, offset 0: {e}"))?,
         }
         let length = u64::from(u32::from_le_bytes(length));
         frame.clear();
-        let got = input.by_ref().take(length).read_to_end(&mut frame).map_err(|e| e.to_string())? as u64;
+        let got = input
+            .by_ref()
+            .take(length)
+            .read_to_end(&mut frame)
+            .map_err(|e| e.to_string())? as u64;
         if got < length {
-            return Err(format!("frame {number}, offset {}: {length} bytes announced, {got} came", got + 4));
+            return Err(format!(
+                "frame {number}, offset {}: {length} bytes announced, {got} came",
+                got + 4
+            ));
         }
         let place = |e: Malformed| format!("frame {number}, {e}");
         let batch = codec::read(&frame).map_err(place)?;
         let answer = batch.number;
         let deeds = host.play(batch).map_err(place)?;
-        output.write_all(&codec::write(answer, &deeds)).map_err(|e| e.to_string())?;
+        output
+            .write_all(&codec::write(answer, &deeds))
+            .map_err(|e| e.to_string())?;
         output.flush().map_err(|e| e.to_string())?;
     }
     Ok(())
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -23,7 +23,10 @@
             let (name, after) = rest[1..].split_at(usize::from(rest[0]));
             let size = usize::from(u16::from_le_bytes([after[0], after[1]]));
             let (value, after) = after[2..].split_at(size);
-            fields.push((String::from_utf8_lossy(name).into(), String::from_utf8_lossy(value).into()));
+            fields.push((
+                String::from_utf8_lossy(name).into(),
+                String::from_utf8_lossy(value).into(),
+            ));
             rest = after;
         }
         (fields, rest)
@@ -48,10 +51,20 @@
 
 pub fn ask(stream: u32, verb: &str, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let txn = format!("{stream:016x}");
-    let usual =
-        [("verb", verb), ("txn", &txn), ("limit", "3000"), ("item", OBJECT), ("slice", "3"), ("set", "17")];
+    let usual = [
+        ("verb", verb),
+        ("txn", &txn),
+        ("limit", "3000"),
+        ("item", OBJECT),
+        ("slice", "3"),
+        ("set", "17"),
+    ];
     let told = |name| more.iter().any(|f| f.0 == name);
-    let all: Vec<_> = more.iter().copied().chain(usual.into_iter().filter(|f| !told(f.0))).collect();
+    let all: Vec<_> = more
+        .iter()
+        .copied()
+        .chain(usual.into_iter().filter(|f| !told(f.0)))
+        .collect();
     frame(65, stream, &[fields(&all), body.to_vec()].concat())
 }
 
@@ -81,7 +94,12 @@
     pub fn hear(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
         match self.0.read_exact(&mut head) {
-            Err(e) if matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
+                ) =>
+            {
                 return None
             }
             other => other.expect("a frame in time"),
@@ -90,7 +108,11 @@
         let mut payload = vec![0; length - 5];
         self.0.read_exact(&mut payload).unwrap();
         let stream = u32::from_le_bytes([head[5], head[6], head[7], head[8]]);
-        Some(Frame { kind: head[4], stream, payload })
+        Some(Frame {
+            kind: head[4],
+            stream,
+            payload,
+        })
     }
 
     #[track_caller]
--- a/crates/test-servers/src/demo.rs
+++ b/crates/test-servers/src/demo.rs
@@ -37,15 +37,26 @@
 
 fn play(name: &'static str, settings: &str, seconds: u64) -> Row {
     let directory = Directory::default();
-    let machine =
-        |(workers, each): (usize, Duration), empty| Service::start(workers, each, SIZE, empty, &directory);
+    let machine = |(workers, each): (usize, Duration), empty| {
+        Service::start(workers, each, SIZE, empty, &directory)
+    };
     let boxes = [(); 3].map(|()| machine(BOXES, true));
     let (parent, origin) = (machine(SOURCES, true), machine(SOURCES, false));
-    directory.lock().unwrap().extend([("s-p".into(), parent.address), ("s-o".into(), origin.address)]);
+    directory.lock().unwrap().extend([
+        ("s-p".into(), parent.address),
+        ("s-o".into(), origin.address),
+    ]);
     let journal = Journal::start();
-    let named: Vec<_> = ["s-a", "s-b", "s-c"].into_iter().zip(boxes.iter().map(|b| b.address)).collect();
-    let site =
-        Site { caches: &named, parent: parent.address, origin: origin.address, journal: journal.address };
+    let named: Vec<_> = ["s-a", "s-b", "s-c"]
+        .into_iter()
+        .zip(boxes.iter().map(|b| b.address))
+        .collect();
+    let site = Site {
+        caches: &named,
+        parent: parent.address,
+        origin: origin.address,
+        journal: journal.address,
+    };
     let mut config = site.config();
     config["limits"]["sockets"] = 4096.into();
     let program = Program::with_settings(&config, settings);
@@ -59,7 +70,8 @@
     let quiet = load(QUIET, 1, Manners::Returns, Duration::from_millis(10)).start(program.address);
     // The boxes fill what they lack before it gets loud.
     std::thread::sleep(Duration::from_secs(1));
-    let loud = load(LOUD, LOUD_CONNECTIONS, Manners::Hammers, Duration::ZERO).start(program.address);
+    let loud =
+        load(LOUD, LOUD_CONNECTIONS, Manners::Hammers, Duration::ZERO).start(program.address);
     let before = counts(&quiet.counts);
     let (mut last, start) = ([before, [0; 3]], Instant::now());
     println!("\n{name}");
@@ -68,7 +80,9 @@
         "s", "quiet: asked, in budget, refused", "loud: asked, in budget, refused"
     );
     for second in 1..=seconds {
-        std::thread::sleep((start + Duration::from_secs(second)).saturating_duration_since(Instant::now()));
+        std::thread::sleep(
+            (start + Duration::from_secs(second)).saturating_duration_since(Instant::now()),
+        );
         let now = [counts(&quiet.counts), counts(&loud.counts)];
         let row = [0, 1].map(|at| [0, 1, 2].map(|n| now[at][n] - last[at][n]));
         let [q, l] = row.map(|[asked, good, away]| format!("{asked:>10} {good:>11} {away:>11}"));
@@ -78,21 +92,37 @@
     let (_, times) = quiet.end();
     loud.end();
     let quiet = [0, 1, 2].map(|n| last[0][n] - before[n]);
-    Row { name, quiet, loud: last[1], quiet_ms: times.mean() / 1e3 }
+    Row {
+        name,
+        quiet,
+        loud: last[1],
+        quiet_ms: times.mean() / 1e3,
+    }
 }
 
 /// Both halves, then the table. Needs the program beside the one that runs.
 pub fn run(seconds: u64) -> Result<(), String> {
-    println!("Three boxes that serve 600 lookups a second, a parent and an origin, all on loopback.");
+    println!(
+        "Three boxes that serve 600 lookups a second, a parent and an origin, all on loopback."
+    );
     println!("The quiet hospital has one terminal. The loud one hammers on {LOUD_CONNECTIONS} connections.");
-    let rows = [play("First come, first served", "", seconds), play("With turns", TURNS, seconds)];
-    println!("\n{:<26}{:>22}{:>16}{:>22}", "", "quiet in budget", "quiet mean ms", "loud in budget a s");
+    let rows = [
+        play("First come, first served", "", seconds),
+        play("With turns", TURNS, seconds),
+    ];
+    println!(
+        "\n{:<26}{:>22}{:>16}{:>22}",
+        "", "quiet in budget", "quiet mean ms", "loud in budget a s"
+    );
     for row in &rows {
         let [asked, good, _] = row.quiet;
         let share = good as f64 / (asked.max(1)) as f64;
         let loud = row.loud[1] as f64 / seconds as f64;
         let quiet = format!("{good} of {asked} ({:.0}%)", 100.0 * share);
-        println!("{:<26}{quiet:>22}{:>16.1}{loud:>22.0}", row.name, row.quiet_ms);
+        println!(
+            "{:<26}{quiet:>22}{:>16.1}{loud:>22.0}",
+            row.name, row.quiet_ms
+        );
     }
     if rows[1].quiet[1] == 0 {
         return Err("demo: the quiet hospital was not served".into());
--- a/crates/test-servers/src/journal.rs
+++ b/crates/test-servers/src/journal.rs
@@ -81,9 +81,19 @@
     if BufReader::new(read).read_line(&mut line).is_err() {
         return;
     }
-    let mut last: u64 = line.trim().strip_prefix("tail ").and_then(|n| n.parse().ok()).unwrap_or(KNOWN);
+    let mut last: u64 = line
+        .trim()
+        .strip_prefix("tail ")
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(KNOWN);
     for look in 0u32.. {
-        let more: Vec<Value> = events.lock().unwrap().iter().skip((last - KNOWN) as usize).cloned().collect();
+        let more: Vec<Value> = events
+            .lock()
+            .unwrap()
+            .iter()
+            .skip((last - KNOWN) as usize)
+            .cloned()
+            .collect();
         let mut text: String = more.iter().map(|event| format!("{event}\n")).collect();
         last += more.len() as u64;
         if look % LOOKS_A_SECOND == 0 {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -39,5 +39,8 @@
 }
 
 pub fn now_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
 }
--- a/crates/test-servers/src/load.rs
+++ b/crates/test-servers/src/load.rs
@@ -97,7 +97,11 @@
 
 /// A connection from an address of its own choice.
 pub fn connect_from(from: IpAddr, to: SocketAddr) -> TcpStream {
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let fd = socket(family, SocketType::STREAM, None).unwrap();
     bind(&fd, &SocketAddr::new(from, 0)).unwrap();
     connect(&fd, &to).unwrap();
@@ -117,13 +121,20 @@
 impl Load {
     /// Asks until [`Running::end`].
     pub fn start(&self, to: SocketAddr) -> Running {
-        let (counts, over) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(false)));
+        let (counts, over) = (
+            Arc::new(Counts::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
         let connection = |at: usize| {
             let (load, counts, over) = (self.clone(), Arc::clone(&counts), Arc::clone(&over));
             thread::spawn(move || load.ask(at, to, &counts, &over))
         };
         let threads = (0..self.connections).map(connection).collect();
-        Running { counts, over, threads }
+        Running {
+            counts,
+            over,
+            threads,
+        }
     }
 
     /// Loads from different networks never use the same id.
@@ -137,13 +148,31 @@
     /// A lookup as this load asks it, with the fields that it adds.
     fn lookup(&self, at: usize, stream: u32) -> Vec<u8> {
         let object = stream.wrapping_add(at as u32 * 37) % self.objects;
-        let item = format!("{:016x}", u64::from(object + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let (limit, txn) =
-            (self.limit.as_millis().to_string(), format!("{:06x}{:02x}{stream:08x}", at + 1, self.host()));
-        let named = |value: &String| value.replace("{n}", &(at as u32 * 1_000_000 + stream).to_string());
-        let more: Vec<_> = self.more.iter().map(|(name, value)| (name.as_str(), named(value))).collect();
-        let told = [("limit", limit.as_str()), ("item", &item), ("slice", "0"), ("txn", &txn)];
-        let told: Vec<_> = told.into_iter().chain(more.iter().map(|(n, v)| (*n, v.as_str()))).collect();
+        let item = format!(
+            "{:016x}",
+            u64::from(object + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        );
+        let (limit, txn) = (
+            self.limit.as_millis().to_string(),
+            format!("{:06x}{:02x}{stream:08x}", at + 1, self.host()),
+        );
+        let named =
+            |value: &String| value.replace("{n}", &(at as u32 * 1_000_000 + stream).to_string());
+        let more: Vec<_> = self
+            .more
+            .iter()
+            .map(|(name, value)| (name.as_str(), named(value)))
+            .collect();
+        let told = [
+            ("limit", limit.as_str()),
+            ("item", &item),
+            ("slice", "0"),
+            ("txn", &txn),
+        ];
+        let told: Vec<_> = told
+            .into_iter()
+            .chain(more.iter().map(|(n, v)| (*n, v.as_str())))
+            .collect();
         ask(stream, "map", &told, b"")
     }
 
@@ -160,7 +189,8 @@
                 counts.asked.fetch_add(1, Relaxed);
             }
             let answer = client.hear().filter(|frame| frame.kind == ANSWER);
-            let Some((answer, since)) = answer.and_then(|a| asked.remove(&a.stream).map(|since| (a, since)))
+            let Some((answer, since)) =
+                answer.and_then(|a| asked.remove(&a.stream).map(|since| (a, since)))
             else {
                 // Closed, or asked to bring no more: the front may do so where nothing is open.
                 counts.closed.fetch_add(1, Relaxed);
@@ -171,12 +201,16 @@
             let took = since.elapsed();
             let satisfied = answer.code() == 0;
             counts.returned.fetch_add(u64::from(returns), Relaxed);
-            counts.got_in.fetch_add(u64::from(returns && satisfied), Relaxed);
+            counts
+                .got_in
+                .fetch_add(u64::from(returns && satisfied), Relaxed);
             returns = false;
             match answer.code() {
                 0 => {
                     counts.satisfied.fetch_add(1, Relaxed);
-                    counts.in_budget.fetch_add(u64::from(took <= self.budget), Relaxed);
+                    counts
+                        .in_budget
+                        .fetch_add(u64::from(took <= self.budget), Relaxed);
                     times.saturating_record(took.as_micros() as u64);
                     if !self.think.is_zero() {
                         thread::sleep(self.think);
@@ -185,7 +219,9 @@
                 11 => {
                     counts.nacked.fetch_add(1, Relaxed);
                     let later = later(&answer);
-                    counts.unadvised.fetch_add(u64::from(later.is_none()), Relaxed);
+                    counts
+                        .unadvised
+                        .fetch_add(u64::from(later.is_none()), Relaxed);
                     if self.manners == Manners::Returns {
                         // Without advice: a little, as any client would.
                         thread::sleep(later.unwrap_or(Duration::from_millis(20)));
--- a/crates/test-servers/src/service.rs
+++ b/crates/test-servers/src/service.rs
@@ -52,7 +52,13 @@
 
 impl Service {
     /// `empty` ones hold nothing at first; the others, as an origin does, have everything.
-    pub fn start(workers: usize, each: Duration, size: usize, empty: bool, directory: &Directory) -> Service {
+    pub fn start(
+        workers: usize,
+        each: Duration,
+        size: usize,
+        empty: bool,
+        directory: &Directory,
+    ) -> Service {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let machine = Arc::new(Machine {
@@ -95,12 +101,22 @@
 
     /// How often each mark ran, at one that has everything.
     pub fn runs(&self) -> BTreeMap<String, u32> {
-        self.machine.runs.lock().unwrap().iter().map(|(mark, (_, n))| (mark.clone(), *n)).collect()
+        self.machine
+            .runs
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|(mark, (_, n))| (mark.clone(), *n))
+            .collect()
     }
 
     /// From now on requests for this object are looked at: whether they let copies of before through.
     pub fn purged(&self, item: &str, stamp_ms: u128) {
-        self.machine.purged.lock().unwrap().insert(item.into(), stamp_ms);
+        self.machine
+            .purged
+            .lock()
+            .unwrap()
+            .insert(item.into(), stamp_ms);
     }
 
     /// From now on requests may let older copies through for so long after a purge.
@@ -128,7 +144,11 @@
 
 impl Answer {
     fn hit(issued_ms: u128) -> Answer {
-        Answer { note: "TCP_HIT", source_ms: None, issued_ms }
+        Answer {
+            note: "TCP_HIT",
+            source_ms: None,
+            issued_ms,
+        }
     }
 }
 
@@ -149,7 +169,12 @@
                 head.push_str(&line);
                 line.clear();
             }
-            let mut body = vec![0; header(&head, "Content-Length").and_then(|n| n.parse().ok()).unwrap_or(0)];
+            let mut body = vec![
+                0;
+                header(&head, "Content-Length")
+                    .and_then(|n| n.parse().ok())
+                    .unwrap_or(0)
+            ];
             if head.is_empty() || reader.read_exact(&mut body).is_err() {
                 return;
             }
@@ -167,8 +192,9 @@
                 );
                 stream.write_all(&[head.as_bytes(), &vec![b'x'; self.size]].concat())
             });
-            let written = written
-                .unwrap_or_else(|| stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"));
+            let written = written.unwrap_or_else(|| {
+                stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+            });
             if written.is_err() {
                 return;
             }
@@ -182,7 +208,9 @@
         let each = Duration::from_micros(self.each_us.load(Relaxed));
         let until = {
             let mut workers = self.workers.lock().unwrap();
-            let free = workers.pop().map_or_else(Instant::now, |Reverse(at)| at.max(Instant::now()));
+            let free = workers
+                .pop()
+                .map_or_else(Instant::now, |Reverse(at)| at.max(Instant::now()));
             workers.push(Reverse(free + each));
             free + each
         };
@@ -193,7 +221,9 @@
             return Some(Answer::hit(crate::now_ms()));
         };
         let issued_ms = held.lock().unwrap().get(&path).copied();
-        if let Some(issued_ms) = issued_ms.filter(|issued| *issued + oldest_ms(head) >= crate::now_ms()) {
+        if let Some(issued_ms) =
+            issued_ms.filter(|issued| *issued + oldest_ms(head) >= crate::now_ms())
+        {
             return Some(Answer::hit(issued_ms));
         }
         let source = header(head, "Upstream")?;
@@ -208,7 +238,11 @@
                 held.pop_first();
             }
         }
-        Some(Answer { note: "TCP_MISS", source_ms: Some(start.elapsed().as_millis()), issued_ms })
+        Some(Answer {
+            note: "TCP_MISS",
+            source_ms: Some(start.elapsed().as_millis()),
+            issued_ms,
+        })
     }
 
     /// Has the effect, but for a repeat that comes soon after.
@@ -222,8 +256,12 @@
     }
 
     fn look_at_age(&self, path: &str, head: &str) {
-        let Some(item) = path.split('/').nth(3) else { return };
-        let Some(stamp) = self.purged.lock().unwrap().get(item).copied() else { return };
+        let Some(item) = path.split('/').nth(3) else {
+            return;
+        };
+        let Some(stamp) = self.purged.lock().unwrap().get(item).copied() else {
+            return;
+        };
         let since = crate::now_ms().saturating_sub(stamp);
         if since > u128::from(self.heed_ms.load(Relaxed)) && oldest_ms(head) > since + SLACK {
             self.old_let_through.fetch_add(1, Relaxed);
@@ -231,14 +269,26 @@
     }
 
     /// As from a parent that passes on what the origin has; when that was issued.
-    fn fetch(&self, address: SocketAddr, path: &str, asked: &str, mark: Option<&str>) -> Option<u128> {
+    fn fetch(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        asked: &str,
+        mark: Option<&str>,
+    ) -> Option<u128> {
         let mut stream = TcpStream::connect_timeout(&address, crate::HANG).ok()?;
         let mark = mark.map_or(String::new(), |mark| format!("Idempotency-Key: {mark}\r\n"));
-        let oldest = header(asked, "Oldest-Ms").map_or(String::new(), |ms| format!("Oldest-Ms: {ms}\r\n"));
+        let oldest =
+            header(asked, "Oldest-Ms").map_or(String::new(), |ms| format!("Oldest-Ms: {ms}\r\n"));
         let origin = format!("Upstream: s-o\r\nRetain: 1\r\n{oldest}{mark}");
-        stream.write_all(format!("GET {path} HTTP/1.1\r\n{origin}\r\n").as_bytes()).ok()?;
+        stream
+            .write_all(format!("GET {path} HTTP/1.1\r\n{origin}\r\n").as_bytes())
+            .ok()?;
         let (mut reader, mut line, mut length) = (BufReader::new(stream), String::new(), 0);
-        reader.read_line(&mut line).ok().filter(|_| line.contains(" 200 "))?;
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|_| line.contains(" 200 "))?;
         let mut issued_ms = crate::now_ms();
         loop {
             line.clear();
@@ -250,6 +300,9 @@
                 None => break,
             }
         }
-        reader.read_exact(&mut vec![0; length]).ok().map(|()| issued_ms)
+        reader
+            .read_exact(&mut vec![0; length])
+            .ok()
+            .map(|()| issued_ms)
     }
 }
