--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,6 +4,11 @@
 //! A host calls [`AdmissionController::admit`](controller::AdmissionController::admit) for each lookup that it reads,
 //! reports its end with `complete` or `cancel`, and carries out the events that `poll` returns.
 
+#![allow(
+    clippy::missing_errors_doc,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 pub mod concurrency;
 pub mod config;
 pub mod controller;
--- a/crates/benchmarks/src/bin/counted.rs
+++ b/crates/benchmarks/src/bin/counted.rs
@@ -1,5 +1,12 @@
 //! The program with an allocator that counts.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::process::ExitCode;
--- a/crates/benchmarks/src/bin/scale.rs
+++ b/crates/benchmarks/src/bin/scale.rs
@@ -1,5 +1,12 @@
 //! `scale`: measures what costs grow with, with an allocator that counts.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 use clap::Parser;
 use meadowrill_benchmarks::scale::{run, Options};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,6 +1,13 @@
 //! `measure AREA`: lines `name: value (goal)`; exit code 1 when a goal is missed. Long, so not part of the tests, but for
 //! `measure guard`.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 use clap::{Parser, Subcommand};
 use meadowrill_benchmarks::figures::Figures;
 use meadowrill_benchmarks::{events, fleet, guard, path, replica, turns};
--- a/crates/benchmarks/src/scale/decisions.rs
+++ b/crates/benchmarks/src/scale/decisions.rs
@@ -346,7 +346,7 @@
 }
 
 /// A cold cache's part.
-pub fn cold() -> Vec<Slope> {
+pub(super) fn cold() -> Vec<Slope> {
     let few = FRONTS.map(|fronts| (fronts as f64, ramp(fronts, FEW_LOOKUPS)));
     let usual = FRONTS.map(|fronts| (fronts as f64, ramp(fronts, LOOKUPS_EACH * fronts as f64)));
     let points = |seen: &[(f64, Ramp)], of: fn(&Ramp) -> f64| {
@@ -391,7 +391,7 @@
 }
 
 /// Trials at a dead cache.
-pub fn dead() -> Vec<Slope> {
+pub(super) fn dead() -> Vec<Slope> {
     let points = FRONTS
         .map(|fronts| Point {
             x: fronts as f64,
--- a/crates/benchmarks/src/scale/journal.rs
+++ b/crates/benchmarks/src/scale/journal.rs
@@ -174,7 +174,7 @@
 }
 
 /// All slopes of the journal service and its watchers.
-pub fn measure() -> Vec<Slope> {
+pub(super) fn measure() -> Vec<Slope> {
     let mut slopes = Vec::new();
     let points = |seen: &[(f64, (f64, f64))], first: bool| {
         let value = |seen: (f64, f64)| if first { seen.0 } else { seen.1 };
--- a/crates/benchmarks/src/scale/module.rs
+++ b/crates/benchmarks/src/scale/module.rs
@@ -95,7 +95,7 @@
 }
 
 /// Both slopes: up to the bound, and beyond it.
-pub fn measure(held: Held) -> Vec<Slope> {
+pub(super) fn measure(held: Held) -> Vec<Slope> {
     let weigh = |objects: u64| Point {
         x: objects as f64,
         y: meter::held(held, || after(objects)).0,
--- a/crates/benchmarks/src/scale/process.rs
+++ b/crates/benchmarks/src/scale/process.rs
@@ -24,7 +24,7 @@
 
 /// How a front is started.
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub(super) struct Setup {
     pub caches: usize,
     pub sockets: usize,
     pub body_bytes: usize,
@@ -41,7 +41,7 @@
 }
 
 /// A running front and what it talks to.
-pub struct Front {
+pub(super) struct Front {
     pub program: Program,
     pub journal: Speaking,
     socket: PathBuf,
@@ -50,7 +50,7 @@
 }
 
 /// Members of a list of so many caches, at an address that nothing has to listen at.
-pub fn listed(count: usize) -> Vec<Value> {
+pub(super) fn listed(count: usize) -> Vec<Value> {
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     (0..count)
         .map(|n| member(&format!("s-{n:08x}"), "std", nowhere, "SERVING"))
@@ -58,12 +58,12 @@
 }
 
 impl Front {
-    pub fn start(setup: Setup) -> Front {
+    pub(super) fn start(setup: Setup) -> Front {
         Front::start_with(setup, Speaking::start())
     }
 
     /// With a journal service that may have a backlog.
-    pub fn start_with(setup: Setup, journal: Speaking) -> Front {
+    pub(super) fn start_with(setup: Setup, journal: Speaking) -> Front {
         let directory = Directory::default();
         let service = Service::start(WORKERS, Duration::ZERO, setup.body_bytes, false, &directory);
         let names: Vec<String> = (0..setup.caches).map(|n| format!("s-{n:08x}")).collect();
@@ -99,7 +99,7 @@
     }
 
     /// Processor time of the process so far, in microseconds; of its threads together.
-    pub fn cpu_us(&self) -> f64 {
+    pub(super) fn cpu_us(&self) -> f64 {
         let stat = self.proc("stat");
         let after = stat.rsplit(')').next().unwrap_or_default();
         let ticks = after
@@ -111,7 +111,7 @@
     }
 
     /// Resident bytes.
-    pub fn resident(&self) -> f64 {
+    pub(super) fn resident(&self) -> f64 {
         let status = self.proc("status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok())
@@ -119,7 +119,7 @@
     }
 
     /// What the operators' socket answers to a word.
-    pub fn word(&self, word: &str) -> String {
+    pub(super) fn word(&self, word: &str) -> String {
         let mut text = String::new();
         if let Ok(mut stream) = UnixStream::connect(&self.socket) {
             let asked = stream.write_all(format!("{word}\n").as_bytes());
@@ -129,14 +129,14 @@
     }
 
     /// A count of the loop.
-    pub fn count(&self, name: &str) -> f64 {
+    pub(super) fn count(&self, name: &str) -> f64 {
         let text = self.word("counts");
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         line.and_then(|n| n.trim().parse().ok()).unwrap_or(f64::NAN)
     }
 
     /// Processor time once nothing more is done, in microseconds.
-    pub fn cpu_when_idle(&self) -> f64 {
+    pub(super) fn cpu_when_idle(&self) -> f64 {
         let mut spent = self.cpu_us();
         for _ in 0..PATIENCE {
             sleep(IDLE);
@@ -150,7 +150,7 @@
     }
 
     /// Processor microseconds and new connections a hit while a load runs so long.
-    pub fn hits(&self, run: &Running, span: Duration) -> Hits {
+    pub(super) fn hits(&self, run: &Running, span: Duration) -> Hits {
         let done = || Counts::of(&run.counts.satisfied) as f64;
         let (cpu, connections, hits) = (self.cpu_us(), self.count("connections"), done());
         sleep(span);
@@ -166,7 +166,7 @@
 
 /// What a hit cost.
 #[derive(Clone, Copy, Debug)]
-pub struct Hits {
+pub(super) struct Hits {
     pub cpu_us: f64,
     /// System calls for connections.
     pub connection_calls: f64,
--- a/crates/benchmarks/src/scale/scenario.rs
+++ b/crates/benchmarks/src/scale/scenario.rs
@@ -5,7 +5,7 @@
 const BASE: &str = include_str!("../../../routing/tests/scenarios/base.txt");
 
 /// The base settings, with the size of the fleet in them.
-pub fn settings(fronts: usize) -> Settings {
+pub(super) fn settings(fronts: usize) -> Settings {
     let lines = BASE.lines().filter_map(|line| line.strip_prefix("set "));
     let mut all: Settings = lines
         .map(|line| line.split_once(' ').unwrap_or((line, "")))
--- a/crates/benchmarks/src/scale/shared.rs
+++ b/crates/benchmarks/src/scale/shared.rs
@@ -342,7 +342,7 @@
 }
 
 /// All slopes of the shared state.
-pub fn measure(held: Held) -> Vec<Slope> {
+pub(super) fn measure(held: Held) -> Vec<Slope> {
     let mut slopes = Vec::new();
     by_rumors(&mut slopes);
     records(held, &mut slopes);
--- a/crates/benchmarks/src/scale/sockets.rs
+++ b/crates/benchmarks/src/scale/sockets.rs
@@ -152,7 +152,7 @@
 }
 
 /// Connections and the cost of a hit.
-pub fn hits() -> Vec<Slope> {
+pub(super) fn hits() -> Vec<Slope> {
     let tight = CACHES.map(|caches| (caches as f64, before_caches(caches, SOCKETS)));
     let roomy = CACHES.map(|caches| (caches as f64, before_caches(caches, ROOMY)));
     let points = |seen: &[(f64, Seen)], of: fn(&Seen) -> f64| {
@@ -246,14 +246,14 @@
                 "metrics-all",
                 "metrics of 5,000 fronts, scraped every 15 s",
                 "bytes/s",
-                { points(&roomy, |s| s.metrics_bytes * target::FRONTS * SCRAPES_PER_S) },
+                points(&roomy, |s| s.metrics_bytes * target::FRONTS * SCRAPES_PER_S),
             )
         },
     ]
 }
 
 /// What a changed configuration costs a front: a signal, and the file read anew.
-pub fn reloads() -> Vec<Slope> {
+pub(super) fn reloads() -> Vec<Slope> {
     let changes_per_s = target::CONFIGURATION_CHANGES_PER_DAY / target::DAY_S;
     let points = CACHES
         .map(|caches| Point {
--- a/crates/benchmarks/src/scale/target.rs
+++ b/crates/benchmarks/src/scale/target.rs
@@ -1,19 +1,19 @@
 //! The size that is planned for, and the budgets: the one place for these numbers.
 
-pub const FRONTS: f64 = 5_000.0;
-pub const CACHES: f64 = 660.0;
-pub const ZONES: usize = 37;
-pub const REGIONS: usize = 10;
-pub const PURGES_PER_S: f64 = 120.0;
+pub(super) const FRONTS: f64 = 5_000.0;
+pub(super) const CACHES: f64 = 660.0;
+pub(super) const ZONES: usize = 37;
+pub(super) const REGIONS: usize = 10;
+pub(super) const PURGES_PER_S: f64 = 120.0;
 /// How soon a purge has to be in force everywhere.
-pub const PURGE_DONE_S: f64 = 2.9;
-pub const RESTARTS_PER_DAY: f64 = 1_400.0;
-pub const CONFIGURATION_CHANGES_PER_DAY: f64 = 9_800.0;
-pub const DAY_S: f64 = 86_400.0;
+pub(super) const PURGE_DONE_S: f64 = 2.9;
+pub(super) const RESTARTS_PER_DAY: f64 = 1_400.0;
+pub(super) const CONFIGURATION_CHANGES_PER_DAY: f64 = 9_800.0;
+pub(super) const DAY_S: f64 = 86_400.0;
 /// Lookups a second at one front: 5.2 million over all.
-pub const LOOKUPS_PER_S: f64 = 1_040.0;
+pub(super) const LOOKUPS_PER_S: f64 = 1_040.0;
 
 /// What control may cost a front: share of a core, bytes held, bytes sent a second.
-pub const CORE_SHARE: f64 = 0.04;
-pub const MEMORY_BYTES: f64 = 128e6;
-pub const BYTES_PER_S: f64 = 3_000.0;
+pub(super) const CORE_SHARE: f64 = 0.04;
+pub(super) const MEMORY_BYTES: f64 = 128e6;
+pub(super) const BYTES_PER_S: f64 = 3_000.0;
--- a/crates/benchmarks/src/scale/view.rs
+++ b/crates/benchmarks/src/scale/view.rs
@@ -221,7 +221,7 @@
 }
 
 /// All slopes of the view.
-pub fn measure(held: Held) -> Vec<Slope> {
+pub(super) fn measure(held: Held) -> Vec<Slope> {
     let mut calms = Vec::new();
     let mut all_events = Vec::new();
     for many in SIZES {
--- a/crates/event-distribution/src/budget.rs
+++ b/crates/event-distribution/src/budget.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub(crate) struct Budget {
     per_second: i64,
     /// Tokens times a million.
     available: i64,
@@ -12,7 +12,7 @@
 }
 
 impl Budget {
-    pub fn new(per_second: u64, now: Micros) -> Budget {
+    pub(crate) fn new(per_second: u64, now: Micros) -> Budget {
         let per_second = i64::try_from(per_second).unwrap_or(i64::MAX / SECOND);
         Budget {
             per_second,
@@ -22,7 +22,7 @@
     }
 
     /// Takes so many tokens, if they are there.
-    pub fn take(&mut self, now: Micros, tokens: u64) -> bool {
+    pub(crate) fn take(&mut self, now: Micros, tokens: u64) -> bool {
         let elapsed = (now - self.at).clamp(0, SECOND);
         self.at = now;
         self.available = (self.available + elapsed * self.per_second).min(self.per_second * SECOND);
--- a/crates/event-distribution/src/early.rs
+++ b/crates/event-distribution/src/early.rs
@@ -8,7 +8,7 @@
 const BATCHES_MOST: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct EarlyBatch {
+pub(crate) struct EarlyBatch {
     pub first: Position,
     pub events: Vec<Event>,
     pub packed: Vec<u8>,
@@ -17,21 +17,21 @@
 
 /// Of one epoch, by their first positions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct EarlyBatches {
+pub(crate) struct EarlyBatches {
     batches: BTreeMap<Position, EarlyBatch>,
 }
 
 impl EarlyBatches {
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.batches.is_empty()
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.batches.clear();
     }
 
     /// Of too many, the last in order goes: the first ones are of use first.
-    pub fn insert(&mut self, batch: EarlyBatch) {
+    pub(crate) fn insert(&mut self, batch: EarlyBatch) {
         if batch.events.is_empty() {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /// The one that goes on at this position, if it is here.
-    pub fn take(&mut self, at: Position) -> Option<EarlyBatch> {
+    pub(crate) fn take(&mut self, at: Position) -> Option<EarlyBatch> {
         if self
             .batches
             .first_key_value()
--- a/crates/event-distribution/src/fetch.rs
+++ b/crates/event-distribution/src/fetch.rs
@@ -11,7 +11,7 @@
 
 /// How far one part reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Reach {
+pub(crate) struct Reach {
     /// Where the next part goes on; none after the last one.
     pub next: Option<Cursor>,
     /// The sender waits for a request before it sends that.
@@ -20,7 +20,7 @@
 
 /// What one more part has made of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub(crate) enum Progress {
     /// It was known, or is too far ahead to be of use.
     None,
     /// It is of use once those before it are here.
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Fetch {
+pub(crate) struct Fetch {
     pub began: Micros,
     /// Everything up to here has come.
     pub cursor: Option<Cursor>,
@@ -47,7 +47,7 @@
 }
 
 impl Fetch {
-    pub fn new(began: Micros, at: LogPosition) -> Fetch {
+    pub(crate) fn new(began: Micros, at: LogPosition) -> Fetch {
         Fetch {
             began,
             cursor: None,
@@ -59,7 +59,7 @@
     }
 
     /// A part that begins behind `after`. Where this makes progress, what it holds is to be applied.
-    pub fn take(&mut self, after: Option<Cursor>, reach: Reach) -> Progress {
+    pub(crate) fn take(&mut self, after: Option<Cursor>, reach: Reach) -> Progress {
         if after == self.cursor {
             return self.advance(reach);
         }
--- a/crates/event-distribution/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -5,6 +5,13 @@
 //! - [`relay::Relay`] follows the publisher, or another relay, and feeds subscribers.
 //! - [`subscriber::Subscriber`] follows one relay, applies events and knows whether it holds a lease.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 mod budget;
 pub mod distributor;
 mod early;
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,5 +1,12 @@
 //! Fleets of fronts under faults: models in one process, and processes of the program with relays between them.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 pub mod baselines;
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,5 +1,12 @@
 //! Plays scripts of faults against processes of the program.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 use clap::{Parser, Subcommand};
 use meadowrill_fault_injection::events::protocol::Sabotage;
 use meadowrill_fault_injection::events::run::{play_run, Setup};
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,12 @@
 //! The membership protocol of the fleet of fronts: which are present, suspected, dead or gone (docs/fleet.md). Datagrams
 //! and the time in, datagrams and changes out; no I/O, no clock, and randomness by seed.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 pub mod claim;
 pub mod digest;
 pub mod envelope;
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -26,7 +26,7 @@
 
 impl SendBudget {
     /// A full bucket.
-    pub fn new(bytes_per_s: u64, now: Micros) -> SendBudget {
+    pub(super) fn new(bytes_per_s: u64, now: Micros) -> SendBudget {
         let mut budget = SendBudget {
             bytes_per_s,
             available: 0.0,
@@ -40,14 +40,14 @@
         (self.bytes_per_s * BURST_SECONDS) as f64
     }
 
-    pub fn refill(&mut self, now: Micros) {
+    pub(super) fn refill(&mut self, now: Micros) {
         self.available += (now - self.refilled_at) as f64 * self.bytes_per_s as f64 / SEC as f64;
         self.available = self.available.min(self.capacity());
         self.refilled_at = now;
     }
 
     /// Whether at least this share of the capacity is available.
-    pub fn has_share(&self, share: f64) -> bool {
+    pub(super) fn has_share(&self, share: f64) -> bool {
         self.available >= self.capacity() * share
     }
 
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -30,7 +30,7 @@
 }
 
 impl Departure {
-    pub fn is_complete(&self, now: Micros) -> bool {
+    pub(super) fn is_complete(&self, now: Micros) -> bool {
         self.confirmed.len() >= NEEDED_CONFIRMATIONS || now >= self.deadline
     }
 }
--- a/crates/membership/src/view/forgotten.rs
+++ b/crates/membership/src/view/forgotten.rs
@@ -20,7 +20,7 @@
 }
 
 impl ForgottenMembers {
-    pub fn new(members_most: usize) -> ForgottenMembers {
+    pub(super) fn new(members_most: usize) -> ForgottenMembers {
         ForgottenMembers {
             tombstones: BTreeMap::new(),
             capacity: CAPACITY_FACTOR * members_most,
@@ -28,17 +28,17 @@
     }
 
     /// The start of the process that was forgotten under this name.
-    pub fn start_of(&self, name: &str) -> Option<u64> {
+    pub(super) fn start_of(&self, name: &str) -> Option<u64> {
         self.tombstones.get(name).map(|tombstone| tombstone.start)
     }
 
     /// Whether this process, or a later one of its name, was forgotten.
-    pub fn covers(&self, name: &str, start: u64) -> bool {
+    pub(super) fn covers(&self, name: &str, start: u64) -> bool {
         self.start_of(name)
             .is_some_and(|forgotten| start <= forgotten)
     }
 
-    pub fn insert(&mut self, name: &str, start: u64, now: Micros) {
+    pub(super) fn insert(&mut self, name: &str, start: u64, now: Micros) {
         self.tombstones.insert(
             name.into(),
             Tombstone {
@@ -48,12 +48,12 @@
         );
     }
 
-    pub fn remove(&mut self, name: &str) {
+    pub(super) fn remove(&mut self, name: &str) {
         self.tombstones.remove(name);
     }
 
     /// Drops the oldest ones above the capacity.
-    pub fn drop_oldest(&mut self) {
+    pub(super) fn drop_oldest(&mut self) {
         while self.tombstones.len() > self.capacity {
             let oldest = self
                 .tombstones
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -23,7 +23,7 @@
 }
 
 impl MaintenanceTimer {
-    pub fn new(now: Micros) -> MaintenanceTimer {
+    pub(super) fn new(now: Micros) -> MaintenanceTimer {
         MaintenanceTimer {
             next_at: now,
             check: 0,
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -19,7 +19,7 @@
 }
 
 impl OwnMember {
-    pub fn new(me: Me, plan: &Plan, nonce: u64) -> OwnMember {
+    pub(super) fn new(me: Me, plan: &Plan, nonce: u64) -> OwnMember {
         let body = Body {
             address: plan.advertise.to_string(),
             zone: plan.zone.clone(),
@@ -39,7 +39,7 @@
     }
 
     /// False, and nothing is changed, where all values together would be too large.
-    pub fn put_value(&mut self, value: Value) -> bool {
+    pub(super) fn put_value(&mut self, value: Value) -> bool {
         let mut values = self.body.values.clone();
         values.retain(|other| other.kind != value.kind);
         values.push(value);
@@ -53,7 +53,7 @@
     }
 
     /// The record of this front without its body.
-    pub fn record(&self) -> Record {
+    pub(super) fn record(&self) -> Record {
         Record {
             name: self.name.clone(),
             start: self.claim.start,
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn record_with_body(&self) -> Record {
+    pub(super) fn record_with_body(&self) -> Record {
         Record {
             body: self.encoded_body.clone(),
             ..self.record()
--- a/crates/membership/src/view/peers.rs
+++ b/crates/membership/src/view/peers.rs
@@ -23,7 +23,7 @@
 }
 
 impl Peer {
-    pub fn recipient(&self) -> Recipient<'_> {
+    pub(super) fn recipient(&self) -> Recipient<'_> {
         Recipient {
             name: &self.name,
             address: self.address,
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -29,7 +29,7 @@
 
 impl Probe {
     /// When the next step of this probe is due.
-    pub fn next_deadline(&self) -> Micros {
+    pub(super) fn next_deadline(&self) -> Micros {
         if self.indirect_requested {
             self.deadline
         } else {
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -19,7 +19,7 @@
 
 impl RelayedProbe {
     /// When the next step of this probe is due.
-    pub fn next_deadline(&self) -> Micros {
+    pub(super) fn next_deadline(&self) -> Micros {
         self.nack_at.unwrap_or(self.expires_at)
     }
 }
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -17,7 +17,7 @@
 }
 
 impl ProbeSchedule {
-    pub fn new(now: Micros, next_at: Micros) -> ProbeSchedule {
+    pub(super) fn new(now: Micros, next_at: Micros) -> ProbeSchedule {
         ProbeSchedule {
             pending: VecDeque::new(),
             scheduled: BTreeSet::new(),
@@ -48,7 +48,7 @@
     }
 
     /// Makes the next pending probe due at once.
-    pub fn expedite(&mut self, now: Micros) {
+    pub(super) fn expedite(&mut self, now: Micros) {
         if !self.pending.is_empty() {
             self.next_at = self.next_at.min(now);
         }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -15,13 +15,13 @@
 /// A traffic router for a two-tier cache. Without a command it serves.
 #[derive(Debug, Parser)]
 #[command(name = "meadowrill", version)]
-pub struct Cli {
+pub(crate) struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Serve, as configured by the file that BALANCER_CONFIG names
     Serve {
         /// Our own settings, in protobuf text format [default: deploy/meadowrill.textproto, if it is there]
@@ -66,7 +66,7 @@
 
 /// What the fronts share, and how events come
 #[derive(Debug, Subcommand)]
-pub enum Of {
+pub(crate) enum Of {
     /// Events from relays: position, lease, lag; of a relay also who is late, and what is in force everywhere
     Events,
     /// What is held, by kind: records, bytes, and what is hearsay
@@ -81,7 +81,7 @@
 }
 
 /// Lines that one of two has and the other has not, by kind and name.
-pub fn diff(here: &str, there: &str) -> String {
+pub(crate) fn diff(here: &str, there: &str) -> String {
     fn by_name(text: &str) -> BTreeMap<(&str, &str), &str> {
         let lines = text.lines().map(|line| line.splitn(3, ' '));
         lines
@@ -106,7 +106,7 @@
 }
 
 /// What kind of file it was, or what is wrong with it.
-pub fn check(file: &Path) -> Result<&'static str, String> {
+pub(crate) fn check(file: &Path) -> Result<&'static str, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     if text.trim_start().starts_with('{') {
         // The platform gives name and address besides; any will do here.
@@ -126,7 +126,7 @@
 }
 
 /// One word to a running front, and its answer.
-pub fn operator(socket: &Path, word: &str) -> Result<String, String> {
+pub(crate) fn operator(socket: &Path, word: &str) -> Result<String, String> {
     let ask = || -> std::io::Result<String> {
         let mut stream = UnixStream::connect(socket)?;
         stream.set_read_timeout(Some(PATIENCE))?;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -30,7 +30,7 @@
 const DRAINING: usize = 8;
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Faulty {
+pub(crate) struct Faulty {
     pub key: String,
     pub what: String,
 }
@@ -50,20 +50,20 @@
 
 /// The level of the log, which may change while the log's own thread reads it.
 #[derive(Clone, Debug)]
-pub struct Shown(Arc<AtomicUsize>);
+pub(crate) struct Shown(Arc<AtomicUsize>);
 
 impl Shown {
-    pub fn new(level: Level) -> Shown {
+    pub(crate) fn new(level: Level) -> Shown {
         Shown(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
-    pub fn shows(&self, level: Level) -> bool {
+    pub(crate) fn shows(&self, level: Level) -> bool {
         level.as_usize() <= self.0.load(Relaxed)
     }
 }
 
 #[derive(Debug)]
-pub struct Config {
+pub(crate) struct Config {
     path: PathBuf,
     /// Where our own settings were named to be.
     own_path: Option<PathBuf>,
@@ -102,7 +102,7 @@
 
 /// What bounds the lookups of a class.
 #[derive(Debug, PartialEq)]
-pub struct Class {
+pub(crate) struct Class {
     pub name: String,
     pub deadline_ms: f64,
     /// What admission control needs to know of it.
@@ -228,7 +228,7 @@
 }
 
 /// The settings file at this path.
-pub fn read_settings(path: &Path) -> Result<own::Settings, Faulty> {
+pub(crate) fn read_settings(path: &Path) -> Result<own::Settings, Faulty> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|e| faulty("settings file", format!("{}: {e}", path.display())))?;
     own::read(&text).map_err(|f| {
@@ -240,7 +240,7 @@
 }
 
 impl Config {
-    pub fn load(path: PathBuf, own_path: Option<PathBuf>) -> Result<Config, Faulty> {
+    pub(crate) fn load(path: PathBuf, own_path: Option<PathBuf>) -> Result<Config, Faulty> {
         let text = std::fs::read_to_string(&path);
         let text =
             text.map_err(|e| faulty("BALANCER_CONFIG", format!("{}: {e}", path.display())))?;
@@ -262,13 +262,13 @@
     }
 
     /// The files as they stand now, checked as at the start.
-    pub fn again(&self) -> Result<Config, Faulty> {
+    pub(crate) fn again(&self) -> Result<Config, Faulty> {
         Config::load(self.path.clone(), self.own_path.clone())
     }
 
     /// Takes over what may change while the front runs; the keys of what else has changed are returned.
     /// `known` is that of a start: the journal service tells what came after.
-    pub fn renew(&mut self, fresh: Config) -> Vec<&'static str> {
+    pub(crate) fn renew(&mut self, fresh: Config) -> Vec<&'static str> {
         self.journal = fresh.journal;
         self.log.0.store(fresh.log.0.load(Relaxed), Relaxed);
         let own = std::mem::replace(&mut self.own, fresh.own);
@@ -306,7 +306,7 @@
     }
 
     /// From the text of the configuration; name and address from the environment where it tells none.
-    pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
+    pub(crate) fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
         let json: Value =
             serde_json::from_str(text).map_err(|e| faulty("BALANCER_CONFIG", e.to_string()))?;
         let root = Node {
--- a/crates/proxy/src/frame.rs
+++ b/crates/proxy/src/frame.rs
@@ -5,12 +5,12 @@
 use std::fmt;
 
 /// What comes before a payload.
-pub const HEAD: usize = 9;
+pub(crate) const HEAD: usize = 9;
 /// The longest frame with its length field.
-pub const LONGEST: usize = 262_148;
+pub(crate) const LONGEST: usize = 262_148;
 /// The longest that a client can ask with: the largest body, and fields. What says that it is longer is not
 /// waited for, or half frames of many would fill the memory.
-pub const ASKED: usize = 65_536;
+pub(crate) const ASKED: usize = 65_536;
 /// What the length field of a client may say.
 const LENGTH: std::ops::RangeInclusive<usize> = 5..=ASKED - 4;
 /// The largest body that a client may bring.
@@ -20,19 +20,19 @@
 const SETS: u32 = 255;
 const PARTS: u32 = 1 << 20;
 
-pub const ASK: u8 = 65;
-pub const ANSWER: u8 = 66;
-pub const LEAVE: u8 = 67;
-pub const READY: u8 = 80;
-pub const IS_READY: u8 = 81;
-pub const NO_MORE: u8 = 90;
+pub(crate) const ASK: u8 = 65;
+pub(crate) const ANSWER: u8 = 66;
+pub(crate) const LEAVE: u8 = 67;
+pub(crate) const READY: u8 = 80;
+pub(crate) const IS_READY: u8 = 81;
+pub(crate) const NO_MORE: u8 = 90;
 
-pub const SATISFIED: u8 = 0;
-pub const NACKED: u8 = 11;
-pub const FAILED: u8 = 5;
+pub(crate) const SATISFIED: u8 = 0;
+pub(crate) const NACKED: u8 = 11;
+pub(crate) const FAILED: u8 = 5;
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// No frame can be found any more behind this one.
     Framing(usize),
     /// This frame alone is bad.
@@ -56,14 +56,14 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Frame<'a> {
+pub(crate) struct Frame<'a> {
     pub kind: u8,
     pub stream: u32,
     pub payload: &'a [u8],
 }
 
 /// The first frame, once it is there as a whole.
-pub fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, Fault> {
+pub(crate) fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, Fault> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
     };
@@ -85,7 +85,7 @@
 type Fields<'a> = SmallVec<[(&'a str, &'a str); 12]>;
 
 /// Fields and what follows them.
-pub fn fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), Fault> {
+pub(crate) fn fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), Fault> {
     fn text<'a>(rest: &mut &'a [u8], size: usize) -> Result<&'a str, Fault> {
         let (text, after) = rest.split_at_checked(size).ok_or(Fault::Truncated)?;
         *rest = after;
@@ -109,7 +109,7 @@
 
 /// What a client asks for; texts go on as they came.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
+pub(crate) struct Request {
     pub verb: CompactString,
     pub txn: CompactString,
     /// `txn` as a number.
@@ -131,7 +131,7 @@
 
 /// Fields that tell who asks, where the settings name any.
 #[derive(Clone, Debug, Default)]
-pub struct Who {
+pub(crate) struct Who {
     pub tenant: Option<String>,
     pub desk: Option<String>,
 }
@@ -141,7 +141,7 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-pub fn request(payload: &[u8], who: &Who) -> Result<Request, Fault> {
+pub(crate) fn request(payload: &[u8], who: &Who) -> Result<Request, Fault> {
     let (fields, body) = fields(payload)?;
     let get = |name: &str| fields.iter().find(|f| f.0 == name).map(|f| f.1);
     let need = |name: &'static str| get(name).ok_or(Fault::Missing(name));
@@ -218,10 +218,10 @@
 }
 
 /// What comes before a body: short, so it needs no memory of its own.
-pub type Head = SmallVec<[u8; 64]>;
+pub(crate) type Head = SmallVec<[u8; 64]>;
 
 /// The frame up to where a body of `body` bytes follows.
-pub fn head(
+pub(crate) fn head(
     kind: u8,
     stream: u32,
     code: Option<u8>,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -63,7 +63,7 @@
     request: Vec<u8>,
 }
 
-pub struct Front {
+pub(crate) struct Front {
     config: Config,
     log: Logger,
     clock: Clock,
@@ -115,7 +115,7 @@
 }
 
 impl Front {
-    pub fn new(
+    pub(crate) fn new(
         config: Config,
         listener: TcpListener,
         events: &EventLoop<'static, Gathered>,
@@ -199,7 +199,7 @@
         Ok(front)
     }
 
-    pub fn run(&mut self, events: &mut EventLoop<'static, Gathered>) -> io::Result<()> {
+    pub(crate) fn run(&mut self, events: &mut EventLoop<'static, Gathered>) -> io::Result<()> {
         let mut gathered = Vec::new();
         while !self.ended() {
             self.wait(events, &mut gathered)?;
--- a/crates/proxy/src/front/shared.rs
+++ b/crates/proxy/src/front/shared.rs
@@ -319,9 +319,11 @@
         };
         match effect {
             Effect::None => return,
-            Effect::Asking => drop(fronts.share(|replica, acts| replica.left(now, token, acts))),
+            Effect::Asking => {
+                fronts.share(|replica, acts| replica.left(now, token, acts));
+            }
             Effect::Out { .. } => {
-                drop(fronts.share(|replica, acts| replica.end(now, token, end, acts)))
+                fronts.share(|replica, acts| replica.end(now, token, end, acts));
             }
         }
         self.with_fronts(now, |fronts, poll| fronts.carry(now, poll));
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -5,15 +5,15 @@
 use std::fmt;
 
 /// The longest head of an answer, and the longest body.
-pub const HEAD: usize = 16_384;
-pub const BODY: usize = 240_000;
+pub(crate) const HEAD: usize = 16_384;
+pub(crate) const BODY: usize = 240_000;
 /// Interim answers that may come before the one that counts.
-pub const INTERIM: u32 = 8;
+pub(crate) const INTERIM: u32 = 8;
 /// Headers that an answer may have.
 const HEADERS: usize = 32;
 
 /// One send as a cache is asked for it.
-pub struct Ask<'a> {
+pub(crate) struct Ask<'a> {
     pub host: &'a str,
     pub verb: &'a str,
     pub item: &'a str,
@@ -33,7 +33,7 @@
 
 impl Ask<'_> {
     /// Appends the request. Put together piece by piece: formatting it was a tenth of what a hit costs.
-    pub fn write(&self, out: &mut Vec<u8>) {
+    pub(crate) fn write(&self, out: &mut Vec<u8>) {
         let mut digits = [
             itoa::Buffer::new(),
             itoa::Buffer::new(),
@@ -107,7 +107,7 @@
 
 /// The head of an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub status: u16,
     pub not_run: bool,
     /// Place of the note in the platform's order, from 1; 0 for none.
@@ -125,12 +125,12 @@
 
 impl Answer {
     /// One that only says that another will come. A change of protocol was not asked for.
-    pub fn interim(&self) -> bool {
+    pub(crate) fn interim(&self) -> bool {
         (100..200).contains(&self.status) && self.status != 101
     }
 
     /// Whether it names the copy with this tag, quoted or bare.
-    pub fn names(&self, tag: &str) -> bool {
+    pub(crate) fn names(&self, tag: &str) -> bool {
         let bare = |text: &str| text.trim_start_matches("W/").trim_matches('"').to_owned();
         self.version
             .as_ref()
@@ -139,7 +139,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     Malformed,
     Oversized,
     NoLength,
@@ -161,7 +161,7 @@
 }
 
 /// The head of the answer at the front of `bytes`, once it is there as a whole.
-pub fn answer(bytes: &[u8]) -> Result<Option<Answer>, Fault> {
+pub(crate) fn answer(bytes: &[u8]) -> Result<Option<Answer>, Fault> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let head = match response.parse(bytes).map_err(|_| Fault::Malformed)? {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,11 @@
 //! meadowrill on sockets: start and log. What it is told stands in the file that `BALANCER_CONFIG` names, and in our
 //! own settings beside it.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 mod cli;
 mod clock;
 mod config;
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -12,14 +12,14 @@
 const LAST_LINES: Duration = Duration::from_millis(200);
 
 /// The log of one process, and what is to be dropped for the last lines to be written.
-pub struct Log {
+pub(crate) struct Log {
     pub logger: Logger,
     guard: slog_async::AsyncGuard,
 }
 
 impl Log {
     /// `who` stands in each line.
-    pub fn start<T>(form: Form, level: Shown, who: OwnedKV<T>) -> Log
+    pub(crate) fn start<T>(form: Form, level: Shown, who: OwnedKV<T>) -> Log
     where
         T: SendSyncRefUnwindSafeKV + 'static,
     {
@@ -46,7 +46,7 @@
     }
 
     /// The last lines are waited for, but not for a reader that has stopped reading.
-    pub fn end(self) {
+    pub(crate) fn end(self) {
         let Log { logger, guard } = self;
         let (tell, written) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
--- a/crates/proxy/src/net/calls.rs
+++ b/crates/proxy/src/net/calls.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 #[derive(Debug, Default)]
-pub struct Calls {
+pub(crate) struct Calls {
     pub waits: Cell<u64>,
     /// What is watched was changed.
     pub controls: Cell<u64>,
@@ -16,12 +16,12 @@
     pub copied: Cell<u64>,
 }
 
-pub fn add(count: &Cell<u64>, more: u64) {
+pub(crate) fn add(count: &Cell<u64>, more: u64) {
     count.set(count.get() + more);
 }
 
 impl Calls {
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         let all = [
             ("waits", &self.waits),
--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -26,7 +26,7 @@
 const IDLE: Micros = 6_000_000;
 /// How long what still comes behind the shutdown of our side is read and dropped, if the peer does not end its own
 /// before: a close with bytes unread is a reset, in which the answers before it may be lost.
-pub const DRAIN: Micros = 1_000_000;
+pub(crate) const DRAIN: Micros = 1_000_000;
 /// What is younger is not let go for want of room: its first bytes may still be on their way.
 const YOUNG: Micros = 100_000;
 
@@ -37,7 +37,7 @@
     error: false,
 };
 
-pub enum Heard {
+pub(crate) enum Heard {
     Asked {
         lookup: u32,
         client: u64,
@@ -171,7 +171,7 @@
     heard: &'a mut Vec<Heard>,
 }
 
-pub struct Clients {
+pub(crate) struct Clients {
     conns: BTreeMap<u64, Client>,
     /// Those with more to read than a round takes.
     more: BTreeSet<u64>,
@@ -200,7 +200,7 @@
 
 impl Clients {
     /// For so many connections that are served, and so many more that drain.
-    pub fn new(most: usize, most_draining: usize, patience: Micros) -> Clients {
+    pub(crate) fn new(most: usize, most_draining: usize, patience: Micros) -> Clients {
         let (conns, more, heard) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
         Clients {
             conns,
@@ -222,17 +222,17 @@
     }
 
     /// What was heard since the last call.
-    pub fn heard(&mut self, into: &mut Vec<Heard>) {
+    pub(crate) fn heard(&mut self, into: &mut Vec<Heard>) {
         into.append(&mut self.heard);
     }
 
     /// A request that is over.
-    pub fn give_back(&mut self, request: Box<Request>) {
+    pub(crate) fn give_back(&mut self, request: Box<Request>) {
         self.spare.give(request);
     }
 
     /// Writes the answers of this round.
-    pub fn flush(&mut self, now: Micros, poll: &Poll) {
+    pub(crate) fn flush(&mut self, now: Micros, poll: &Poll) {
         let mut unwritten = std::mem::take(&mut self.unwritten);
         // One write for all answers of a client.
         unwritten.sort_unstable();
@@ -244,17 +244,17 @@
     }
 
     /// Those that are to be dealt with again although nothing new came.
-    pub fn more(&mut self) -> BTreeSet<u64> {
+    pub(crate) fn more(&mut self) -> BTreeSet<u64> {
         std::mem::take(&mut self.more)
     }
 
-    pub fn waits(&self) -> bool {
+    pub(crate) fn waits(&self) -> bool {
         !self.more.is_empty()
     }
 
     /// Whether another connection may be taken in. At the ceiling the one of least use is let go, lest those who
     /// say nothing, or have asked once and hold on, keep everybody else out.
-    pub fn room(&mut self, now: Micros, poll: &mut Poll) -> bool {
+    pub(crate) fn room(&mut self, now: Micros, poll: &mut Poll) -> bool {
         while self.conns.len() - self.draining.len() >= self.most {
             let of = |(number, c): (&u64, &Client)| c.use_of(now).map(|least| (least, *number));
             let Some((_, number)) = self.conns.iter().filter_map(of).min() else {
@@ -297,11 +297,11 @@
         self.settle(number, done, now, poll);
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    pub fn accept(
+    pub(crate) fn accept(
         &mut self,
         stream: TcpStream,
         from: IpAddr,
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    pub fn handle(&mut self, number: u64, ready: Readiness, now: Micros, poll: &mut Poll) {
+    pub(crate) fn handle(&mut self, number: u64, ready: Readiness, now: Micros, poll: &mut Poll) {
         let Some(client) = self.conns.get_mut(&number) else {
             return;
         };
@@ -491,7 +491,7 @@
     }
 
     /// The one answer of a lookup, if one is still owed.
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         (number, stream, lookup): (u64, u32, u32),
         (code, fields, body): (u8, &[(&str, &str)], &[u8]),
@@ -520,7 +520,7 @@
     }
 
     /// Counts a lookup that could not be used against its connection.
-    pub fn blame(&mut self, number: u64, now: Micros, poll: &Poll) {
+    pub(crate) fn blame(&mut self, number: u64, now: Micros, poll: &Poll) {
         let Some(client) = self.conns.get_mut(&number) else {
             return;
         };
@@ -559,7 +559,7 @@
     }
 
     /// Closes a connection; what it still had open has left.
-    pub fn drop(&mut self, number: u64, poll: &Poll) {
+    pub(crate) fn drop(&mut self, number: u64, poll: &Poll) {
         let Some(client) = self.conns.remove(&number) else {
             return;
         };
@@ -578,7 +578,7 @@
     /// Ends connections that take nothing of what is written for longer than any client waits: whoever reads
     /// so slowly has lost its answers, and what they fill is wanted by others. Ends too what does not come to the
     /// end of a frame, and what nothing has been asked on for long.
-    pub fn sweep(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn sweep(&mut self, now: Micros, poll: &mut Poll) {
         let numbers: Vec<u64> = self.conns.keys().copied().collect();
         for number in numbers {
             let Some(client) = self.conns.get_mut(&number) else {
@@ -613,7 +613,7 @@
 
     /// The front is ending: takes up what has come so far, asks for no more, and ends what has nothing open; the others end
     /// with their last answer.
-    pub fn shut_down(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn shut_down(&mut self, now: Micros, poll: &mut Poll) {
         let numbers: Vec<u64> = self.conns.keys().copied().collect();
         for &number in &numbers {
             // Asked before the word that nothing more is taken: owed an answer, also where the loop was not told yet.
--- a/crates/proxy/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -10,7 +10,7 @@
 /// Datagrams that are read in one round; the rest are read in the next.
 const READ: usize = 256;
 
-pub struct Datagrams {
+pub(crate) struct Datagrams {
     socket: Rc<UdpSocket>,
     /// There may be more to read.
     waits: bool,
@@ -19,7 +19,7 @@
 }
 
 impl Datagrams {
-    pub fn new(socket: UdpSocket, poll: &Poll) -> io::Result<Datagrams> {
+    pub(crate) fn new(socket: UdpSocket, poll: &Poll) -> io::Result<Datagrams> {
         let socket = Rc::new(socket);
         socket.set_nonblocking(true)?;
         poll.watch_input(Rc::clone(&socket), Key::Datagrams)?;
@@ -30,15 +30,15 @@
         })
     }
 
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub(crate) fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    pub fn waits(&self) -> bool {
+    pub(crate) fn waits(&self) -> bool {
         self.waits
     }
 
-    pub fn read(&mut self, mut received: impl FnMut(&[u8])) {
+    pub(crate) fn read(&mut self, mut received: impl FnMut(&[u8])) {
         let mut bytes = [0; MOST + 1];
         self.waits = true;
         for _ in 0..READ {
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
+    pub(crate) fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         if self.socket.send_to(bytes, to).is_err() {
             self.unsent += 1;
         }
--- a/crates/proxy/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -6,7 +6,7 @@
 use meadowrill_routing::host::catch_panic;
 use meadowrill_routing::interface::Micros;
 
-pub struct Subscription {
+pub(crate) struct Subscription {
     plan: Plan,
     me: Identity,
     seed: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Subscription {
-    pub fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscription {
+    pub(crate) fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscription {
         let subscriber = Subscriber::new(plan.clone(), me.clone(), now, seed);
         Subscription {
             plan,
@@ -29,13 +29,13 @@
         }
     }
 
-    pub fn receive(&mut self, now: Micros, bytes: &[u8]) {
+    pub(crate) fn receive(&mut self, now: Micros, bytes: &[u8]) {
         self.step(now, |subscriber, outputs| {
             subscriber.receive(now, bytes, outputs)
         });
     }
 
-    pub fn tick(&mut self, now: Micros) {
+    pub(crate) fn tick(&mut self, now: Micros) {
         if now >= self.subscriber.next_wake() {
             self.step(now, |subscriber, outputs| subscriber.tick(now, outputs));
         }
@@ -52,7 +52,7 @@
     }
 
     /// Starts anew, without a lease, and fetches all that binds.
-    pub fn restart(&mut self, now: Micros) {
+    pub(crate) fn restart(&mut self, now: Micros) {
         // What was to be sent would speak for the former start.
         self.outputs
             .retain(|output| matches!(output, Output::Apply(_)));
@@ -60,24 +60,24 @@
         self.subscriber = Subscriber::new(self.plan.clone(), self.me.clone(), now, self.seed);
     }
 
-    pub fn next_wake(&self) -> Micros {
+    pub(crate) fn next_wake(&self) -> Micros {
         self.subscriber.next_wake()
     }
 
-    pub fn copy_bound(&self, now: Micros) -> CopyBound {
+    pub(crate) fn copy_bound(&self, now: Micros) -> CopyBound {
         self.subscriber.copy_bound(now)
     }
 
-    pub fn status(&self, now: Micros) -> SubscriberStatus {
+    pub(crate) fn status(&self, now: Micros) -> SubscriberStatus {
         self.subscriber.status(now)
     }
 
     /// What is to be done: an event has to be in force before the next datagram of the list is sent.
-    pub fn take_outputs(&mut self) -> Vec<Output> {
+    pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    pub fn take_panics(&mut self) -> Vec<String> {
+    pub(crate) fn take_panics(&mut self) -> Vec<String> {
         std::mem::take(&mut self.panics)
     }
 }
--- a/crates/proxy/src/net/fronts.rs
+++ b/crates/proxy/src/net/fronts.rs
@@ -28,7 +28,7 @@
 const SHARES: u8 = 1;
 const LEDGER: u8 = 2;
 
-pub struct Fronts {
+pub(crate) struct Fronts {
     pub datagrams: Datagrams,
     pub streams: Streams,
     view: View,
@@ -48,7 +48,7 @@
 }
 
 impl Fronts {
-    pub fn listen(
+    pub(crate) fn listen(
         plan: &Plan,
         shared: Option<&Shared>,
         name: &str,
@@ -109,7 +109,7 @@
     }
 
     /// Events come by these relays from now on.
-    pub fn subscribe(&mut self, plan: &EventsPlan, region: &str, now: Micros, seed: u64) {
+    pub(crate) fn subscribe(&mut self, plan: &EventsPlan, region: &str, now: Micros, seed: u64) {
         let (claim, body) = self.view.own();
         let me = Identity {
             name: self.view.name().into(),
@@ -121,15 +121,15 @@
         self.subscription = Some(Subscription::new(plan.clone(), me, now, seed));
     }
 
-    pub fn view(&self) -> &View {
+    pub(crate) fn view(&self) -> &View {
         &self.view
     }
 
-    pub fn waits(&self) -> bool {
+    pub(crate) fn waits(&self) -> bool {
         self.datagrams.waits()
     }
 
-    pub fn next(&self) -> Micros {
+    pub(crate) fn next(&self) -> Micros {
         let replica = self.replica.iter().map(Replica::next);
         let subscription = self.subscription.iter().map(Subscription::next_wake);
         replica
@@ -137,7 +137,7 @@
             .fold(self.view.next(), Micros::min)
     }
 
-    pub fn read(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn read(&mut self, now: Micros, poll: &mut Poll) {
         // First the clock: one that was stopped has to know that before it believes what came meanwhile.
         self.tick(now, poll);
         let (view, replica, subscription) =
@@ -153,7 +153,7 @@
     }
 
     /// Something of a stream is ready.
-    pub fn stream(&mut self, number: u64, ready: Readiness, now: Micros, poll: &mut Poll) {
+    pub(crate) fn stream(&mut self, number: u64, ready: Readiness, now: Micros, poll: &mut Poll) {
         let (view, replica) = (&mut self.view, &mut self.replica);
         let (acts, shared) = (&mut self.acts, &mut self.shared);
         let heard = |bytes: &[u8]| heard(view, replica, now, bytes, (acts, shared));
@@ -164,7 +164,7 @@
         self.carry(now, poll);
     }
 
-    pub fn tick(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn tick(&mut self, now: Micros, poll: &mut Poll) {
         if now >= self.view.next() {
             self.view.tick(now, &mut self.acts);
             let failed = self.streams.tick(now, poll);
@@ -182,7 +182,7 @@
     }
 
     /// One step with what is shared, if anything is.
-    pub fn share<T>(
+    pub(crate) fn share<T>(
         &mut self,
         step: impl FnOnce(&mut Replica, &mut Vec<replica::Act>) -> T,
     ) -> Option<T> {
@@ -191,21 +191,21 @@
     }
 
     /// What is to be done about what is shared, but for what goes to other fronts.
-    pub fn take_acts(&mut self) -> Vec<replica::Act> {
+    pub(crate) fn take_acts(&mut self) -> Vec<replica::Act> {
         std::mem::take(&mut self.shared)
     }
 
-    pub fn leave(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn leave(&mut self, now: Micros, poll: &mut Poll) {
         self.view.leave(now, &mut self.acts);
         self.carry(now, poll);
     }
 
     /// True once those who need to know that it leaves do, or it waited long enough.
-    pub fn left(&self) -> bool {
+    pub(crate) fn left(&self) -> bool {
         self.view.left() || self.view.gave_way()
     }
 
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub(crate) fn changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
@@ -229,7 +229,7 @@
         replica.fleet(now, self.view.joined() || alone, peers, &mut self.shared);
     }
 
-    pub fn carry(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn carry(&mut self, now: Micros, poll: &mut Poll) {
         let mut changed = false;
         for act in self.acts.drain(..) {
             match act {
--- a/crates/proxy/src/net/journal.rs
+++ b/crates/proxy/src/net/journal.rs
@@ -19,7 +19,7 @@
 
 /// A machine of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub(crate) struct Member {
     pub id: String,
     /// None where one that has gone is only named.
     pub address: Option<SocketAddr>,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub(crate) enum Change {
     Hosts {
         complete: bool,
         members: Vec<Member>,
@@ -46,7 +46,7 @@
 
 /// A line of the journal: the number of the event, and what it brings, if anything.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub(crate) struct Line {
     pub pos: Option<u64>,
     pub change: Option<Change>,
 }
@@ -84,7 +84,7 @@
     })
 }
 
-pub fn entry(value: &Value) -> Result<Line, String> {
+pub(crate) fn entry(value: &Value) -> Result<Line, String> {
     if let Some(pos) = value.as_u64() {
         return Ok(Line {
             pos: Some(pos),
@@ -126,9 +126,9 @@
 }
 
 /// What a round with the service brought; a bad line is told with its reason.
-pub type News = Result<Change, String>;
+pub(crate) type News = Result<Change, String>;
 
-pub struct Journal {
+pub(crate) struct Journal {
     address: SocketAddr,
     link: Option<(Key, Link)>,
     last: u64,
@@ -146,7 +146,7 @@
 }
 
 impl Journal {
-    pub fn new(address: SocketAddr, last: u64) -> Journal {
+    pub(crate) fn new(address: SocketAddr, last: u64) -> Journal {
         let tried_at = Micros::MIN / 2;
         Journal {
             address,
@@ -162,7 +162,7 @@
     }
 
     /// One that is behind from the start on, until the service has said that there is nothing more.
-    pub fn unheard(address: SocketAddr, last: u64, since: Micros) -> Journal {
+    pub(crate) fn unheard(address: SocketAddr, last: u64, since: Micros) -> Journal {
         Journal {
             behind: Some(since),
             ..Journal::new(address, last)
@@ -170,7 +170,7 @@
     }
 
     /// Goes on at another address, from the last event had.
-    pub fn move_to(
+    pub(crate) fn move_to(
         &mut self,
         address: SocketAddr,
         now: Micros,
@@ -186,12 +186,12 @@
     }
 
     /// Since when not all may have been told, if so.
-    pub fn behind(&self) -> Option<Micros> {
+    pub(crate) fn behind(&self) -> Option<Micros> {
         self.behind
     }
 
     /// Connects where there is no connection, and drops one that is silent. To be called now and then.
-    pub fn keep_up(&mut self, now: Micros, poll: &mut Poll, news: &mut Vec<News>) {
+    pub(crate) fn keep_up(&mut self, now: Micros, poll: &mut Poll, news: &mut Vec<News>) {
         let patience = if self.up { SILENCE } else { COMING };
         if self.link.is_some() && now >= self.heard_at + patience {
             self.lose("silent", poll, news);
@@ -213,7 +213,7 @@
         }
     }
 
-    pub fn lose(&mut self, why: &str, poll: &Poll, news: &mut Vec<News>) {
+    pub(crate) fn lose(&mut self, why: &str, poll: &Poll, news: &mut Vec<News>) {
         if let Some((_, link)) = self.link.take() {
             link.close(poll);
         }
@@ -224,7 +224,7 @@
         }
     }
 
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         key: Key,
         ready: Readiness,
--- a/crates/proxy/src/net/operators.rs
+++ b/crates/proxy/src/net/operators.rs
@@ -21,14 +21,14 @@
     answer: Option<(Vec<u8>, usize)>,
 }
 
-pub struct Operators {
+pub(crate) struct Operators {
     path: PathBuf,
     listener: UnixListener,
     open: BTreeMap<u64, Operator>,
 }
 
 impl Operators {
-    pub fn listen(path: &Path, poll: &Poll) -> io::Result<Operators> {
+    pub(crate) fn listen(path: &Path, poll: &Poll) -> io::Result<Operators> {
         // One that a killed front left behind; anything else is not ours to remove.
         if std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket()) {
             std::fs::remove_file(path)?;
@@ -43,7 +43,7 @@
         })
     }
 
-    pub fn accept(&mut self, poll: &mut Poll) {
+    pub(crate) fn accept(&mut self, poll: &mut Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
             if self.open.len() >= MOST || stream.set_nonblocking(true).is_err() {
                 continue;
@@ -64,7 +64,7 @@
     }
 
     /// Something can be read or written; `tell` gives the text for a word.
-    pub fn handle(&mut self, number: u64, poll: &Poll, tell: impl FnOnce(&str) -> String) {
+    pub(crate) fn handle(&mut self, number: u64, poll: &Poll, tell: impl FnOnce(&str) -> String) {
         let Some(operator) = self.open.get_mut(&number) else {
             return;
         };
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn drop(&mut self, number: u64, poll: &Poll) {
+    pub(crate) fn drop(&mut self, number: u64, poll: &Poll) {
         if let Some(operator) = self.open.remove(&number) {
             poll.unwatch(operator.token);
         }
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -30,7 +30,7 @@
     written: u64,
 }
 
-pub struct Streams {
+pub(crate) struct Streams {
     listener: TcpListener,
     from: IpAddr,
     open: BTreeMap<u64, Stream>,
@@ -41,7 +41,7 @@
 }
 
 impl Streams {
-    pub fn listen(at: SocketAddr, poll: &Poll) -> io::Result<Streams> {
+    pub(crate) fn listen(at: SocketAddr, poll: &Poll) -> io::Result<Streams> {
         let listener = TcpListener::bind(at)?;
         listener.set_nonblocking(true)?;
         poll.watch(listener.try_clone()?, Key::Chunks)?;
@@ -55,7 +55,7 @@
         })
     }
 
-    pub fn accept(&mut self, now: Micros, poll: &mut Poll) {
+    pub(crate) fn accept(&mut self, now: Micros, poll: &mut Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
             if self.open.values().filter(|s| s.to.is_none()).count() >= IN {
                 self.full += 1;
@@ -78,7 +78,13 @@
     }
 
     /// Whether it goes: where no more streams may be opened, or a full one waits, the piece is dropped.
-    pub fn send(&mut self, to: SocketAddr, bytes: &[u8], now: Micros, poll: &mut Poll) -> bool {
+    pub(crate) fn send(
+        &mut self,
+        to: SocketAddr,
+        bytes: &[u8],
+        now: Micros,
+        poll: &mut Poll,
+    ) -> bool {
         let known = self
             .open
             .iter()
@@ -149,7 +155,7 @@
     }
 
     /// Something can be read or written: `heard` gets each whole piece. Whom it was opened to, if it failed.
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         number: u64,
         ready: Readiness,
@@ -165,7 +171,7 @@
     }
 
     /// Ends a stream. Whom it was opened to, where something for it was left.
-    pub fn drop(&mut self, number: u64, poll: &Poll) -> Option<SocketAddr> {
+    pub(crate) fn drop(&mut self, number: u64, poll: &Poll) -> Option<SocketAddr> {
         let stream = self.open.remove(&number)?;
         let left = !stream.up || !stream.link.outbound.is_empty();
         self.lost += u64::from(left && stream.to.is_some());
@@ -175,7 +181,7 @@
     }
 
     /// Ends those that do not come up, do not get on or are of no use; whom something was left for.
-    pub fn tick(&mut self, now: Micros, poll: &Poll) -> Vec<SocketAddr> {
+    pub(crate) fn tick(&mut self, now: Micros, poll: &Poll) -> Vec<SocketAddr> {
         let over = |s: &mut Stream| {
             if s.link.written != s.written {
                 (s.moved, s.written) = (now, s.link.written);
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -33,7 +33,7 @@
 const SOCKET_BUFFER: usize = 4 << 20;
 
 /// Runs a relay until it is told to end.
-pub fn start(path: &Path) -> Result<(), String> {
+pub(crate) fn start(path: &Path) -> Result<(), String> {
     let settings = RelaySettings::load(path).map_err(|faulty| faulty.to_string())?;
     let mut events = crate::event_loop()?;
     let level = Shown::new(slog::Level::Info);
--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -1,10 +1,10 @@
 //! What operators are told of the door: a table, lines for the log, and metrics. Names in them are bounded: tenants
 //! are those of the settings, clients the loudest few of each.
 
-pub mod availability;
-pub mod events;
-pub mod fleet;
-pub mod shared;
+pub(crate) mod availability;
+pub(crate) mod events;
+pub(crate) mod fleet;
+pub(crate) mod shared;
 
 use crate::front::availability::Availability;
 use crate::net::fronts::Fronts;
@@ -28,7 +28,7 @@
 
 type Labels = Vec<(String, String)>;
 
-pub struct Metrics {
+pub(crate) struct Metrics {
     waits: Family<Labels, Histogram>,
     lags: Family<Labels, Histogram>,
     purge_lags: Histogram,
@@ -54,26 +54,26 @@
 }
 
 impl Metrics {
-    pub fn waited(&self, tenant: &str, seconds: f64) {
+    pub(crate) fn waited(&self, tenant: &str, seconds: f64) {
         self.waits
             .get_or_create(&vec![("tenant".into(), tenant.into())])
             .observe(seconds);
     }
 
     /// How old something was that another front told of.
-    pub fn lagged(&self, kind: &str, seconds: f64) {
+    pub(crate) fn lagged(&self, kind: &str, seconds: f64) {
         self.lags
             .get_or_create(&vec![("kind".into(), kind.into())])
             .observe(seconds);
     }
 
     /// How old a purge was, by its stamp, when it was put in force.
-    pub fn purge_applied(&self, seconds: f64) {
+    pub(crate) fn purge_applied(&self, seconds: f64) {
         self.purge_lags.observe(seconds);
     }
 
     /// In the text format that scrapers read.
-    pub fn text(
+    pub(crate) fn text(
         &self,
         door: &AdmissionController,
         availability: &Availability,
@@ -114,7 +114,7 @@
 }
 
 /// All of them as one text, which only its last line ends.
-pub fn encoded(registries: &[Registry]) -> String {
+pub(crate) fn encoded(registries: &[Registry]) -> String {
     let (mut text, mut done) = (String::new(), Ok(()));
     for registry in registries {
         text.truncate(text.strip_suffix("# EOF\n").map_or(text.len(), str::len));
@@ -246,7 +246,7 @@
 }
 
 /// Who holds the door, for an operator to read.
-pub fn table(report: &AdmissionReport) -> String {
+pub(crate) fn table(report: &AdmissionReport) -> String {
     let mut text = String::new();
     let head = format!(
         "order {:?}, inside {} of {:.0} ({} overdue), waiting {}, booked {} (kept {}, missed {}, no place {})\n",
@@ -311,7 +311,7 @@
 }
 
 /// The same as lines of the log, one a tenant.
-pub fn log(log: &Logger, report: &AdmissionReport) {
+pub(crate) fn log(log: &Logger, report: &AdmissionReport) {
     info!(log, "door"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
         "inside" => report.in_flight, "overdue" => report.overdue, "waiting" => report.waiting, "booked" => report.reserved,
         "kept" => report.reservations_redeemed, "missed" => report.reservations_expired,
--- a/crates/proxy/src/report/availability.rs
+++ b/crates/proxy/src/report/availability.rs
@@ -8,13 +8,13 @@
 use std::fmt;
 
 #[derive(Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// In seconds of Unix time.
     outage_since: Option<f64>,
 }
 
 impl Seen {
-    pub fn new(availability: &Availability) -> Seen {
+    pub(crate) fn new(availability: &Availability) -> Seen {
         Seen {
             outage_since: availability.outage_since().map(|since| since as f64 / 1e6),
         }
--- a/crates/proxy/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 
 /// Of the names of metrics.
-pub const PREFIX: &str = "meadowrill_event_distribution";
+pub(crate) const PREFIX: &str = "meadowrill_event_distribution";
 /// The sides of a member, as metrics tell them apart.
 const SUBSCRIBERS: &str = "subscribers";
 const UPSTREAM: &str = "upstream";
@@ -21,13 +21,13 @@
 const COLUMN: usize = 14;
 
 /// What a front tells of its subscription.
-pub struct SubscriptionReport<'a> {
+pub(crate) struct SubscriptionReport<'a> {
     fronts: &'a Fronts,
 }
 
 impl SubscriptionReport<'_> {
     /// None where nothing is subscribed to.
-    pub fn new(fronts: &Fronts) -> Option<SubscriptionReport<'_>> {
+    pub(crate) fn new(fronts: &Fronts) -> Option<SubscriptionReport<'_>> {
         fronts
             .subscription
             .is_some()
@@ -41,7 +41,7 @@
             .map(|subscription| subscription.status(now))
     }
 
-    pub fn table(&self, now: Micros) -> String {
+    pub(crate) fn table(&self, now: Micros) -> String {
         let Some(status) = self.status(now) else {
             return String::new();
         };
@@ -52,7 +52,7 @@
         table.0
     }
 
-    pub fn json(&self, now: Micros) -> String {
+    pub(crate) fn json(&self, now: Micros) -> String {
         let Some(status) = self.status(now) else {
             return String::new();
         };
@@ -62,7 +62,7 @@
         format!("{all}\n")
     }
 
-    pub fn metrics(&self, now: Micros) -> Seen {
+    pub(crate) fn metrics(&self, now: Micros) -> Seen {
         let Some(status) = self.status(now) else {
             return Seen {
                 counters: Vec::new(),
@@ -79,7 +79,7 @@
 }
 
 /// What a relay tells.
-pub struct FeedReport {
+pub(crate) struct FeedReport {
     pub name: String,
     pub status: FeedStatus,
     /// How it follows the one that feeds it; none where it publishes.
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn table(&self, now: Micros) -> String {
+    pub(crate) fn table(&self, now: Micros) -> String {
         let status = &self.status;
         let mut table = Table::default();
         table.row(self.role(), &self.name);
@@ -134,7 +134,7 @@
         table.0
     }
 
-    pub fn json(&self, now: Micros) -> String {
+    pub(crate) fn json(&self, now: Micros) -> String {
         let status = &self.status;
         let late: Vec<Value> = status.late.iter().map(late_json).collect();
         let all = json!({
@@ -149,7 +149,7 @@
         format!("{all}\n")
     }
 
-    pub fn metrics(&self) -> Seen {
+    pub(crate) fn metrics(&self) -> Seen {
         let status = &self.status;
         let mut sides = vec![(SUBSCRIBERS, &status.counters)];
         sides.extend(
@@ -221,7 +221,7 @@
     }
 
     /// As a line of the log.
-    pub fn log(&self, log: &Logger) {
+    pub(crate) fn log(&self, log: &Logger) {
         let status = &self.status;
         let late = status
             .late
@@ -511,7 +511,7 @@
 }
 
 /// A line of the log.
-pub fn log_notice(log: &Logger, notice: &Notice) {
+pub(crate) fn log_notice(log: &Logger, notice: &Notice) {
     match notice {
         Notice::Leased { relay, without } => {
             info!(log, "lease held"; "relay" => relay, "without_us" => without)
--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -35,7 +35,7 @@
     }
 }
 
-pub fn table(view: &View, now: Micros) -> String {
+pub(crate) fn table(view: &View, now: Micros) -> String {
     let mut text = String::new();
     let settled = view.settled_since().map_or("no".to_string(), |at| {
         format!("{} s", (now - at) / 1_000_000)
@@ -95,7 +95,7 @@
     text
 }
 
-pub fn json(view: &View, now: Micros) -> String {
+pub(crate) fn json(view: &View, now: Micros) -> String {
     let (own, body) = view.own();
     let members: Vec<_> = view
         .members()
@@ -117,19 +117,19 @@
     format!("{all}\n")
 }
 
-pub type Labels = Vec<(String, String)>;
+pub(crate) type Labels = Vec<(String, String)>;
 /// Name, help, and the values by their labels.
-pub type Named<T> = (&'static str, &'static str, Vec<(Labels, T)>);
+pub(crate) type Named<T> = (&'static str, &'static str, Vec<(Labels, T)>);
 
 /// Counts of the view, or of what is shared, read when somebody asks.
 #[derive(Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub counters: Vec<Named<u64>>,
     pub gauges: Vec<Named<f64>>,
 }
 
 impl Seen {
-    pub fn new(fronts: &Fronts) -> Seen {
+    pub(crate) fn new(fronts: &Fronts) -> Seen {
         let (view, streams) = (fronts.view(), &fronts.streams);
         let counts = &view.counts;
         let one = |n: u64| vec![(Vec::new(), n)];
--- a/crates/proxy/src/report/shared.rs
+++ b/crates/proxy/src/report/shared.rs
@@ -15,7 +15,7 @@
 }
 
 /// What is held, by kind; and where what the journal service says and what others heard differ.
-pub fn state(replica: &Replica, now: Micros) -> String {
+pub(crate) fn state(replica: &Replica, now: Micros) -> String {
     let (map, counts) = (replica.map(), &replica.counts);
     let mut text = String::new();
     let yes = |flag: bool| if flag { "yes" } else { "no" };
@@ -74,7 +74,7 @@
     text
 }
 
-pub fn state_json(replica: &Replica) -> String {
+pub(crate) fn state_json(replica: &Replica) -> String {
     let map = replica.map();
     let kinds: serde_json::Map<String, serde_json::Value> = map
         .held()
@@ -97,7 +97,7 @@
 }
 
 /// Entry by entry, for `diff`: kind, name, rank, when it is over, a hash of all of it.
-pub fn entries(replica: &Replica) -> String {
+pub(crate) fn entries(replica: &Replica) -> String {
     let mut text = String::new();
     for (key, entry) in replica.map().iter() {
         let name: String = key.name.iter().map(|b| format!("{b:02x}")).collect();
@@ -114,7 +114,7 @@
 }
 
 /// One key's story: `MARK CLASS`, as the clients tell them.
-pub fn story(replica: &Replica, key: &str, now: Micros) -> String {
+pub(crate) fn story(replica: &Replica, key: &str, now: Micros) -> String {
     let mut text = String::new();
     for (ran, claim) in Ledger::story(replica.map(), key.as_bytes()) {
         let ago = |at: u64| (now - at as Micros) / 1000;
@@ -146,7 +146,7 @@
 }
 
 /// Counts of what is shared.
-pub fn seen(replica: &Replica) -> Seen {
+pub(crate) fn seen(replica: &Replica) -> Seen {
     let (map, counts) = (replica.map(), &replica.counts);
     let one = |n: u64| vec![(Vec::new(), n)];
     let label = |key: &str, value: &str| -> Labels { vec![(key.to_string(), value.to_string())] };
--- a/crates/proxy/src/ring.rs
+++ b/crates/proxy/src/ring.rs
@@ -13,19 +13,19 @@
 const LARGE: usize = 65_536;
 
 /// The most that spare buffers hold, of buffers bounded to `most` each.
-pub const fn spare_bytes(most: usize) -> usize {
+pub(crate) const fn spare_bytes(most: usize) -> usize {
     SPARE * (most + KEPT)
 }
 
 /// Bytes that all buffers of the front hold at the moment.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub(crate) struct Tally {
     bytes: Rc<Cell<usize>>,
     spare: Rc<RefCell<[VecDeque<Vec<u8>>; 2]>>,
 }
 
 impl Tally {
-    pub fn bytes(&self) -> usize {
+    pub(crate) fn bytes(&self) -> usize {
         self.bytes.get()
     }
 
@@ -48,9 +48,9 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Full;
+pub(crate) struct Full;
 
-pub struct Ring {
+pub(crate) struct Ring {
     /// All of it may be written to; what is held is from `start` to `end`.
     bytes: Vec<u8>,
     start: usize,
@@ -60,7 +60,7 @@
 }
 
 impl Ring {
-    pub fn new(most: usize, tally: &Tally) -> Ring {
+    pub(crate) fn new(most: usize, tally: &Tally) -> Ring {
         Ring {
             bytes: Vec::new(),
             start: 0,
@@ -70,15 +70,15 @@
         }
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.end - self.start
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    pub fn room(&self) -> usize {
+    pub(crate) fn room(&self) -> usize {
         self.most - self.len()
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// All of it or nothing.
-    pub fn put(&mut self, bytes: &[u8]) -> Result<(), Full> {
+    pub(crate) fn put(&mut self, bytes: &[u8]) -> Result<(), Full> {
         if bytes.len() > self.room() {
             return Err(Full);
         }
@@ -127,7 +127,7 @@
 
     /// Takes what `read` brings: as much as there is room for, or `expected` where more is known to come. Returns
     /// how much came and how much could have.
-    pub fn read(
+    pub(crate) fn read(
         &mut self,
         expected: usize,
         read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
@@ -143,11 +143,11 @@
     }
 
     /// All that is held, in one piece.
-    pub fn whole(&self) -> &[u8] {
+    pub(crate) fn whole(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    pub fn drop_front(&mut self, n: usize) {
+    pub(crate) fn drop_front(&mut self, n: usize) {
         self.start += n;
         debug_assert!(self.start <= self.end);
         let len = self.len();
@@ -160,7 +160,7 @@
         }
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.drop_front(self.len());
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -5,6 +5,11 @@
 //! From the bottom up: `wire`, `kind` and `record` are plain types; `kinds` encodes the records of each kind; `map` holds
 //! and merges records; `snapshot`, `opinion` and `ledger` work on a map; `replica` joins all of it into one front's copy.
 
+#![allow(
+    clippy::missing_errors_doc,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 pub mod kind;
 pub mod kinds;
 pub mod ledger;
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/room.rs
@@ -9,27 +9,27 @@
 
 /// A smoothed figure; none until something was heard.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Smooth {
+pub(crate) struct Smooth {
     pub value: Option<f64>,
     at: Micros,
 }
 
 impl Smooth {
     /// Starts from what is taken to hold until something else is seen.
-    pub fn at(value: f64) -> Smooth {
+    pub(crate) fn at(value: f64) -> Smooth {
         Smooth {
             value: Some(value),
             at: 0,
         }
     }
 
-    pub fn add(&mut self, now: Micros, sample: f64, weight: f64) {
+    pub(crate) fn add(&mut self, now: Micros, sample: f64, weight: f64) {
         self.value = Some(self.value.map_or(sample, |v| v + weight * (sample - v)));
         self.at = now;
     }
 
     /// Guards against a peer that is never tried again for what it once was.
-    pub fn drifted(&self, now: Micros, average: f64, drift: f64) -> f64 {
+    pub(crate) fn drifted(&self, now: Micros, average: f64, drift: f64) -> f64 {
         let idle = (now - self.at) as f64;
         self.value
             .map_or(average, |v| average + (v - average) * (-idle / drift).exp())
@@ -38,18 +38,18 @@
 
 /// Work a second, over the last while.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
+pub(crate) struct Rate {
     sum: f64,
     at: Micros,
 }
 
 impl Rate {
-    pub fn add(&mut self, now: Micros, work: f64, drift: f64) {
+    pub(crate) fn add(&mut self, now: Micros, work: f64, drift: f64) {
         self.sum = self.value(now, drift) * drift / SEC as f64 + work;
         self.at = now;
     }
 
-    pub fn value(&self, now: Micros, drift: f64) -> f64 {
+    pub(crate) fn value(&self, now: Micros, drift: f64) -> f64 {
         self.sum * (-((now - self.at) as f64) / drift).exp() * SEC as f64 / drift
     }
 }
@@ -57,7 +57,7 @@
 /// Places for numbers that were read once, found by where their names stand in the program.
 const READ: usize = 256;
 
-pub struct Rules {
+pub(crate) struct Rules {
     pub all: Settings,
     /// Each decision asks for a dozen numbers: finding and reading their texts each time was a quarter of a hit.
     numbers: Box<[Cell<(usize, f64)>]>,
@@ -65,7 +65,7 @@
 }
 
 impl Rules {
-    pub fn new(all: Settings) -> Rules {
+    pub(crate) fn new(all: Settings) -> Rules {
         let numbers = (0..READ).map(|_| Cell::new((0, f64::NAN))).collect();
         Rules {
             all,
@@ -76,11 +76,11 @@
 }
 
 impl Rules {
-    pub fn text(&self, name: &str) -> &str {
+    pub(crate) fn text(&self, name: &str) -> &str {
         self.all.get(name).map_or("", String::as_str)
     }
 
-    pub fn num(&self, name: &'static str, default: f64) -> f64 {
+    pub(crate) fn num(&self, name: &'static str, default: f64) -> f64 {
         let number = self.number(name);
         if number.is_finite() {
             number
@@ -90,7 +90,7 @@
     }
 
     /// The same for a name that is made up, read each time.
-    pub fn told(&self, name: &str, default: f64) -> f64 {
+    pub(crate) fn told(&self, name: &str, default: f64) -> f64 {
         self.text(name)
             .parse()
             .ok()
@@ -125,25 +125,25 @@
         value
     }
 
-    pub fn span(&self, name: &'static str, default: f64) -> Micros {
+    pub(crate) fn span(&self, name: &'static str, default: f64) -> Micros {
         (self.num(name, default) * SEC as f64) as Micros
     }
 
-    pub fn is(&self, name: &'static str) -> bool {
+    pub(crate) fn is(&self, name: &'static str) -> bool {
         Rules::read(&self.flags, name, || self.text(name) == "true")
     }
 
-    pub fn item(&self, name: &str, place: usize) -> &str {
+    pub(crate) fn item(&self, name: &str, place: usize) -> &str {
         self.text(name).split(',').nth(place).unwrap_or("")
     }
 
-    pub fn item_num(&self, name: &str, place: usize) -> f64 {
+    pub(crate) fn item_num(&self, name: &str, place: usize) -> f64 {
         self.item(name, place).parse().unwrap_or(0.0)
     }
 }
 
 /// A memory that is bounded by age and by number, oldest out first.
-pub struct Memory<K, V> {
+pub(crate) struct Memory<K, V> {
     known: HashMap<K, (Micros, V)>,
     order: VecDeque<(Micros, K)>,
     life: Micros,
@@ -151,7 +151,7 @@
 }
 
 impl<K: Copy + Eq + Hash, V: Copy> Memory<K, V> {
-    pub fn new(life: Micros, most: usize) -> Self {
+    pub(crate) fn new(life: Micros, most: usize) -> Self {
         Memory {
             known: HashMap::new(),
             order: VecDeque::new(),
@@ -161,7 +161,7 @@
     }
 
     /// What was forgotten for want of room before its time, the last of it.
-    pub fn put(&mut self, now: Micros, key: K, value: V) -> Option<V> {
+    pub(crate) fn put(&mut self, now: Micros, key: K, value: V) -> Option<V> {
         self.known.insert(key, (now, value));
         self.order.push_back((now, key));
         let mut dropped = None;
@@ -179,7 +179,7 @@
         dropped
     }
 
-    pub fn get(&self, now: Micros, key: K) -> Option<V> {
+    pub(crate) fn get(&self, now: Micros, key: K) -> Option<V> {
         self.known
             .get(&key)
             .filter(|k| k.0 + self.life >= now)
@@ -188,7 +188,7 @@
 }
 
 /// What all actors share: clock, settings, inboxes, the way out.
-pub struct Room<N> {
+pub(crate) struct Room<N> {
     pub now: Micros,
     pub rules: Rules,
     /// The desk's inbox first, then the peers' by index.
@@ -200,7 +200,7 @@
 }
 
 impl<N> Room<N> {
-    pub fn new(now: Micros, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(now: Micros, settings: Settings, seed: u64) -> Self {
         let inboxes = vec![VecDeque::new()];
         Room {
             now,
@@ -214,17 +214,17 @@
     }
 
     /// The next note in the order of writing, and whose it is: none for the desk.
-    pub fn next(&mut self) -> Option<(Option<EndpointIndex>, N)> {
+    pub(crate) fn next(&mut self) -> Option<(Option<EndpointIndex>, N)> {
         let turn = self.turns.pop_front()?;
         let note = self.inboxes[turn].pop_front()?;
         Some((turn.checked_sub(1), note))
     }
 
-    pub fn tell_desk(&mut self, note: N) {
+    pub(crate) fn tell_desk(&mut self, note: N) {
         self.post(0, note);
     }
 
-    pub fn tell(&mut self, peer: EndpointIndex, note: N) {
+    pub(crate) fn tell(&mut self, peer: EndpointIndex, note: N) {
         self.post(peer + 1, note);
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// A number from 0 up to 1, by seed and count.
-    pub fn draw(&mut self) -> f64 {
+    pub(crate) fn draw(&mut self) -> f64 {
         self.draws += 1;
         let mut hasher = DefaultHasher::new();
         (self.seed, self.draws).hash(&mut hasher);
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -9,7 +9,7 @@
 
 /// How far a send may go for what it asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub(crate) enum Ask {
     /// All the way.
     Plain,
     /// No further than the cache; the same for a copy past its fresh time.
@@ -22,7 +22,7 @@
 
 /// A send on its way through the guards.
 #[derive(Clone, Copy, Debug)]
-pub struct Bid {
+pub(crate) struct Bid {
     pub lk: u32,
     pub cache: EndpointIndex,
     pub fill: Fill,
@@ -44,7 +44,7 @@
 
 /// What the host allows of copies, beside what purges and kinds say.
 #[derive(Clone, Copy, Default)]
-pub struct CopyBound {
+pub(crate) struct CopyBound {
     pub not_before: Option<Micros>,
     pub age: Option<Micros>,
     /// When this was told.
@@ -53,17 +53,17 @@
 
 impl CopyBound {
     /// Copies from before this moment are refused.
-    pub fn refused_before(&self, now: Micros) -> Option<Micros> {
+    pub(crate) fn refused_before(&self, now: Micros) -> Option<Micros> {
         self.not_before.max(self.age.map(|age| now - age))
     }
 
     /// What has been decided before this moment did not know of the bound.
-    pub fn binds_from(&self) -> Option<Micros> {
+    pub(crate) fn binds_from(&self) -> Option<Micros> {
         self.not_before.max(self.age.map(|_| self.told))
     }
 }
 
-pub struct Sent {
+pub(crate) struct Sent {
     pub peer: EndpointIndex,
     pub source: Option<EndpointIndex>,
     pub at: Micros,
@@ -86,7 +86,7 @@
 
 impl Sent {
     /// One that has just gone out: until its end is heard it may have run.
-    pub fn new(bid: &Bid, now: Micros) -> Sent {
+    pub(crate) fn new(bid: &Bid, now: Micros) -> Sent {
         Sent {
             peer: bid.cache,
             source: Some(bid.fill.source).filter(|s| *s != bid.cache),
@@ -106,12 +106,12 @@
 }
 
 /// Peers in the order of a choice: in place, as each lookup makes some.
-pub type Peers = SmallVec<[EndpointIndex; 16]>;
+pub(crate) type Peers = SmallVec<[EndpointIndex; 16]>;
 
 // For one lookup.
 
 /// A lookup while the front owes its answer, and until the last of its sends is heard of.
-pub struct Held {
+pub(crate) struct Held {
     pub lk: Request,
     pub keep: u8,
     pub ended: bool,
@@ -129,7 +129,7 @@
 }
 
 impl Held {
-    pub fn new(lk: Request) -> Held {
+    pub(crate) fn new(lk: Request) -> Held {
         Held {
             lk,
             keep: 0,
@@ -148,7 +148,7 @@
 // For one cache, parent or origin.
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Role {
+pub(crate) enum Role {
     Cache,
     Parent,
     Origin,
@@ -157,14 +157,14 @@
 
 /// What an outcome says of a peer: a failure or none, if anything.
 #[derive(Clone, Copy, Debug)]
-pub struct Verdict {
+pub(crate) struct Verdict {
     pub sure: Option<bool>,
     pub doubt: Option<bool>,
 }
 
 /// What a peer posts of itself: all that the desk knows when it chooses.
 #[derive(Clone, Copy, Debug)]
-pub struct Card {
+pub(crate) struct Card {
     pub role: Role,
     pub stable: u64,
     pub zone: usize,
@@ -191,14 +191,14 @@
 
 impl Card {
     /// The share of what it gets that it fails, whether surely or in doubt.
-    pub fn failing(&self, now: Micros, drift: f64) -> f64 {
+    pub(crate) fn failing(&self, now: Micros, drift: f64) -> f64 {
         self.failing
             .drifted(now, 0.0, drift)
             .max(self.doubt.drifted(now, 0.0, drift))
     }
 
     /// Of a peer of which nothing is known.
-    pub fn new() -> Card {
+    pub(crate) fn new() -> Card {
         Card {
             role: Role::Foreign,
             stable: 0,
@@ -222,7 +222,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Note {
+pub(crate) enum Note {
     Listed(EndpointEntry),
     /// What others make of it: share of failures, first-byte time.
     Thought(f64, Option<Micros>),
@@ -263,14 +263,14 @@
 // For the instance.
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Repeat {
+pub(crate) enum Repeat {
     Idempotent,
     Deduplicated,
     SideEffecting,
 }
 
 /// What is told of an object kind, and the mean of what its lookups bring in work.
-pub struct Kind {
+pub(crate) struct Kind {
     pub repeat: Repeat,
     pub group: String,
     pub window: Micros,
@@ -293,7 +293,7 @@
 
 impl Kind {
     /// From the settings; what is not told is taken for nothing, or for a second where nothing would not do.
-    pub fn read(rules: &Rules, k: usize) -> Kind {
+    pub(crate) fn read(rules: &Rules, k: usize) -> Kind {
         let name = |what: &str| format!("classes.{k}.{what}");
         let budget = micros(rules.told(&name("goal_time_s"), 1.0));
         Kind {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,13 @@
 //! The settings file: protobuf text format after `proto/meadowrill.proto`. Read and checked whole; a fault names the
 //! key, the line and the reason.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 mod events;
 pub mod places;
 
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -5,7 +5,7 @@
 
 /// Why a frame could not be read, and where in it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Malformed {
+pub(crate) struct Malformed {
     pub offset: usize,
     pub what: String,
 }
@@ -16,10 +16,10 @@
     }
 }
 
-pub type Address = ([u8; 4], u16);
+pub(crate) type Address = ([u8; 4], u16);
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub(crate) struct Line {
     pub family_type: u8,
     pub online_since_s: f64,
     pub region_part: u8,
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Arrival {
+pub(crate) enum Arrival {
     At(u32),
     Start {
         prng: u64,
@@ -82,7 +82,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub(crate) struct Done {
     pub id: u32,
     pub go: u8,
     pub cache: Address,
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Batch {
+pub(crate) struct Batch {
     pub clock: f64,
     pub number: u32,
     /// Each with its offset in the frame.
@@ -238,7 +238,7 @@
 }
 
 /// Reads one frame, its length field left off.
-pub fn read(frame: &[u8]) -> Result<Batch, Malformed> {
+pub(crate) fn read(frame: &[u8]) -> Result<Batch, Malformed> {
     let mut f = Fields { rest: frame, at: 4 };
     let (clock, count, number) = (f.f64()?, f.u32()?, f.u32()?);
     let mut records = Vec::new();
@@ -265,7 +265,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub(crate) enum Deed {
     Speaking(u32),
     Route {
         id: u32,
@@ -380,7 +380,7 @@
 }
 
 /// Writes a whole reply frame.
-pub fn write(number: u32, deeds: &[Deed]) -> Vec<u8> {
+pub(crate) fn write(number: u32, deeds: &[Deed]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(12 + deeds.len() * 48);
     frame.put_u32_le(0);
     frame.put_u32_le(deeds.len() as u32);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,10 @@
 //! Hosts the decision module on the simulator's wire: the loop, the instances, the mapping of ids.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 mod codec;
 
 use codec::{Address, Arrival, Batch, Deed, Line, Malformed};
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -2,6 +2,14 @@
 //! parent and origin, the journal service, and the program itself as a child. Loopback only; each ends with the
 //! process that began it. What goes wrong in a stand-in is a panic: it is a fault of the test.
 
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc,
+    clippy::too_many_lines,
+    reason = "not reached yet by the pass over names, sizes and docs"
+)]
+
 pub mod cache;
 pub mod client;
 pub mod demo;
