--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -128,7 +128,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let mut actions = Vec::new();
-        let module = router::Router::new(config.seed, config.settings.clone(), now, &mut actions);
+        let module = router::Router::new(config.seed, &config.settings, &mut actions);
         let last = config.known["pos"].as_u64().unwrap_or(0);
         let kinds: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
         let bounds = CapacityLimits {
@@ -295,7 +295,7 @@
         gathered.sort_unstable_by_key(|(key, _)| *key);
         for (key, ready) in gathered.drain(..) {
             if let Err(panic) = catch_panic(|| self.ready(key, ready, now)) {
-                error!(self.log, "panic at a connection"; "key" => ?key, "text" => panic);
+                error!(self.log, "panic at a connection"; "key" => ?key, "text" => %panic);
                 match key {
                     Key::Client(number) => self.clients.drop(number, &self.poll),
                     Key::Cache(number) => self.caches.panicked(number, &self.poll),
@@ -326,7 +326,7 @@
             self.poll_admission(now);
         });
         if let Err(panic) = rest {
-            error!(self.log, "panic in a round"; "text" => panic);
+            error!(self.log, "panic in a round"; "text" => %panic);
         }
     }
 
--- a/crates/proxy/src/front/actions.rs
+++ b/crates/proxy/src/front/actions.rs
@@ -27,7 +27,7 @@
                 _ => None,
             };
             if let Err(panic) = catch_panic(|| module.handle_event(now, event, &mut actions)) {
-                error!(self.log, "panic in the decisions"; "text" => panic);
+                error!(self.log, "panic in the decisions"; "text" => %panic);
                 failed.extend(lookup);
             }
         }
@@ -40,7 +40,7 @@
                 _ => None,
             };
             if let Err(panic) = catch_panic(|| self.carry_out(action, now)) {
-                error!(self.log, "panic at an action"; "text" => panic);
+                error!(self.log, "panic at an action"; "text" => %panic);
                 failed.extend(lookup);
             }
         }
@@ -89,7 +89,7 @@
             Action::ReleaseEndpoint { endpoint: peer } => {
                 self.caches.forget(peer, &self.poll);
                 self.addresses.remove(&peer);
-                self.machines.forget(peer);
+                self.machines.release(peer);
             }
             Action::Log(event) => self.log_decision(event),
         }
--- a/crates/proxy/src/front/events.rs
+++ b/crates/proxy/src/front/events.rs
@@ -37,7 +37,7 @@
         };
         let (outputs, panics) = (subscription.take_outputs(), subscription.take_panics());
         for panic in panics {
-            error!(self.log, "panic in the subscription, which starts anew"; "text" => panic);
+            error!(self.log, "panic in the subscription, which starts anew"; "text" => %panic);
         }
         for output in outputs {
             match output {
@@ -119,7 +119,7 @@
         let module = &mut self.module;
         let decided = catch_panic(|| module.handle_event(now, event, actions));
         if let Err(panic) = &decided {
-            error!(self.log, "panic in the decisions"; "text" => panic);
+            error!(self.log, "panic in the decisions"; "text" => %panic);
         }
         decided.is_ok()
     }
--- a/crates/proxy/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn entry(&mut self, member: Member) -> EndpointEntry {
-        let peer = self.machines.of(&member.id);
+        let peer = self.machines.get_or_insert(&member.id);
         if let Some(address) = member.address {
             self.addresses
                 .insert(peer, (address, CompactString::from(address.to_string())));
--- a/crates/proxy/src/front/shared.rs
+++ b/crates/proxy/src/front/shared.rs
@@ -168,7 +168,7 @@
                 });
             }
             (Some(Thing::Machine(id)), [failing, first_byte, ..]) => {
-                if let Some(peer) = self.machines.known(&id) {
+                if let Some(peer) = self.machines.get(&id) {
                     let first_byte = (*first_byte >= 0.0).then_some(*first_byte as Micros);
                     self.events.push(Event::SharedEstimate {
                         endpoint: peer,
--- a/crates/proxy/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -47,7 +47,7 @@
         let Err(panic) = catch_panic(|| step(subscriber, outputs)) else {
             return;
         };
-        self.panics.push(panic);
+        self.panics.push(panic.to_string());
         self.restart(now);
     }
 
--- /dev/null
+++ b/crates/routing/src/dispatch.rs
@@ -0,0 +1,153 @@
+//! Dispatch: a planned attempt passes the limits of its source and of its endpoint, and goes out.
+//!
+//! The one place from which attempts go out. Rules 3 and 4: nothing to what drains or was removed, and to a warming
+//! endpoint no more than this proxy's part.
+
+use crate::endpoint::Tier;
+use crate::interface::{Action, EndpointIndex, Micros};
+use crate::pending_request::PlannedAttempt;
+use crate::router::Router;
+use crate::slow_start::Demand;
+
+/// Why an attempt was not started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Refusal {
+    /// The endpoint drains, or may not have more in its slow start; or a parent is at its limit of fills.
+    Unavailable(EndpointIndex),
+    /// The endpoint is at its concurrency limit.
+    AtLimit(EndpointIndex),
+}
+
+impl Router {
+    /// Starts a planned attempt. One that its endpoint or its source refuses is planned anew without it; a request that
+    /// cannot go on gets its final answer.
+    pub(crate) fn dispatch(
+        &mut self,
+        planned: PlannedAttempt,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = planned.id;
+        let mut next = Some(planned);
+        while let Some(planned) = next {
+            let refused_by = match self.reserve(&planned, now) {
+                Ok(()) => return self.start_attempt(&planned, now, actions),
+                Err(Refusal::Unavailable(endpoint)) => endpoint,
+                Err(Refusal::AtLimit(cache)) if self.may_move_on(&planned, now) => cache,
+                Err(Refusal::AtLimit(_)) => return self.give_up(id, now, actions),
+            };
+            if let Some(pending) = self.requests.get_mut(&id) {
+                pending.refused_by.push(refused_by);
+            }
+            next = self.plan_or_answer(id, now, actions);
+        }
+    }
+
+    /// Reserves capacity at the source, then at the endpoint.
+    fn reserve(&mut self, planned: &PlannedAttempt, now: Micros) -> Result<(), Refusal> {
+        if let Some(source) = planned.source() {
+            self.reserve_source(source, planned, now)?;
+        }
+        self.reserve_endpoint(planned, now)
+    }
+
+    /// A parent at its limit passes its fills on to the next by the hash: for an object that all ask for at once the
+    /// links of its two parents would be full while those of the others are idle.
+    fn reserve_source(
+        &mut self,
+        source: EndpointIndex,
+        planned: &PlannedAttempt,
+        now: Micros,
+    ) -> Result<(), Refusal> {
+        let parent = &self.endpoints[source];
+        let at_limit = parent.tier == Tier::Parent && parent.limit.at_limit(now, planned.slack);
+        let demand = Demand {
+            work: planned.fill_work,
+            tier_rate: planned.parent_tier_rate,
+        };
+        if at_limit || !self.admits(source, demand, now) {
+            return Err(Refusal::Unavailable(source));
+        }
+        self.endpoints[source].health.chosen(now);
+        Ok(())
+    }
+
+    fn reserve_endpoint(&mut self, planned: &PlannedAttempt, now: Micros) -> Result<(), Refusal> {
+        if self.endpoints[planned.endpoint]
+            .limit
+            .at_limit(now, planned.slack)
+        {
+            return Err(Refusal::AtLimit(planned.endpoint));
+        }
+        let demand = Demand {
+            work: planned.work,
+            tier_rate: planned.endpoint_tier_rate,
+        };
+        if !self.admits(planned.endpoint, demand, now) {
+            return Err(Refusal::Unavailable(planned.endpoint));
+        }
+        Ok(())
+    }
+
+    /// Whether an endpoint accepts requests, and its slow start admits this one.
+    fn admits(&mut self, index: EndpointIndex, demand: Demand, now: Micros) -> bool {
+        let endpoint = &mut self.endpoints[index];
+        if !endpoint.accepts_requests {
+            return false;
+        }
+        let terms = match endpoint.tier {
+            Tier::Cache | Tier::OtherZone => self.settings.cache_slow_start(endpoint.zone),
+            Tier::Parent => self.settings.parent_slow_start(),
+            Tier::Origin => return true,
+        };
+        let capacity = (endpoint.weight, self.settings.uses_weights);
+        let window = self.settings.overload_window;
+        endpoint
+            .slow_start
+            .admit(now, &terms, window, capacity, demand, &mut self.random)
+    }
+
+    /// Whether a request that a cache has no capacity for may go to the next cache, which would have to fill it.
+    ///
+    /// An overload is not passed on. A slow outlier is no overload: it will not bear its part again for long, and the
+    /// next cache has capacity.
+    fn may_move_on(&self, planned: &PlannedAttempt, now: Micros) -> bool {
+        if !self.endpoints.is_slow_outlier(planned.endpoint, now) {
+            return false;
+        }
+        let Some(pending) = self.requests.get(&planned.id) else {
+            return false;
+        };
+        let part = u64::from(pending.request.part);
+        let caches = self.endpoints.candidates(pending, Tier::Cache, part);
+        let mut others = caches
+            .into_iter()
+            .filter(|cache| *cache != planned.endpoint);
+        let next = others.find(|cache| !self.endpoints.is_ejected(*cache, now));
+        next.is_some_and(|next| !self.endpoints[next].is_near_limit())
+    }
+
+    fn start_attempt(&mut self, planned: &PlannedAttempt, now: Micros, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get_mut(&planned.id) else {
+            return;
+        };
+        pending.start_attempt(planned, now);
+        let endpoint = &mut self.endpoints[planned.endpoint];
+        endpoint.limit.start(now, 1.0);
+        endpoint.health.attempt_started(now);
+        if let Some(source) = planned.source() {
+            let source = &mut self.endpoints[source];
+            if source.tier == Tier::Parent {
+                source.limit.start(now, planned.fill_share);
+            }
+        }
+        self.fill_limits
+            .start(now, planned.fill_share, planned.fetch_share);
+        actions.push(Action::StartAttempt {
+            id: planned.id,
+            endpoint: planned.endpoint,
+            timeout: planned.timeout,
+            fill: Some(planned.fill),
+        });
+    }
+}
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -1,11 +1,20 @@
-//! What every host of the decisions needs at its door, whatever wire it speaks.
+//! What every host of the decisions needs, whatever wire it speaks: indices for endpoints, stable ids, units, and a
+//! barrier against panics.
 
 use crate::interface::{CacheStatus, EndpointIndex, Micros, Settings};
+use std::any::Any;
 use std::collections::HashMap;
+use std::fmt;
 use std::hash::Hash;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Ids of machines to small indices and back; an index that the module forgets is given out again.
+/// Microseconds in a second, for numbers that come as fractions.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Offset basis and prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// Maps a host's endpoint ids to small indices and back. A released index is given out again.
 pub struct EndpointIndices<K> {
     index: HashMap<K, EndpointIndex>,
     names: Vec<K>,
@@ -23,55 +32,67 @@
 }
 
 impl<K: Clone + Eq + Hash> EndpointIndices<K> {
-    pub fn of(&mut self, name: &K) -> EndpointIndex {
-        if let Some(ix) = self.index.get(name) {
-            return *ix;
+    /// The index of an id; a new one where it has none.
+    pub fn get_or_insert(&mut self, name: &K) -> EndpointIndex {
+        if let Some(index) = self.index.get(name) {
+            return *index;
         }
-        let ix = self.free.pop().unwrap_or(self.names.len());
-        if ix == self.names.len() {
+        let index = self.free.pop().unwrap_or(self.names.len());
+        if index == self.names.len() {
             self.names.push(name.clone());
         } else {
-            self.names[ix] = name.clone();
+            self.names[index] = name.clone();
         }
-        self.index.insert(name.clone(), ix);
-        ix
+        self.index.insert(name.clone(), index);
+        index
     }
 
-    pub fn known(&self, name: &K) -> Option<EndpointIndex> {
+    /// The index of an id, if it has one.
+    pub fn get(&self, name: &K) -> Option<EndpointIndex> {
         self.index.get(name).copied()
     }
 
-    pub fn name(&self, ix: EndpointIndex) -> &K {
-        &self.names[ix]
+    /// The id of an index that was given out.
+    ///
+    /// # Panics
+    ///
+    /// Where the index was never given out.
+    pub fn name(&self, index: EndpointIndex) -> &K {
+        &self.names[index]
     }
 
-    pub fn forget(&mut self, ix: EndpointIndex) {
-        self.index.remove(&self.names[ix]);
-        self.free.push(ix);
+    /// Frees an index, as [`crate::interface::Action::ReleaseEndpoint`] asks.
+    ///
+    /// # Panics
+    ///
+    /// Where the index was never given out.
+    pub fn release(&mut self, index: EndpointIndex) {
+        self.index.remove(&self.names[index]);
+        self.free.push(index);
     }
 }
 
-/// A stable number for an id that is a text (FNV-1a): the same at every front and over restarts.
+/// A stable number for a textual id (64-bit FNV-1a): the same at every proxy and over restarts.
 pub fn stable_id(id: &str) -> u64 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
-        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
+/// Seconds as whole microseconds, rounded.
 pub fn micros(seconds: f64) -> Micros {
-    (seconds * 1e6).round() as Micros
+    (seconds * MICROS_PER_SECOND).round() as Micros
 }
 
-/// The module's plain map out of names and values.
+/// The decisions' settings out of names and values.
 pub fn settings<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Settings {
-    pairs
-        .map(|(name, value)| (name.trim().to_string(), value.trim().to_string()))
-        .collect()
+    let trimmed = pairs.map(|(name, value)| (name.trim().to_string(), value.trim().to_string()));
+    trimmed.collect()
 }
 
-/// A cache's note on how it came by an answer, by its place in the platform's order, from 1.
-pub fn cache_status(place: usize) -> CacheStatus {
-    match place {
+/// The cache status by its number in the platform's order, from 1; 0 where none is told.
+pub fn cache_status(number: usize) -> CacheStatus {
+    match number {
         1 => CacheStatus::Hit,
         2 => CacheStatus::FilledFromParent,
         3 => CacheStatus::FilledFromOrigin,
@@ -86,12 +107,35 @@
     }
 }
 
-/// Panics stop here: what was being handled ends, the others go on. What one said is returned.
-pub fn catch_panic<T>(handle: impl FnOnce() -> T) -> Result<T, String> {
-    catch_unwind(AssertUnwindSafe(handle)).map_err(|panic| {
-        let text = panic.downcast_ref::<String>().map(String::as_str);
-        text.or_else(|| panic.downcast_ref::<&str>().copied())
-            .unwrap_or("no message")
-            .to_string()
-    })
+/// A panic that was caught; it displays as the panic's message.
+#[derive(Debug)]
+pub struct CaughtPanic {
+    message: String,
+}
+
+impl CaughtPanic {
+    fn new(payload: &(dyn Any + Send)) -> CaughtPanic {
+        let text = payload.downcast_ref::<String>().map(String::as_str);
+        let text = text.or_else(|| payload.downcast_ref::<&str>().copied());
+        CaughtPanic {
+            message: text.unwrap_or("no message").to_string(),
+        }
+    }
+}
+
+impl fmt::Display for CaughtPanic {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.message)
+    }
+}
+
+impl std::error::Error for CaughtPanic {}
+
+/// Stops a panic: what was being handled ends, the rest goes on.
+///
+/// # Errors
+///
+/// Returns the panic, if there was one.
+pub fn catch_panic<T>(handle: impl FnOnce() -> T) -> Result<T, CaughtPanic> {
+    catch_unwind(AssertUnwindSafe(handle)).map_err(|payload| CaughtPanic::new(payload.as_ref()))
 }
--- /dev/null
+++ b/crates/routing/src/outcome.rs
@@ -0,0 +1,419 @@
+//! The end of an attempt: who is at fault, what each estimate and limit learns of it, and how the request goes on.
+
+use crate::deadline;
+use crate::endpoint::Tier;
+use crate::estimate::SAMPLE_WEIGHT;
+use crate::fill_policy::FillPolicy;
+use crate::interface::{
+    Action, AttemptEnd, AttemptOutcome, CacheStatus, EndpointIndex, LogEvent, Micros, Request,
+};
+use crate::outlier_detection::Fault;
+use crate::pending_request::{Attempt, PlannedAttempt};
+use crate::retry::{is_in_vain, next_fill_poll};
+use crate::router::Router;
+use crate::source_selection::SOURCE_SAMPLE_WEIGHT;
+use crate::time::SECOND;
+
+/// Time that a hit takes beside its transfer.
+const HIT_OVERHEAD: Micros = SECOND / 50;
+/// The most that a single hit says of a cache's slowdown.
+const MAX_SLOWDOWN_SAMPLE: f64 = 20.0;
+
+/// An attempt that has ended, with what the rules ask of it.
+pub(crate) struct EndedAttempt {
+    pub(crate) end: AttemptEnd,
+    pub(crate) attempt: Attempt,
+    pub(crate) request: Request,
+    pub(crate) fault: Fault,
+    /// The request was over before.
+    pub(crate) request_answered: bool,
+    /// The class's answers are never cached.
+    pub(crate) uncacheable: bool,
+    /// Caches report how they came by each answer.
+    pub(crate) complete_status: bool,
+    /// Latency objective of a request of the class that takes no work.
+    pub(crate) latency_objective: Micros,
+    /// Time that the request takes at full pace, in microseconds, as expected before this end.
+    pub(crate) expected_work: f64,
+    /// How many times its expected time a hit of the endpoint took before this end; at least 1.
+    pub(crate) slowdown: f64,
+    /// The work that it counts for, in microseconds; 0 unless it was served.
+    pub(crate) work_done: f64,
+}
+
+impl EndedAttempt {
+    pub(crate) fn policy(&self) -> FillPolicy {
+        self.attempt.policy
+    }
+
+    pub(crate) fn succeeded(&self) -> bool {
+        self.end.outcome == AttemptOutcome::Success
+    }
+
+    pub(crate) fn missed(&self) -> bool {
+        self.end.outcome == AttemptOutcome::Miss
+    }
+
+    /// A miss that the attempt asked about: it only tells where to ask next.
+    fn is_expected_miss(&self) -> bool {
+        self.missed() && self.policy().may_miss()
+    }
+
+    /// Served from the cache itself, as far as it is known: elsewhere times of fills are mixed in.
+    fn is_known_hit(&self) -> bool {
+        matches!(self.end.cache_status, CacheStatus::Hit | CacheStatus::Stale)
+            || (self.policy().stays_at_cache() && self.succeeded())
+    }
+
+    /// The cache reports that it was filled for this request.
+    pub(crate) fn was_filled(&self) -> bool {
+        let status = self.end.cache_status;
+        matches!(
+            status,
+            CacheStatus::FilledFromParent | CacheStatus::FilledFromOrigin
+        )
+    }
+
+    /// Served, with the first byte of the source early: the rest of the time was spent at the link.
+    pub(crate) fn had_early_first_byte(&self) -> bool {
+        let early = |first_byte| first_byte < self.latency_objective / 2;
+        self.succeeded() && self.end.first_byte.is_some_and(early)
+    }
+
+    /// The cache has not got it yet, and a fill of it is under way there.
+    fn found_fill_under_way(&self) -> bool {
+        self.policy() == FillPolicy::CacheOnly
+            && self.missed()
+            && self.end.cache_status == CacheStatus::JoinedFill
+    }
+
+    /// Cancelled before it was written, so it never ran.
+    fn was_withdrawn(&self) -> bool {
+        self.attempt.withdrawn && self.end.outcome == AttemptOutcome::Superseded
+    }
+
+    /// The endpoint answered. A reset too says that somebody is there, but a process that died refuses the next
+    /// connection.
+    fn was_answered(&self) -> bool {
+        matches!(
+            self.end.outcome,
+            AttemptOutcome::Success
+                | AttemptOutcome::Miss
+                | AttemptOutcome::Error
+                | AttemptOutcome::Rejected
+        )
+    }
+
+    /// Its time says how loaded fills are. A source that cannot be reached says nothing of that: it is passed over, and
+    /// links and other sources have capacity.
+    fn judges_fills(&self) -> bool {
+        let status = self.end.cache_status;
+        let source_is_gone = matches!(
+            status,
+            CacheStatus::SourceUnreachable | CacheStatus::SourceRejected
+        );
+        let is_fill = self.attempt.fill_share > 0.0 && !self.is_known_hit();
+        is_fill && !self.uncacheable && !source_is_gone
+    }
+
+    /// Its time says how loaded the cache itself is.
+    fn judges_endpoint(&self) -> bool {
+        self.succeeded() && self.is_known_hit() && !self.uncacheable
+    }
+}
+
+impl Router {
+    /// An attempt has ended: its outcome is attributed and recorded, and its request goes on.
+    ///
+    /// The next attempt is planned before the outcome is recorded at the endpoints, and dispatched after. What went
+    /// wrong for this request stands in its own attempts.
+    pub(crate) fn attempt_ended(
+        &mut self,
+        end: AttemptEnd,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut ended) = self.settle_attempt(end, now) else {
+            return;
+        };
+        self.fill_limits
+            .end(now, ended.attempt.fill_share, ended.attempt.fetch_share);
+        self.record_work(&mut ended);
+        self.record_fill(&ended, now, actions);
+        self.fill_limits.record_miss_rate(now, &ended);
+        let next = self.next_step(&ended, now, actions);
+        self.record_at_endpoint(&ended, now, actions);
+        self.record_at_source(&ended, now, actions);
+        if let Some(planned) = next {
+            self.dispatch(planned, now, actions);
+        }
+    }
+
+    /// Marks the attempt as ended and attributes its outcome; none where it is not known to be in flight.
+    fn settle_attempt(&mut self, end: AttemptEnd, now: Micros) -> Option<EndedAttempt> {
+        let stalled = end.outcome == AttemptOutcome::TimedOut
+            && end.attempt == 0
+            && self.endpoints[end.endpoint].stalls(now);
+        let pending = self.requests.get_mut(&end.id)?;
+        let request = pending.request;
+        let request_answered = pending.answered;
+        let attempt = pending.attempts.get_mut(usize::from(end.attempt));
+        let attempt = attempt.filter(|attempt| attempt.in_flight)?;
+        attempt.in_flight = false;
+        attempt.may_have_run = end.outcome.may_have_run();
+        let complete_status = self.settings.complete_cache_status;
+        let has_source = attempt.source.is_some();
+        let fault = Fault::attribute(end.outcome, end.cache_status, has_source, complete_status);
+        // In doubt the one that fails more is left alone next time, and the other tried again.
+        let suspected =
+            |index: EndpointIndex| self.endpoints[index].health.suspected_failure_rate(now);
+        let source_is_worse = attempt
+            .source
+            .is_some_and(|source| suspected(source) > suspected(end.endpoint));
+        let class = &self.classes[request.class];
+        let expected_work = class.expected_work(&request, &self.settings);
+        let mut ended = EndedAttempt {
+            attempt: *attempt,
+            request,
+            fault,
+            request_answered,
+            uncacheable: class.settings.uncacheable,
+            complete_status,
+            latency_objective: class.settings.latency_objective,
+            expected_work,
+            slowdown: self.endpoints[end.endpoint].slowdown(now).max(1.0),
+            work_done: 0.0,
+            end,
+        };
+        attempt.inconclusive = stalled || ended.was_withdrawn();
+        let blames_source = fault.unclear && source_is_worse;
+        let at_source = ended.end.cache_status.blames_source();
+        let excused = ended.succeeded() || at_source || blames_source || ended.is_expected_miss();
+        attempt.endpoint_spent = !(excused || attempt.inconclusive);
+        attempt.source_spent =
+            (fault.source || blames_source || ended.missed()) && !ended.is_expected_miss();
+        ended.attempt = *attempt;
+        self.record_link_load(&ended.end, now);
+        Some(ended)
+    }
+
+    fn record_link_load(&mut self, end: &AttemptEnd, now: Micros) {
+        if self.endpoints[end.endpoint].tier != Tier::Cache {
+            return;
+        }
+        let field = self.settings.link_load_field;
+        if let Some(load) = field.and_then(|field| end.load_report.get(field)) {
+            self.fill_limits.record_link_load(now, *load);
+        }
+    }
+
+    /// Learns the work of the class's requests: by the size that the answer shows, else by the time of a hit.
+    fn record_work(&mut self, ended: &mut EndedAttempt) {
+        let class = &mut self.classes[ended.request.class];
+        let size_known = ended.request.size_kb > 0.0;
+        if ended.end.size_kb > 0.0 && !size_known && !ended.uncacheable {
+            let sized = Request {
+                size_kb: ended.end.size_kb,
+                ..ended.request
+            };
+            let work = class.expected_work(&sized, &self.settings);
+            class.work.record_size(work);
+        } else if ended.succeeded() && !size_known {
+            let is_own_time = ended.is_known_hit() || !ended.complete_status || ended.uncacheable;
+            if is_own_time {
+                class.work.record_time(ended.end.elapsed as f64);
+            }
+        }
+        if ended.succeeded() {
+            ended.work_done = class.work.for_slow_start;
+        }
+    }
+
+    fn record_fill(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
+        // The slowdown of a cache at what it has cached says nothing of the fills.
+        let time = self.relative_time(ended, ended.slowdown);
+        if let Some(time) = time.filter(|_| ended.judges_fills()) {
+            self.fill_limits.record_fill(now, ended, time, actions);
+        }
+    }
+
+    fn relative_time(&self, ended: &EndedAttempt, slowdown: f64) -> Option<f64> {
+        let AttemptEnd {
+            outcome, elapsed, ..
+        } = ended.end;
+        let class = &self.classes[ended.request.class].settings;
+        class.relative_time(outcome, elapsed, ended.expected_work, slowdown)
+    }
+
+    /// How the request goes on: it is over, waits for a fill, is retried, or gets its final answer.
+    fn next_step(
+        &mut self,
+        ended: &EndedAttempt,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> Option<PlannedAttempt> {
+        let id = ended.request.id;
+        if ended.succeeded() && !ended.request_answered {
+            self.record_answer(&ended.request, true, now);
+        }
+        if ended.end.finished || ended.request_answered {
+            self.close(id, actions);
+            return None;
+        }
+        if ended.found_fill_under_way() && self.wait_for_fill(ended, now, actions) {
+            return None;
+        }
+        if ended.is_expected_miss() || ended.was_withdrawn() {
+            return self.plan_or_answer(id, now, actions);
+        }
+        let pending = self.requests.get(&id)?;
+        if pending.has_attempt_in_flight() {
+            return None;
+        }
+        self.retry(id, now, actions)
+    }
+
+    /// Waits until the fill that is under way at the cache should be done; false where that would be too late.
+    fn wait_for_fill(
+        &mut self,
+        ended: &EndedAttempt,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let id = ended.request.id;
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return false;
+        };
+        let class = &self.classes[ended.request.class];
+        let poll_at = next_fill_poll(pending, class, ended.expected_work, &self.settings, now);
+        let Some(at) = poll_at else {
+            return false;
+        };
+        pending.wait_for_fill();
+        actions.push(Action::SetTimer { at, timer: id });
+        true
+    }
+
+    /// A retry after a failure, paid from the retry budget.
+    fn retry(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) -> Option<PlannedAttempt> {
+        let class = &self.classes[self.requests.get(&id)?.request.class];
+        if is_in_vain(class, &self.endpoints, now) || !self.retry_budget.try_withdraw() {
+            self.give_up(id, now, actions);
+            return None;
+        }
+        self.plan_or_answer(id, now, actions)
+    }
+
+    /// Records an outcome at the endpoint that it came from.
+    fn record_at_endpoint(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
+        let judges = ended.judges_endpoint();
+        let relative_time = self.relative_time(ended, 1.0).filter(|_| judges);
+        let endpoint = &mut self.endpoints[ended.end.endpoint];
+        let stable_id = endpoint.stable_id;
+        if ended.was_answered() {
+            endpoint.record_answer(now);
+        }
+        endpoint.limit.end(now, 1.0);
+        if relative_time.is_some_and(|time| endpoint.limit.record_outcome(now, time, 1.0)) {
+            let limit = endpoint.limit.limit();
+            actions.push(Action::Log(LogEvent::EndpointLimitCut { stable_id, limit }));
+        }
+        endpoint
+            .health
+            .record(now, ended.fault.of_endpoint(ended.uncacheable));
+        let unreached = ended.end.outcome == AttemptOutcome::ConnectFailed;
+        if unreached && endpoint.record_unreached(now) {
+            actions.push(Action::Log(LogEvent::EndpointUnreachable { stable_id }));
+        }
+        if judges {
+            let usual = ended.expected_work + HIT_OVERHEAD as f64;
+            let slowdown = (ended.end.elapsed as f64 / usual).min(MAX_SLOWDOWN_SAMPLE);
+            endpoint.slowdown.record(now, slowdown, SAMPLE_WEIGHT);
+        }
+        endpoint.work_rate.record(now, ended.work_done);
+    }
+
+    /// Records an outcome at the source that the attempt named, if any.
+    fn record_at_source(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
+        let Some(source) = ended.attempt.source else {
+            return;
+        };
+        if self.endpoints[source].tier == Tier::Parent {
+            self.record_parent_fill(source, ended, now, actions);
+        }
+        // A hit says nothing of the source.
+        let known_hit = ended.complete_status && ended.succeeded() && !ended.was_filled();
+        if !known_hit {
+            self.record_source_times(source, ended, now);
+        }
+    }
+
+    /// Steps the limit of a parent by the time of a fill, where it tells of the parent's own link: what the origin had
+    /// to fetch does not.
+    fn record_parent_fill(
+        &mut self,
+        source: EndpointIndex,
+        ended: &EndedAttempt,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let status = ended.end.cache_status;
+        let rejected =
+            ended.end.outcome == AttemptOutcome::TimedOut || status == CacheStatus::SourceRejected;
+        let own_link = status == CacheStatus::FilledFromParent && !ended.uncacheable;
+        let relative_time = if rejected {
+            Some(f64::INFINITY)
+        } else {
+            own_link.then(|| self.parent_time(ended))
+        };
+        let share = ended.attempt.fill_share;
+        let relative_time = relative_time.filter(|_| share > 0.0);
+        let parent = &mut self.endpoints[source];
+        parent.limit.end(now, share);
+        if relative_time.is_some_and(|time| parent.limit.record_outcome(now, time, share)) {
+            let (stable_id, limit) = (parent.stable_id, parent.limit.limit());
+            actions.push(Action::Log(LogEvent::ParentLimitCut { stable_id, limit }));
+        }
+    }
+
+    /// The time of a fill over the latency objective, without the slowdown of its cache.
+    fn parent_time(&self, ended: &EndedAttempt) -> f64 {
+        let class = &self.classes[ended.request.class].settings;
+        let objective = class
+            .objective(ended.expected_work)
+            .max(deadline::MINIMUM_WORK);
+        ended.end.elapsed as f64 / objective / ended.slowdown
+    }
+
+    fn record_source_times(&mut self, source: EndpointIndex, ended: &EndedAttempt, now: Micros) {
+        let timed_out = ended.end.outcome == AttemptOutcome::TimedOut;
+        // Sizes differ far more than parents do: only what goes beyond the object's own time counts.
+        let elapsed = ended.end.elapsed.max(now - ended.attempt.started_at);
+        let latency = (elapsed - ended.expected_work as Micros).max(0);
+        let first_byte = if timed_out {
+            Some(latency)
+        } else {
+            ended.end.first_byte
+        };
+        // A quick failure is no quick answer.
+        let latency = (ended.succeeded() || timed_out).then_some(latency);
+        let work = if !ended.complete_status || ended.was_filled() {
+            ended.work_done
+        } else {
+            0.0
+        };
+        let source = &mut self.endpoints[source];
+        source.health.record(now, ended.fault.of_source());
+        if let Some(time) = first_byte {
+            source
+                .first_byte
+                .record(now, time as f64, SOURCE_SAMPLE_WEIGHT);
+        }
+        if let Some(time) = latency {
+            source
+                .latency
+                .record(now, time as f64, SOURCE_SAMPLE_WEIGHT);
+        }
+        source.work_rate.record(now, work);
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -70,7 +70,7 @@
 impl Instance {
     fn entries(&mut self, lines: &[Line]) -> Vec<EndpointEntry> {
         let entry = |l: &Line| EndpointEntry {
-            endpoint: self.caches.of(&l.cache),
+            endpoint: self.caches.get_or_insert(&l.cache),
             stable_id: u64::from(u32::from_be_bytes(l.cache.0)) << 16 | u64::from(l.cache.1),
             machine_kind: l.family_type,
             started_at: micros(l.online_since_s),
@@ -127,7 +127,7 @@
             Arrival::Done(d) => Event::AttemptEnded(AttemptEnd {
                 id: d.id,
                 attempt: d.go,
-                endpoint: self.caches.of(&d.cache),
+                endpoint: self.caches.get_or_insert(&d.cache),
                 outcome: outcome(d.disposition),
                 elapsed: micros(d.delay_seen_s),
                 finished: d.finished,
@@ -148,7 +148,7 @@
                 delay_seen_s,
                 health_info,
             } => Event::HealthCheckEnded {
-                endpoint: self.caches.of(&cache),
+                endpoint: self.caches.get_or_insert(&cache),
                 outcome: outcome(disposition),
                 elapsed: micros(delay_seen_s),
                 load_report: reports(&health_info),
@@ -210,7 +210,7 @@
             Action::PollDiscovery => Deed::Track(true),
             Action::Log(event) => Deed::Emit(log_line(event)),
             Action::ReleaseEndpoint { endpoint: peer } => {
-                self.caches.forget(peer);
+                self.caches.release(peer);
                 return None;
             }
             // Answers to connections of a host's own, of which this wire has none.
@@ -247,7 +247,7 @@
             let mut actions = Vec::new();
             let played = if let Arrival::Start { prng, env } = arrival {
                 let settings = settings(env.lines().filter_map(|l| l.split_once('=')));
-                catch_panic(|| Router::new(prng, settings, now, &mut actions)).map(|front| {
+                catch_panic(|| Router::new(prng, &settings, &mut actions)).map(|front| {
                     self.instances.insert(
                         id,
                         Instance {
