--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -119,7 +119,7 @@
     if is_last {
         return remaining;
     }
-    let timeout = if endpoint.health.owes_answers() {
+    let timeout = if endpoint.health.has_unanswered_attempts() {
         remaining * UNANSWERED_TENTHS / 10
     } else {
         remaining
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -61,11 +61,7 @@
     ) -> Result<(), Refusal> {
         let parent = &self.endpoints[source];
         let at_limit = parent.tier == Tier::Parent && parent.limit.at_limit(now, planned.slack);
-        let demand = Demand {
-            work: planned.fill_work,
-            tier_rate: planned.parent_tier_rate,
-        };
-        if at_limit || !self.admits(source, demand, now) {
+        if at_limit || !self.admits(source, planned.fill_work, planned.parent_tier_rate, now) {
             return Err(Refusal::Unavailable(source));
         }
         self.endpoints[source].health.chosen(now);
@@ -79,18 +75,19 @@
         {
             return Err(Refusal::AtLimit(planned.endpoint));
         }
-        let demand = Demand {
-            work: planned.work,
-            tier_rate: planned.endpoint_tier_rate,
-        };
-        if !self.admits(planned.endpoint, demand, now) {
+        if !self.admits(
+            planned.endpoint,
+            planned.work,
+            planned.endpoint_tier_rate,
+            now,
+        ) {
             return Err(Refusal::Unavailable(planned.endpoint));
         }
         Ok(())
     }
 
     /// Whether an endpoint accepts requests, and its slow start admits this one.
-    fn admits(&mut self, index: EndpointIndex, demand: Demand, now: Micros) -> bool {
+    fn admits(&mut self, index: EndpointIndex, work: f64, tier_rate: f64, now: Micros) -> bool {
         let endpoint = &mut self.endpoints[index];
         if !endpoint.accepts_requests {
             return false;
@@ -100,11 +97,14 @@
             Tier::Parent => self.settings.parent_slow_start(),
             Tier::Origin => return true,
         };
-        let capacity = (endpoint.weight, self.settings.uses_weights);
-        let window = self.settings.overload_window;
+        let demand = Demand {
+            work,
+            tier_rate,
+            weight: endpoint.weight,
+        };
         endpoint
             .slow_start
-            .admit(now, &terms, window, capacity, demand, &mut self.random)
+            .admit(now, &terms, demand, &mut self.random)
     }
 
     /// Whether a request that a cache has no capacity for may go to the next cache, which would have to fill it.
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -39,8 +39,8 @@
     /// Listed as ready: neither draining nor removed.
     pub(crate) accepts_requests: bool,
     removed_at: Option<Micros>,
-    /// The start of its process as listed last.
-    listed_start: Micros,
+    /// The start of its process as discovery reported it last.
+    reported_start: Micros,
     /// Failures, silence and probe requests.
     pub(crate) health: Health,
     /// What may be in flight: requests to a cache, fills from a parent.
@@ -65,7 +65,7 @@
             weight: 1.0,
             accepts_requests: false,
             removed_at: None,
-            listed_start: 0,
+            reported_start: 0,
             health: Health::default(),
             limit: ConcurrencyLimit::for_endpoint(),
             slow_start: SlowStart::default(),
@@ -80,7 +80,7 @@
 impl Endpoint {
     fn list(&mut self, entry: EndpointEntry, settings: &RoutingSettings, now: Micros) {
         self.tier = tier(&entry, settings);
-        if entry.started_at != self.listed_start {
+        if entry.started_at != self.reported_start {
             self.start_process(entry.started_at, now);
         }
         self.stable_id = entry.stable_id;
@@ -101,7 +101,7 @@
     fn start_process(&mut self, started_at: Micros, now: Micros) {
         self.health.forget_failures();
         self.slowdown = SmoothedValue::assumed(1.0);
-        self.listed_start = started_at;
+        self.reported_start = started_at;
         self.slow_start.restart(started_at, now);
     }
 
--- a/crates/routing/src/fill_policy.rs
+++ b/crates/routing/src/fill_policy.rs
@@ -20,7 +20,7 @@
 /// How fast a report of the link's load fades.
 const LINK_DECAY_TIME: Micros = 2 * SECOND;
 /// One fill, or one fetch.
-const WHOLE_SHARE: f64 = 1.0;
+const FULL_SHARE: f64 = 1.0;
 
 /// How far an attempt may go for what it asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,7 +156,7 @@
             let stale = question.may_serve_stale && !question.tried_stale;
             return stale.then_some(FillPolicy::StaleIfCached);
         }
-        if self.fetches.near_limit(WHOLE_SHARE) && !needs_fetch {
+        if self.fetches.near_limit(FULL_SHARE) && !needs_fetch {
             Some(FillPolicy::ParentCacheOnly)
         } else {
             Some(FillPolicy::Fetch)
@@ -169,8 +169,8 @@
         question: &FillQuestion,
         capacity: FillCapacity,
     ) -> Option<FillPolicy> {
-        let may_ask_parent = tier == Tier::Parent && !question.tried_parent_cache;
-        if !capacity.fills_full && may_ask_parent && self.fetches.near_limit(WHOLE_SHARE) {
+        let may_use_parent = tier == Tier::Parent && !question.tried_parent_cache;
+        if !capacity.fills_full && may_use_parent && self.fetches.near_limit(FULL_SHARE) {
             return Some(FillPolicy::ParentCacheOnly);
         }
         let full = capacity.fills_full || capacity.fetches_full;
@@ -182,8 +182,8 @@
     pub(crate) fn shares(&self, now: Micros, policy: FillPolicy, uncacheable: bool) -> (f64, f64) {
         match policy {
             _ if uncacheable || policy.stays_at_cache() => (0.0, 0.0),
-            FillPolicy::ParentCacheOnly => (WHOLE_SHARE, 0.0),
-            FillPolicy::Fetch => (WHOLE_SHARE, WHOLE_SHARE),
+            FillPolicy::ParentCacheOnly => (FULL_SHARE, 0.0),
+            FillPolicy::Fetch => (FULL_SHARE, FULL_SHARE),
             _ => {
                 let likely = self.miss_rate(now);
                 (likely, likely)
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -108,12 +108,12 @@
     /// links and other sources have capacity.
     fn judges_fills(&self) -> bool {
         let status = self.end.cache_status;
-        let source_is_gone = matches!(
+        let source_unavailable = matches!(
             status,
             CacheStatus::SourceUnreachable | CacheStatus::SourceRejected
         );
         let is_fill = self.attempt.fill_share > 0.0 && !self.is_known_hit();
-        is_fill && !self.uncacheable && !source_is_gone
+        is_fill && !self.uncacheable && !source_unavailable
     }
 
     /// Its time says how loaded the cache itself is.
@@ -122,6 +122,20 @@
     }
 }
 
+impl Attempt {
+    /// Records which endpoints are spent for the request. `blames_source`: of two in doubt the source is at fault.
+    fn record_end(&mut self, ended: &EndedAttempt, stalled: bool, blames_source: bool) {
+        self.inconclusive = stalled || ended.was_withdrawn();
+        if ended.is_expected_miss() {
+            return;
+        }
+        let status = ended.end.cache_status;
+        let excused = ended.succeeded() || status.blames_source() || blames_source;
+        self.endpoint_spent = !excused && !self.inconclusive;
+        self.source_spent = ended.fault.source || blames_source || ended.missed();
+    }
+}
+
 impl Router {
     /// An attempt has ended: its outcome is attributed and recorded, and its request goes on.
     ///
@@ -151,48 +165,37 @@
 
     /// Marks the attempt as ended and attributes its outcome; none where it is not known to be in flight.
     fn settle_attempt(&mut self, end: AttemptEnd, now: Micros) -> Option<EndedAttempt> {
-        let stalled = end.outcome == AttemptOutcome::TimedOut
-            && end.attempt == 0
-            && self.endpoints[end.endpoint].stalls(now);
+        let endpoint = &self.endpoints[end.endpoint];
+        let stalled =
+            end.outcome == AttemptOutcome::TimedOut && end.attempt == 0 && endpoint.stalls(now);
         let pending = self.requests.get_mut(&end.id)?;
-        let request = pending.request;
-        let request_answered = pending.answered;
         let attempt = pending.attempts.get_mut(usize::from(end.attempt));
         let attempt = attempt.filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.may_have_run = end.outcome.may_have_run();
         let complete_status = self.settings.complete_cache_status;
         let has_source = attempt.source.is_some();
-        let fault = Fault::attribute(end.outcome, end.cache_status, has_source, complete_status);
-        // In doubt the one that fails more is left alone next time, and the other tried again.
-        let suspected =
-            |index: EndpointIndex| self.endpoints[index].health.suspected_failure_rate(now);
-        let source_is_worse = attempt
-            .source
-            .is_some_and(|source| suspected(source) > suspected(end.endpoint));
-        let class = &self.classes[request.class];
-        let expected_work = class.expected_work(&request, &self.settings);
-        let mut ended = EndedAttempt {
+        let class = &self.classes[pending.request.class];
+        let ended = EndedAttempt {
             attempt: *attempt,
-            request,
-            fault,
-            request_answered,
+            request: pending.request,
+            fault: Fault::attribute(end.outcome, end.cache_status, has_source, complete_status),
+            request_answered: pending.answered,
             uncacheable: class.settings.uncacheable,
             complete_status,
             latency_objective: class.settings.latency_objective,
-            expected_work,
-            slowdown: self.endpoints[end.endpoint].slowdown(now).max(1.0),
+            expected_work: class.expected_work(&pending.request, &self.settings),
+            slowdown: endpoint.slowdown(now).max(1.0),
             work_done: 0.0,
             end,
         };
-        attempt.inconclusive = stalled || ended.was_withdrawn();
-        let blames_source = fault.unclear && source_is_worse;
-        let at_source = ended.end.cache_status.blames_source();
-        let excused = ended.succeeded() || at_source || blames_source || ended.is_expected_miss();
-        attempt.endpoint_spent = !(excused || attempt.inconclusive);
-        attempt.source_spent =
-            (fault.source || blames_source || ended.missed()) && !ended.is_expected_miss();
-        ended.attempt = *attempt;
+        // In doubt the one that fails more is left alone next time, and the other tried again.
+        let suspected =
+            |index: EndpointIndex| self.endpoints[index].health.suspected_failure_rate(now);
+        let source_is_worse = attempt
+            .source
+            .is_some_and(|source| suspected(source) > suspected(ended.end.endpoint));
+        attempt.record_end(&ended, stalled, ended.fault.unclear && source_is_worse);
         self.record_link_load(&ended.end, now);
         Some(ended)
     }
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -236,14 +236,14 @@
     }
 
     /// Several attempts in a row have had no answer yet.
-    pub(crate) fn owes_answers(&self) -> bool {
+    pub(crate) fn has_unanswered_attempts(&self) -> bool {
         self.unanswered >= UNRESPONSIVE_ATTEMPTS
     }
 
     /// Not reached, or without an answer for so long that it may be gone.
     fn is_unresponsive(&self, now: Micros) -> bool {
         let overdue = now > self.unanswered_since + UNRESPONSIVE_TIME;
-        self.unreached >= UNREACHABLE_ATTEMPTS || (self.owes_answers() && overdue)
+        self.unreached >= UNREACHABLE_ATTEMPTS || (self.has_unanswered_attempts() && overdue)
     }
 
     /// The time for a probe request has come.
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -11,8 +11,8 @@
 
 /// Candidates that fit without an allocation: each request makes some such lists.
 const INLINE_CANDIDATES: usize = 16;
-/// The part that stands for the whole object, where a tier is chosen by the object alone.
-pub(crate) const WHOLE_OBJECT: u64 = 0;
+/// Stands for the part where a tier is chosen by the object alone.
+pub(crate) const ANY_PART: u64 = 0;
 
 /// Endpoints, best first.
 pub(crate) type Candidates = SmallVec<[EndpointIndex; INLINE_CANDIDATES]>;
@@ -40,7 +40,7 @@
 
 impl EndpointTable {
     /// The endpoints of a tier that a request may still use, best first. `part` is the part asked for, or
-    /// [`WHOLE_OBJECT`].
+    /// [`ANY_PART`].
     pub(crate) fn candidates(&self, pending: &PendingRequest, tier: Tier, part: u64) -> Candidates {
         let object = pending.request.object;
         let usable = self
--- a/crates/routing/src/planning.rs
+++ b/crates/routing/src/planning.rs
@@ -9,7 +9,7 @@
 use crate::fill_policy::{FillPolicy, FillQuestion};
 use crate::interface::{Action, EndpointIndex, Fill, Micros};
 use crate::pending_request::{PendingRequest, PlannedAttempt};
-use crate::placement::WHOLE_OBJECT;
+use crate::placement::ANY_PART;
 use crate::request_class::RequestClass;
 use crate::retry::may_start_attempt;
 use crate::router::Router;
@@ -90,9 +90,7 @@
         uncacheable: bool,
         now: Micros,
     ) -> Option<Route> {
-        let origin = self
-            .endpoints
-            .candidates(pending, Tier::Origin, WHOLE_OBJECT);
+        let origin = self.endpoints.candidates(pending, Tier::Origin, ANY_PART);
         let origin = origin.first().copied();
         let straight_to_origin = origin.filter(|_| uncacheable);
         let source =
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -37,8 +37,6 @@
     pub(crate) invalidation_settle_time: Micros,
     /// Position of the zone's link load in load reports (`x1` in `feedback.fields`), if it is reported.
     pub(crate) link_load_field: Option<usize>,
-    /// `guarantees.overload_for_s`: window in which a warming endpoint's load is counted; default 1 s.
-    pub(crate) overload_window: Micros,
     /// Limits of the proxy's answers and attempts.
     pub(crate) limits: LimitSettings,
     cache_slow_start: SlowStartTerms,
@@ -68,8 +66,12 @@
     pub(crate) duration: Micros,
     /// Multiple of the allowed load at which it is overloaded; default 2.
     pub(crate) overload_factor: f64,
+    /// `guarantees.overload_for_s`: window in which its load is counted; default 1 s.
+    pub(crate) overload_window: Micros,
     /// Proxies that send to it.
     pub(crate) proxies: f64,
+    /// Endpoints report their capacity (`weight_kind` is not `off`).
+    pub(crate) weights_reported: bool,
 }
 
 /// Whether a request may run more than once.
@@ -115,6 +117,8 @@
             .text("specifics.report_x1")
             .contains("location's_link");
         let class_count = source.number("classes.count", 0.0) as usize;
+        let uses_weights = source.text("weight_kind") != "off";
+        let overload_window = source.span("guarantees.overload_for_s", 1.0);
         RoutingSettings {
             polls_discovery: source.text("registry_mode") == "on_request",
             proxies: source.number("balancers", 1.0),
@@ -123,7 +127,7 @@
             own_zone: exact_u8(own_zone),
             origin_kind: exact_u8(source.number("specifics.origin_kind", -1.0)),
             parent_kind: exact_u8(source.number("specifics.second_tier_kind", -1.0)),
-            uses_weights: source.text("weight_kind") != "off",
+            uses_weights,
             complete_cache_status: source.text("specifics.says") == "all",
             joins_fills: source.flag("specifics.shares_fills"),
             may_bypass_caches: source.flag("specifics.pass_through_ok"),
@@ -133,19 +137,22 @@
                 .clone()
                 .position(|f| f == "x1")
                 .filter(|_| reports_link),
-            overload_window: source.span("guarantees.overload_for_s", 1.0),
             limits: LimitSettings::read(&source),
             cache_slow_start: SlowStartTerms {
                 initial_fraction: source.number("guarantees.cold_from", 0.05),
                 duration: source.span("guarantees.warm_after_s", 30.0),
                 overload_factor: source.number("guarantees.overload_factor", 2.0),
+                overload_window,
                 proxies: 0.0,
+                weights_reported: uses_weights,
             },
             parent_slow_start: SlowStartTerms {
                 initial_fraction: source.number("specifics.upper_cold_from", 0.05),
                 duration: source.span("specifics.parent_warms_in_s", 30.0),
                 overload_factor: source.number("specifics.parent_fall_multiple", 2.0),
+                overload_window,
                 proxies: source.number("balancers", 1.0),
+                weights_reported: uses_weights,
             },
             classes: (0..=class_count)
                 .map(|class| ClassSettings::read(&source, class))
@@ -242,6 +249,6 @@
 
 /// The number as a `u8`, if it is one.
 fn exact_u8(number: f64) -> Option<u8> {
-    let whole = number.fract() == 0.0 && (0.0..=f64::from(u8::MAX)).contains(&number);
-    whole.then_some(number as u8)
+    let is_integer = number.fract() == 0.0 && (0.0..=f64::from(u8::MAX)).contains(&number);
+    is_integer.then_some(number as u8)
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -32,6 +32,8 @@
     pub(crate) work: f64,
     /// Work per second that an endpoint of the tier gets from this proxy on average, in microseconds.
     pub(crate) tier_rate: f64,
+    /// The endpoint's reported capacity in transfers at once; 1 where none is reported.
+    pub(crate) weight: f64,
 }
 
 impl SlowStart {
@@ -55,15 +57,10 @@
     }
 
     /// Admits a request and counts its work, or refuses it.
-    ///
-    /// `weight` is the endpoint's told capacity in transfers at once; without one (`told_weight` false) one transfer,
-    /// or the tier's rate where that is more.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
         terms: &SlowStartTerms,
-        overload_window: Micros,
-        (weight, told_weight): (f64, bool),
         demand: Demand,
         random: &mut Random,
     ) -> bool {
@@ -71,25 +68,30 @@
         if self.started_at <= 0 || uptime >= terms.duration {
             return true;
         }
-        let missing = 1.0 - terms.initial_fraction;
-        let fraction = terms.initial_fraction + missing * uptime as f64 / terms.duration as f64;
-        let equal_share = weight * SECOND as f64 / terms.proxies.max(1.0);
-        let usual_rate = if told_weight {
-            equal_share
-        } else {
-            demand.tier_rate.max(equal_share)
-        };
-        let rate =
-            terms.overload_factor * fraction * usual_rate * ALLOWANCE_FRACTION / SECOND as f64;
-        let window_work = rate * overload_window as f64;
+        let rate = allowed_rate(terms, demand, uptime);
+        let window_work = rate * terms.overload_window as f64;
         // At least one request; a proxy with a smaller share waits the longer for it.
         let capacity = demand.work.max(window_work * BURST_FRACTION);
         // A random first level, so that the first requests of many proxies come one by one.
         let level = self.level.unwrap_or_else(|| random.fraction() * capacity);
-        let level = (level - rate * (now - self.level_at) as f64).max(0.0);
+        let drained = rate * (now - self.level_at) as f64;
+        let level = (level - drained).max(0.0);
         let fits = level + demand.work <= capacity;
         self.level = Some(if fits { level + demand.work } else { level });
         self.level_at = now;
         fits
     }
 }
+
+/// Work that this proxy may send in each microsecond, in microseconds.
+fn allowed_rate(terms: &SlowStartTerms, demand: Demand, uptime: Micros) -> f64 {
+    let missing = 1.0 - terms.initial_fraction;
+    let fraction = terms.initial_fraction + missing * uptime as f64 / terms.duration as f64;
+    let equal_share = demand.weight * SECOND as f64 / terms.proxies.max(1.0);
+    let usual_rate = if terms.weights_reported {
+        equal_share
+    } else {
+        demand.tier_rate.max(equal_share)
+    };
+    terms.overload_factor * fraction * usual_rate * ALLOWANCE_FRACTION / SECOND as f64
+}
--- a/crates/routing/src/source_selection.rs
+++ b/crates/routing/src/source_selection.rs
@@ -7,7 +7,7 @@
 use crate::estimate::{SmoothedValue, DECAY_TIME};
 use crate::interface::{EndpointIndex, Micros};
 use crate::pending_request::PendingRequest;
-use crate::placement::{Candidates, WHOLE_OBJECT};
+use crate::placement::{Candidates, ANY_PART};
 
 /// Parents that are compared.
 const CHOICES: usize = 2;
@@ -22,7 +22,7 @@
         origin: Option<EndpointIndex>,
         now: Micros,
     ) -> Option<EndpointIndex> {
-        let parents = self.candidates(pending, Tier::Parent, WHOLE_OBJECT);
+        let parents = self.candidates(pending, Tier::Parent, ANY_PART);
         let sound = parents
             .iter()
             .copied()
--- a/crates/routing/src/tail_retention.rs
+++ b/crates/routing/src/tail_retention.rs
@@ -71,10 +71,10 @@
         self.recent_parts
             .insert(now, (object, part), requested_recently);
         let is_tail = f64::from(part) >= TAIL_FRACTION * f64::from(highest + 1);
-        let keep = !is_tail
+        let cacheable = !is_tail
             || requested_recently
             || (part > known && self.is_shared_scan(now, request, settings));
-        let rank = if keep { CACHED } else { UNCACHED };
+        let rank = if cacheable { CACHED } else { UNCACHED };
         Retention {
             rank,
             requested_recently,
