--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -3,7 +3,7 @@
 //! start tag; the tag advances by the expected cost over the weight, and is corrected when the actual cost is known.
 //!
 //! Bound: while two tenants are both backlogged, the costs admitted of them, each over its weight, differ by no more
-//! than the largest cost of each over its weight, and what corrections were still open. See docs/turns.md.
+//! than the largest cost of each over its weight, and what corrections were still open. See docs/admission-control.md.
 
 mod accounting;
 mod classify;
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -158,7 +158,7 @@
         prop_assert!(waits.is_empty());
     }
 
-    /// The bound that docs/turns.md derives: of two tenants that wait throughout, what they were let in for, each over
+    /// The bound that docs/admission-control.md derives: of two tenants that wait throughout, what they were let in for, each over
     /// its weight, differs by no more than the largest cost of each over its weight.
     #[test]
     fn no_tenant_lags_behind_its_share_by_more_than_the_bound(
--- a/crates/benchmarks/src/guard.rs
+++ b/crates/benchmarks/src/guard.rs
@@ -65,7 +65,7 @@
     let told = |e: std::io::Error| format!("{}: {e}", file.display());
     if accept {
         let mut text = String::from(
-            "# What a hit costs; see docs/ordinary-path.md. Written by `measure guard --accept`.\n",
+            "# What a hit costs; see docs/request-cost.md. Written by `measure guard --accept`.\n",
         );
         for (name, value) in &now {
             writeln!(text, "{name}: {value:.3}").map_err(|e| e.to_string())?;
--- a/crates/benchmarks/src/scale/decisions.rs
+++ b/crates/benchmarks/src/scale/decisions.rs
@@ -33,7 +33,7 @@
 const OBJECTS: u64 = 2_000;
 
 const FRONTS: [usize; 6] = [30, 100, 300, 1_000, 2_500, 5_000];
-/// All fronts together, as in docs/cold-ramps.md.
+/// All fronts together, as in docs/slow-start.md.
 const FEW_LOOKUPS: f64 = 150.0;
 /// Lookups a second and front that fall to these caches: as many as there are to six of 660.
 const LOOKUPS_EACH: f64 = target::LOOKUPS_PER_S * CACHES as f64 / target::CACHES;
--- a/crates/event-distribution/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -1,5 +1,5 @@
 //! Distribution of numbered events from one publisher through relays to every subscriber, with proof that they are in
-//! force everywhere. Datagrams and time in, datagrams and outputs out; no I/O and no clock (docs/events.md).
+//! force everywhere. Datagrams and time in, datagrams and outputs out; no I/O and no clock (docs/event-distribution.md).
 //!
 //! - [`publisher::Publisher`] numbers events and knows up to which one they are in force everywhere.
 //! - [`relay::Relay`] follows the publisher, or another relay, and feeds subscribers.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! The membership protocol of the fleet of fronts: which are present, suspected, dead or gone (docs/fleet.md). Datagrams
+//! The membership protocol of the fleet of fronts: which are present, suspected, dead or gone (docs/membership.md). Datagrams
 //! and the time in, datagrams and changes out; no I/O, no clock, and randomness by seed.
 
 #![allow(
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! One front's view of the fleet: a membership protocol without I/O (docs/fleet.md).
+//! One front's view of the fleet: a membership protocol without I/O (docs/membership.md).
 //!
 //! [`View`] takes datagrams and the time and returns [`Act`]s: datagrams to send and [`Change`]s to report. It
 //! follows SWIM, with fixed observers on rings in place of random probe targets. The modules:
