--- a/crates/benchmarks/src/scale/decisions.rs
+++ b/crates/benchmarks/src/scale/decisions.rs
@@ -1,5 +1,5 @@
 //! Many decision modules in one process before one cache that starts anew, or that is dead: what the sum of all fronts
-//! sends there. The same closed model as `crates/routing/tests/cold.rs`, with the traffic of the whole fleet as a parameter.
+//! sends there. The same closed model as `crates/routing/tests/slow_start.rs`, with the traffic of the whole fleet as a parameter.
 
 use super::fit::Point;
 use super::results::{Budget, Method, Role, Slope};
