--- /dev/null
+++ b/crates/event-distribution/tests/deployment/mod.rs
@@ -0,0 +1,459 @@
+//! A publisher, relays and subscribers in one process, with faults drawn by a seed; all that they send and do becomes a
+//! text (`tests/recorded.rs` compares it).
+
+mod random;
+pub(crate) mod text;
+
+use meadowrill_event_distribution::event::{Event, Purge, PurgeKey};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::plan::{
+    Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND,
+};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::Micros;
+use random::Random;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use text::Digest;
+
+pub(crate) const FLEET: u64 = 0x0123_4567_89ab_cdef;
+/// The clock of all nodes begins here, as Unix time.
+pub(crate) const START: Micros = 1_700_000_000 * SECOND;
+const STEP: Micros = 10 * MILLISECOND;
+/// Nothing fails before this.
+const CALM: Micros = 4 * SECOND;
+/// A purge is of one of so many objects, or of one of so many groups.
+const OBJECTS: u64 = 600;
+const GROUPS: u64 = 20;
+const STATUS_EVERY: Micros = SECOND;
+
+/// What one recording is made of.
+pub(crate) struct Deployment {
+    pub seed: u64,
+    pub relays: usize,
+    pub fronts: usize,
+    pub span: Micros,
+    /// Purges at the start, of an object each.
+    pub first_purges: u64,
+    /// Of a thousand datagrams, those lost and those that come twice.
+    pub loss_per_mille: u64,
+    pub twice_per_mille: u64,
+    pub delay_most: Micros,
+    /// Faults in a thousand steps.
+    pub faults_per_mille: u64,
+    /// The publisher's clock goes back by this at a start after the first.
+    pub clock_back: Micros,
+    pub purges_most: usize,
+    pub copy_age: Micros,
+    pub relay_plan: RelayPlan,
+}
+
+impl Deployment {
+    pub(crate) fn new(seed: u64) -> Deployment {
+        Deployment {
+            seed,
+            relays: 3,
+            fronts: 4,
+            span: 30 * SECOND,
+            first_purges: 20,
+            loss_per_mille: 20,
+            twice_per_mille: 10,
+            delay_most: 30 * MILLISECOND,
+            faults_per_mille: 8,
+            clock_back: 0,
+            purges_most: 200_000,
+            copy_age: 2 * SECOND,
+            relay_plan: RelayPlan::default(),
+        }
+    }
+
+    fn plan(&self) -> Plan {
+        let listed = (0..self.relays).map(|node| RelayAddress {
+            name: format!("relay-{node}"),
+            address: address(node),
+            region: format!("region-{}", node % 2),
+            zone: format!("zone-{node}"),
+            publishes: node == 0,
+        });
+        Plan {
+            purges_most: self.purges_most,
+            copy_age: self.copy_age,
+            ..Plan::new(FLEET, listed.collect())
+        }
+    }
+
+    /// The text of a run.
+    pub(crate) fn play(self) -> String {
+        let mut world = World::new(self);
+        while world.now < START + world.deployment.span {
+            world.step();
+        }
+        world.trace
+    }
+}
+
+enum Node {
+    Publisher(Box<Publisher>),
+    Relay(Box<Relay>),
+    Front(Box<Subscriber>),
+}
+
+impl Node {
+    fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
+        match self {
+            Node::Publisher(publisher) => publisher.receive(now, bytes, out),
+            Node::Relay(relay) => relay.receive(now, bytes, out),
+            Node::Front(front) => front.receive(now, bytes, out),
+        }
+    }
+
+    fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+        match self {
+            Node::Publisher(publisher) => publisher.tick(now, out),
+            Node::Relay(relay) => relay.tick(now, out),
+            Node::Front(front) => front.tick(now, out),
+        }
+    }
+
+    fn next_wake(&self) -> Micros {
+        match self {
+            Node::Publisher(publisher) => publisher.next_wake(),
+            Node::Relay(relay) => relay.next_wake(),
+            Node::Front(front) => front.next_wake(),
+        }
+    }
+
+    fn status(&self, now: Micros) -> String {
+        let status = match self {
+            Node::Publisher(publisher) => {
+                let published = text::place(Some(publisher.published()));
+                let feed = text::feed(&publisher.status(now));
+                format!("published {published} {feed}")
+            }
+            Node::Relay(relay) => {
+                let upstream = text::follower(&relay.upstream(now));
+                format!("{} {upstream}", text::feed(&relay.status(now)))
+            }
+            Node::Front(front) => {
+                let copies = text::copy_bound(front.copy_bound(now));
+                format!("{} {copies}", text::follower(&front.status(now)))
+            }
+        };
+        format!("{status} wake {}", self.next_wake() - START)
+    }
+}
+
+/// What a fault does until it is over.
+enum Fault {
+    Killed(usize),
+    Paused(usize),
+    Cut(usize),
+    ServiceAway,
+}
+
+struct World {
+    deployment: Deployment,
+    plan: Plan,
+    now: Micros,
+    random: Random,
+    nodes: Vec<Option<Node>>,
+    /// What came to a node that is paused.
+    waiting: Vec<Option<VecDeque<Vec<u8>>>>,
+    is_cut: Vec<bool>,
+    is_service_away: bool,
+    under_way: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
+    sent: u64,
+    faults: Vec<(Micros, Fault)>,
+    purges: Vec<Purge>,
+    clock_offset: Micros,
+    trace: String,
+}
+
+pub(crate) fn address(node: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, node as u8], 7100))
+}
+
+fn node_of(address: SocketAddr) -> usize {
+    match address {
+        SocketAddr::V4(address) => usize::from(address.ip().octets()[3]),
+        SocketAddr::V6(_) => usize::MAX,
+    }
+}
+
+impl World {
+    fn new(deployment: Deployment) -> World {
+        let nodes = deployment.relays + deployment.fronts;
+        let mut world = World {
+            plan: deployment.plan(),
+            now: START,
+            random: Random::new(deployment.seed),
+            nodes: (0..nodes).map(|_| None).collect(),
+            waiting: vec![None; nodes],
+            is_cut: vec![false; nodes],
+            is_service_away: false,
+            under_way: BTreeMap::new(),
+            sent: 0,
+            faults: Vec::new(),
+            purges: Vec::new(),
+            clock_offset: 0,
+            trace: String::new(),
+            deployment,
+        };
+        (0..nodes).for_each(|node| world.start(node));
+        for object in 0..world.deployment.first_purges {
+            let key = PurgeKey::Object(object);
+            let stamp = START - object as Micros * 1_700;
+            world.publish(Purge { key, stamp });
+        }
+        world
+    }
+
+    fn clock(&self, node: usize) -> Micros {
+        self.now + if node == 0 { self.clock_offset } else { 0 }
+    }
+
+    fn note(&mut self, node: usize, text: &str) {
+        let at = text::milliseconds(self.now - START);
+        self.trace.push_str(&format!("{at} {node} {text}\n"));
+    }
+
+    fn start(&mut self, node: usize) {
+        let now = self.clock(node);
+        let relays = self.deployment.relays;
+        let is_front = node >= relays;
+        let kind = if is_front { "front" } else { "relay" };
+        let me = Identity {
+            name: format!("{kind}-{node}"),
+            incarnation: now as u64,
+            address: address(node),
+            region: format!("region-{}", node % 2),
+            zone: format!("zone-{}", node % relays),
+        };
+        let (plan, seed) = (self.plan.clone(), self.random.next_u64());
+        let relay_plan = self.deployment.relay_plan.clone();
+        let member = match node {
+            0 => Node::Publisher(Box::new(Publisher::new(plan, relay_plan, me, now, seed))),
+            _ if is_front => Node::Front(Box::new(Subscriber::new(plan, me, now, seed))),
+            _ => Node::Relay(Box::new(Relay::new(plan, relay_plan, me, now, seed))),
+        };
+        self.nodes[node] = Some(member);
+        self.note(node, "started");
+        if node == 0 {
+            let again = self.purges.clone();
+            again
+                .into_iter()
+                .for_each(|purge| self.deliver_purge(purge));
+        }
+    }
+
+    fn publish(&mut self, purge: Purge) {
+        self.purges.push(purge);
+        self.deliver_purge(purge);
+    }
+
+    fn deliver_purge(&mut self, purge: Purge) {
+        let now = self.clock(0);
+        if let Some(Node::Publisher(publisher)) = &mut self.nodes[0] {
+            publisher.publish(now, Event::Purge(purge));
+        }
+    }
+
+    fn set_service_away(&mut self, is_away: bool) {
+        self.is_service_away = is_away;
+        let since = is_away.then_some(self.clock(0));
+        if let Some(Node::Publisher(publisher)) = &mut self.nodes[0] {
+            publisher.behind(since);
+        }
+    }
+
+    fn draw_purges(&mut self) {
+        if self.is_service_away || !self.random.per_mille(250) {
+            return;
+        }
+        for _ in 0..1 + self.random.below(3) {
+            let key = if self.random.per_mille(100) {
+                PurgeKey::Group(self.random.below(GROUPS) as u32)
+            } else {
+                PurgeKey::Object(self.random.below(OBJECTS))
+            };
+            let stamp = self.now - self.random.between(0, 20 * MILLISECOND);
+            self.publish(Purge { key, stamp });
+        }
+    }
+
+    fn draw_fault(&mut self) {
+        let share = self.deployment.faults_per_mille;
+        if self.now < START + CALM || !self.random.per_mille(share) {
+            return;
+        }
+        let node = self.random.below(self.nodes.len() as u64) as usize;
+        let until = self.now + self.random.between(100, 5_000) * MILLISECOND;
+        let is_down = self.nodes[node].is_none() || self.waiting[node].is_some();
+        let fault = match self.random.below(6) {
+            0..=2 if !is_down => {
+                self.nodes[node] = None;
+                self.note(node, "killed");
+                Fault::Killed(node)
+            }
+            3 if !is_down => {
+                self.waiting[node] = Some(VecDeque::new());
+                self.note(node, "paused");
+                Fault::Paused(node)
+            }
+            4 => {
+                self.is_cut[node] = true;
+                self.note(node, "cut off");
+                Fault::Cut(node)
+            }
+            5 if !self.is_service_away => {
+                self.set_service_away(true);
+                Fault::ServiceAway
+            }
+            _ => return,
+        };
+        self.faults.push((until, fault));
+    }
+
+    fn end_faults(&mut self) {
+        let now = self.now;
+        let (over, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.faults)
+            .into_iter()
+            .partition(|(until, _)| *until <= now);
+        self.faults = rest;
+        for (_, fault) in over {
+            match fault {
+                Fault::Killed(node) => {
+                    if node == 0 {
+                        self.clock_offset -= self.deployment.clock_back;
+                    }
+                    self.start(node);
+                    if node == 0 && self.is_service_away {
+                        self.set_service_away(true);
+                    }
+                }
+                Fault::Paused(node) => {
+                    let waiting = self.waiting[node].take().unwrap_or_default();
+                    self.note(node, "resumed");
+                    waiting
+                        .into_iter()
+                        .for_each(|bytes| self.receive(node, &bytes));
+                }
+                Fault::Cut(node) => self.is_cut[node] = false,
+                Fault::ServiceAway => self.set_service_away(false),
+            }
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.end_faults();
+        self.draw_fault();
+        self.draw_purges();
+        while let Some(due) = self
+            .under_way
+            .first_entry()
+            .filter(|due| due.key().0 <= self.now)
+        {
+            let (to, bytes) = due.remove();
+            match &mut self.waiting[to] {
+                Some(waiting) => waiting.push_back(bytes),
+                None => self.receive(to, &bytes),
+            }
+        }
+        for node in 0..self.nodes.len() {
+            if self.waiting[node].is_none() {
+                self.wake(node);
+            }
+        }
+        if (self.now - START) % STATUS_EVERY == 0 {
+            self.note_states();
+        }
+    }
+
+    fn receive(&mut self, node: usize, bytes: &[u8]) {
+        let now = self.clock(node);
+        let mut out = Vec::new();
+        if let Some(member) = &mut self.nodes[node] {
+            member.receive(now, bytes, &mut out);
+        }
+        self.carry_out(node, out);
+    }
+
+    fn wake(&mut self, node: usize) {
+        let now = self.clock(node);
+        let mut out = Vec::new();
+        if let Some(member) = self.nodes[node]
+            .as_mut()
+            .filter(|one| one.next_wake() <= now)
+        {
+            member.tick(now, &mut out);
+        }
+        self.carry_out(node, out);
+    }
+
+    fn note_states(&mut self) {
+        for node in 0..self.nodes.len() {
+            let now = self.clock(node);
+            if let Some(status) = self.nodes[node].as_ref().map(|member| member.status(now)) {
+                self.note(node, &status);
+            }
+        }
+    }
+
+    /// The outputs of one call become a line of all datagrams, one of all events, and one of each other output.
+    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+        let (mut sent, mut length, mut datagrams) = (0, 0, Digest::new());
+        let (mut applied, mut events) = (0, Digest::new());
+        let (mut finished, mut in_force) = (0, Digest::new());
+        for output in out {
+            match output {
+                Output::Send { to, bytes } => {
+                    (sent, length) = (sent + 1, length + bytes.len());
+                    datagrams.add(to.to_string().as_bytes());
+                    datagrams.add(&bytes);
+                    self.send(node, node_of(to), bytes);
+                }
+                Output::Apply(event) => {
+                    applied += 1;
+                    // What is applied between two datagrams stands there in the digest as well.
+                    datagrams.add(b"applied");
+                    events.add(text::event(event).as_bytes());
+                }
+                Output::InForce { event, took } => {
+                    finished += 1;
+                    in_force.add(format!("{} {took}", text::event(event)).as_bytes());
+                }
+                Output::Notice(notice) => self.note(node, &text::notice(&notice)),
+            }
+        }
+        for (what, count, digest) in [
+            (format!("sent {length} bytes in"), sent, datagrams),
+            ("applied".into(), applied, events),
+            ("in force".into(), finished, in_force),
+        ] {
+            if count > 0 {
+                self.note(node, &format!("{what} {count} {}", digest.hex()));
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let is_lost = self.random.per_mille(self.deployment.loss_per_mille);
+        if to >= self.nodes.len() || is_lost || self.is_cut[from] != self.is_cut[to] {
+            return;
+        }
+        if self.random.per_mille(self.deployment.twice_per_mille) {
+            self.post(to, bytes.clone());
+        }
+        self.post(to, bytes);
+    }
+
+    fn post(&mut self, to: usize, bytes: Vec<u8>) {
+        let delay = self.random.between(200, self.deployment.delay_most);
+        self.sent += 1;
+        self.under_way
+            .insert((self.now + delay, self.sent), (to, bytes));
+    }
+}
--- /dev/null
+++ b/crates/event-distribution/tests/recorded.rs
@@ -0,0 +1,363 @@
+//! What members send and do does not change: drawn schedules of faults, and the forms on the wire, compared with recordings.
+//!
+//! A trace has a line for each call of a node: the time in milliseconds, the node (0 publishes, then come the other relays,
+//! then the subscribers), and the number, length and digest of the datagrams, the events applied and those in force; then
+//! a line of each node's state a second. `RECORD_TRACES=1` writes them anew.
+
+mod deployment;
+
+use deployment::{address, text, Deployment, FLEET, START};
+use meadowrill_event_distribution::event::{Event, Purge, PurgeKey};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::plan::{
+    Identity, Plan, RelayAddress, RelayPlan, MILLISECOND, SECOND,
+};
+use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::subscriber::Subscriber;
+use meadowrill_event_distribution::wire::{
+    self, Batch, Body, Busy, Grant, Heartbeat, Packer, Place, SnapshotPart, SnapshotPlace,
+};
+use std::path::PathBuf;
+
+/// Compares a text with its recording, byte for byte; the first line that differs is shown.
+fn assert_recorded(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/recordings")
+        .join(name);
+    if std::env::var_os("RECORD_TRACES").is_some() {
+        std::fs::write(&path, text).expect("the recording is written");
+        return;
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the recording is read");
+    if recorded == text {
+        return;
+    }
+    let (mut was, mut is) = (recorded.lines(), text.lines());
+    for line in 1.. {
+        let (was, is) = (was.next(), is.next());
+        assert_eq!(was, is, "{name}: line {line} (left: recorded)");
+        assert!(was.is_some(), "{name}: differs at the end of a line");
+    }
+}
+
+#[test]
+fn a_small_window_and_many_snapshots_are_as_recorded() {
+    let small = Deployment {
+        relay_plan: RelayPlan {
+            window_bytes: 2_000,
+            ..RelayPlan::default()
+        },
+        first_purges: 700,
+        ..Deployment::new(71)
+    };
+    assert_recorded("small_window.trace", &small.play());
+}
+
+#[test]
+fn a_bound_on_purges_that_is_reached_is_as_recorded() {
+    let few = Deployment {
+        purges_most: 60,
+        copy_age: SECOND,
+        loss_per_mille: 60,
+        ..Deployment::new(72)
+    };
+    assert_recorded("few_purges.trace", &few.play());
+}
+
+#[test]
+fn large_snapshots_within_a_budget_are_as_recorded() {
+    let large = Deployment {
+        first_purges: 4_000,
+        delay_most: 60 * MILLISECOND,
+        span: 25 * SECOND,
+        relay_plan: RelayPlan {
+            window_bytes: 3_000,
+            snapshot_bytes_per_s: 90_000,
+            ..RelayPlan::default()
+        },
+        ..Deployment::new(73)
+    };
+    assert_recorded("large_snapshot.trace", &large.play());
+}
+
+#[test]
+fn relays_without_room_are_as_recorded() {
+    let crowded = Deployment {
+        relays: 4,
+        fronts: 6,
+        faults_per_mille: 12,
+        relay_plan: RelayPlan {
+            subscribers_most: 4,
+            joins_per_s: 1,
+            ..RelayPlan::default()
+        },
+        ..Deployment::new(74)
+    };
+    assert_recorded("crowded_relays.trace", &crowded.play());
+}
+
+#[test]
+fn a_publisher_whose_clock_goes_back_is_as_recorded() {
+    let back = Deployment {
+        fronts: 3,
+        faults_per_mille: 15,
+        clock_back: 3_600 * SECOND,
+        ..Deployment::new(75)
+    };
+    assert_recorded("clock_back.trace", &back.play());
+}
+
+#[test]
+fn many_faults_at_once_are_as_recorded() {
+    let faulty = Deployment {
+        relays: 5,
+        span: 40 * SECOND,
+        loss_per_mille: 100,
+        twice_per_mille: 50,
+        faults_per_mille: 25,
+        ..Deployment::new(76)
+    };
+    assert_recorded("many_faults.trace", &faulty.play());
+}
+
+/// Long enough to return to the preferred relay.
+#[test]
+fn rare_faults_over_a_long_time_are_as_recorded() {
+    let calm = Deployment {
+        fronts: 3,
+        span: 80 * SECOND,
+        loss_per_mille: 0,
+        faults_per_mille: 2,
+        ..Deployment::new(77)
+    };
+    assert_recorded("rare_faults.trace", &calm.play());
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    (0..hex.len() / 2)
+        .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).expect("hex digits"))
+        .collect()
+}
+
+fn purges() -> [Event; 4] {
+    let purge = |key, stamp| Event::Purge(Purge { key, stamp });
+    [
+        purge(PurgeKey::Object(0x0102_0304_0506_0708), START + 1_500),
+        purge(PurgeKey::Group(77), START - 3 * SECOND),
+        purge(PurgeKey::Object(u64::MAX), -5 * SECOND),
+        purge(PurgeKey::Group(u32::MAX), START),
+    ]
+}
+
+fn packed(events: &[Event]) -> Vec<u8> {
+    let mut packer = Packer::default();
+    assert!(events.iter().all(|event| packer.push(event)));
+    packer.finish()
+}
+
+fn full_heartbeat() -> Heartbeat {
+    Heartbeat {
+        name: "relay-3".into(),
+        incarnation: START as u64,
+        address: "10.0.0.3:7100".into(),
+        request: 1_234,
+        at: Some(Place {
+            epoch: START as u64,
+            position: 900,
+        }),
+        acknowledged: Some(Place {
+            epoch: START as u64,
+            position: 890,
+        }),
+        gap: true,
+        cursor: Some(SnapshotPlace::of((START - 1, PurgeKey::Object(9)))),
+        snapshot: true,
+        later_epoch: START as u64 + 5,
+    }
+}
+
+fn full_batch() -> Batch {
+    Batch {
+        epoch: START as u64,
+        first: 900,
+        head: 905,
+        events: packed(&purges()),
+        grant: Some(Grant {
+            request: 1_234,
+            lease_us: 1_600_000,
+            hops: 1,
+        }),
+        follows: Some(Place {
+            epoch: START as u64 - 7,
+            position: 40,
+        }),
+        age_ms: 250,
+    }
+}
+
+fn full_part() -> SnapshotPart {
+    SnapshotPart {
+        at: Some(Place {
+            epoch: START as u64,
+            position: 905,
+        }),
+        after: Some(SnapshotPlace::of((START - 9, PurgeKey::Group(4)))),
+        next: Some(SnapshotPlace::of((START + 2_000, PurgeKey::Object(9)))),
+        events: packed(&purges()),
+        floor: Some(START - 600 * SECOND),
+        paused: true,
+        request: 1_235,
+    }
+}
+
+/// A message of each kind, with all of its fields and with few.
+fn messages() -> Vec<(&'static str, Body)> {
+    let first_heartbeat = Heartbeat {
+        name: "front-9".into(),
+        incarnation: 1,
+        address: "10.0.0.9:7100".into(),
+        request: 1,
+        ..Heartbeat::default()
+    };
+    let refused = Batch {
+        epoch: 5,
+        first: 7,
+        head: 7,
+        grant: Some(Grant::default()),
+        ..Batch::default()
+    };
+    let empty_part = SnapshotPart {
+        at: Some(Place {
+            epoch: 5,
+            position: 0,
+        }),
+        ..SnapshotPart::default()
+    };
+    let busy = |full| Busy {
+        request: 1_236,
+        retry_ms: 640,
+        full,
+    };
+    vec![
+        ("heartbeat, all fields", Body::Heartbeat(full_heartbeat())),
+        ("heartbeat, the first", Body::Heartbeat(first_heartbeat)),
+        ("batch, all fields", Body::Batch(full_batch())),
+        ("batch, no lease", Body::Batch(refused)),
+        ("part, all fields", Body::SnapshotPart(full_part())),
+        ("part, without purges", Body::SnapshotPart(empty_part)),
+        ("busy, full", Body::Busy(busy(true))),
+        ("busy, later", Body::Busy(busy(false))),
+    ]
+}
+
+#[test]
+fn recorded_messages_are_read_and_written_alike() {
+    let text: String = messages()
+        .into_iter()
+        .map(|(name, body)| format!("{name}: {}\n", hex(&wire::write(FLEET, body))))
+        .collect();
+    assert_recorded("messages.hex", &text);
+    for (line, (name, body)) in text.lines().zip(messages()) {
+        let (recorded, bytes) = line.split_once(": ").expect("a name and a message");
+        assert_eq!(recorded, name);
+        assert_eq!(wire::read(FLEET, &bytes_of(bytes)), Ok(body), "{name}");
+    }
+    assert_eq!(
+        wire::unpack(&full_batch().events).map(|all| all.len()),
+        Ok(4)
+    );
+    let read = wire::unpack(&full_batch().events).expect("the events are read");
+    let read: String = read
+        .into_iter()
+        .map(|event| text::event(event) + "\n")
+        .collect();
+    assert_recorded("events.txt", &read);
+}
+
+/// A front and a publisher with 2,500 purges.
+fn front_and_publisher() -> (Subscriber, Publisher) {
+    let relay = RelayAddress {
+        name: "relay-0".into(),
+        address: address(0),
+        region: "region".into(),
+        zone: "zone".into(),
+        publishes: true,
+    };
+    let plan = Plan::new(FLEET, vec![relay]);
+    let identity = |name: &str, node| Identity {
+        name: name.into(),
+        incarnation: 1,
+        address: address(node),
+        region: "region".into(),
+        zone: "zone".into(),
+    };
+    let me = identity("relay-0", 0);
+    let mut publisher = Publisher::new(plan.clone(), RelayPlan::default(), me, START, 1);
+    for number in 0..2_500_u64 {
+        let key = match number % 7 {
+            0 => PurgeKey::Group(number as u32),
+            _ => PurgeKey::Object(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        };
+        let stamp = START - (number % 90) as i64 * 111_111;
+        publisher.publish(START, Event::Purge(Purge { key, stamp }));
+    }
+    publisher.tick(START, &mut Vec::new());
+    let front = Subscriber::new(plan, identity("front-9", 9), START, 1);
+    (front, publisher)
+}
+
+fn datagrams(out: &[Output]) -> Vec<Vec<u8>> {
+    let sent = out.iter().filter_map(|output| match output {
+        Output::Send { bytes, .. } => Some(bytes.clone()),
+        _ => None,
+    });
+    sent.collect()
+}
+
+/// All datagrams of a snapshot are written as recorded, and the recorded ones bring a front to the same state.
+#[test]
+fn a_recorded_snapshot_is_written_and_read_alike() {
+    let (mut front, mut publisher) = front_and_publisher();
+    let mut written = String::new();
+    let mut now = START;
+    while front.position().is_none() {
+        now += 10 * MILLISECOND;
+        let mut asked = Vec::new();
+        front.tick(now, &mut asked);
+        let mut answers = Vec::new();
+        for bytes in datagrams(&asked) {
+            written += &format!("front {}\n", hex(&bytes));
+            publisher.receive(now, &bytes, &mut answers);
+        }
+        for bytes in datagrams(&answers) {
+            written += &format!("relay {}\n", hex(&bytes));
+            front.receive(now, &bytes, &mut Vec::new());
+        }
+        assert!(now < START + SECOND, "the snapshot does not end");
+    }
+    assert_recorded("snapshot.hex", &written);
+    let (mut front, _) = front_and_publisher();
+    let mut outputs = String::new();
+    for line in written.lines() {
+        let (from, bytes) = line.split_once(' ').expect("a sender and a datagram");
+        let mut out = Vec::new();
+        match from {
+            "front" => front.tick(now, &mut out),
+            _ => front.receive(now, &bytes_of(bytes), &mut out),
+        }
+        for output in out {
+            match output {
+                Output::Send { bytes, .. } => outputs += &format!("sends {}\n", hex(&bytes)),
+                Output::Apply(event) => outputs += &format!("applies {}\n", text::event(event)),
+                Output::Notice(notice) => outputs += &format!("{}\n", text::notice(&notice)),
+                Output::InForce { .. } => outputs += "in force\n",
+            }
+        }
+    }
+    outputs += &text::follower(&front.status(now));
+    assert_recorded("snapshot.txt", &outputs);
+}
