--- a/crates/event-distribution/src/budget.rs
+++ b/crates/event-distribution/src/budget.rs
@@ -1,6 +1,6 @@
 //! A token bucket: so many a second, and one second's worth at once.
 
-use crate::plan::SECOND;
+use crate::settings::SECOND;
 use crate::Micros;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/event-distribution/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -1,12 +1,14 @@
 //! The feeding side of a relay or a publisher: subscribers, the batches and snapshots they get, and their leases.
 
 use crate::budget::Budget;
+use crate::counters::{Counters, RejectReason};
 use crate::event::{Epoch, Event, LogPosition, Position};
 use crate::leases::{Holder, Leases};
 use crate::log::{EventLog, Next};
-use crate::output::{Counters, FedStatus, FeedStatus, Notice, Output, Rejected};
-use crate::plan::{Plan, RelayPlan, MILLISECOND};
+use crate::output::{Notice, Output};
 use crate::purges::Cursor;
+use crate::settings::{DistributionSettings, RelayLimits, MILLISECOND};
+use crate::status::{DistributorStatus, LaggingSubscriber};
 use crate::wire::{self, Batch, Body, Busy, Grant, Heartbeat, Packer, SnapshotPart, SnapshotPlace};
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -53,8 +55,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Distributor {
-    plan: Plan,
-    relay: RelayPlan,
+    plan: DistributionSettings,
+    relay: RelayLimits,
     subscriptions: BTreeMap<String, Subscription>,
     leases: Leases,
     joins: Budget,
@@ -63,10 +65,10 @@
 }
 
 impl Distributor {
-    pub fn new(plan: Plan, relay: RelayPlan, now: Micros) -> Distributor {
+    pub fn new(plan: DistributionSettings, relay: RelayLimits, now: Micros) -> Distributor {
         Distributor {
-            joins: Budget::new(relay.joins_per_s, now),
-            snapshot_bytes: Budget::new(relay.snapshot_bytes_per_s, now),
+            joins: Budget::new(relay.joins_per_second, now),
+            snapshot_bytes: Budget::new(relay.snapshot_bytes_per_second, now),
             plan,
             relay,
             subscriptions: BTreeMap::new(),
@@ -79,7 +81,7 @@
     /// no lease from now on. Those that wait for their first lease and do not lag are not put behind by it: else none
     /// would come up with a log that grows with each batch.
     pub fn report(&mut self, now: Micros, log: &EventLog, own: LogPosition) -> LogPosition {
-        let due = log.reached_by(now - self.plan.lag_most);
+        let due = log.reached_by(now - self.plan.max_lag);
         let waiting = self
             .subscriptions
             .values()
@@ -104,8 +106,11 @@
         heartbeat: Heartbeat,
         supply: &Supply,
         out: &mut Vec<Output>,
-    ) -> Result<Option<Epoch>, Rejected> {
-        let address: SocketAddr = heartbeat.address.parse().map_err(|_| Rejected::Bounds)?;
+    ) -> Result<Option<Epoch>, RejectReason> {
+        let address: SocketAddr = heartbeat
+            .address
+            .parse()
+            .map_err(|_| RejectReason::OutOfBounds)?;
         let Some(head) = supply.log.position() else {
             self.refuse(&heartbeat, address, false, out);
             return Ok(None);
@@ -121,10 +126,10 @@
         if at.is_some_and(|at| at.epoch == head.epoch && at.position > head.position) {
             // It is ahead of a relay that lags; of a publisher nobody is. Nothing of it is believed, or leased to it.
             self.answer_without_lease(&heartbeat, address, head, supply.hops, out);
-            return Err(Rejected::Future);
+            return Err(RejectReason::AheadOfLog);
         }
         subscription.renew(now, &heartbeat, address)?;
-        self.counters.resent += u64::from(heartbeat.gap);
+        self.counters.resend_requests += u64::from(heartbeat.gap);
         let holder = Holder {
             name: heartbeat.name.clone(),
             incarnation: heartbeat.incarnation,
@@ -171,10 +176,10 @@
         heartbeat: &Heartbeat,
         address: SocketAddr,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
-        if self.subscriptions.len() >= self.relay.subscribers_most {
+    ) -> Result<(), RejectReason> {
+        if self.subscriptions.len() >= self.relay.max_subscribers {
             self.refuse(heartbeat, address, true, out);
-            return Err(Rejected::Full);
+            return Err(RejectReason::Full);
         }
         if !self.joins.take(now, 1) {
             self.refuse(heartbeat, address, false, out);
@@ -278,7 +283,7 @@
             }
             let waited = subscription
                 .unanswered_since
-                .is_some_and(|since| now >= since + self.plan.batch / 2);
+                .is_some_and(|since| now >= since + self.plan.batch_interval / 2);
             if !sent_any && waited {
                 let grant = self.grant(now, name, &mut subscription, supply);
                 let place = subscription.sent.filter(|sent| sent.epoch == head.epoch);
@@ -302,7 +307,7 @@
         supply: &Supply,
     ) -> Option<Grant> {
         subscription.unanswered_since.take()?;
-        let span = supply.lease.min(self.plan.lease);
+        let span = supply.lease.min(self.plan.lease_duration);
         let admitted = span > 0 && self.is_far_enough(now, subscription, supply.log);
         let lease = if admitted { span } else { 0 };
         if let Some(acknowledged) = subscription.acknowledged.filter(|_| admitted) {
@@ -329,69 +334,80 @@
             log.next_after(at),
             Next::Batch { .. } | Next::UpToDate | Next::Epoch { .. }
         );
-        let due = log.reached_by(now - self.plan.lag_most);
+        let due = log.reached_by(now - self.plan.max_lag);
         known && due.is_none_or(|due| at >= due) && self.leases.admits(acknowledged)
     }
 
     /// Drops leases that are over, and subscribers that have gone.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         for holder in self.leases.expire(now) {
-            self.counters.lapses += 1;
-            out.push(Output::Notice(Notice::SubscriberLate { name: holder.name }));
+            self.counters.expired_leases += 1;
+            out.push(Output::Notice(Notice::SubscriberLeaseExpired {
+                name: holder.name,
+            }));
         }
-        let patience = FORGET_AFTER_LEASES * self.plan.lease;
+        let patience = FORGET_AFTER_LEASES * self.plan.lease_duration;
         self.subscriptions
             .retain(|_, subscription| now < subscription.heard + patience);
     }
 
     fn send(&mut self, to: SocketAddr, body: Body, out: &mut Vec<Output>) {
-        let bytes = wire::write(self.plan.fleet, body);
-        self.counters.sent += 1;
-        self.counters.sent_bytes += bytes.len() as u64;
+        let bytes = wire::encode(self.plan.fleet, body);
+        self.counters.record_sent(bytes.len());
         out.push(Output::Send { to, bytes });
     }
 
-    pub fn status(&self, now: Micros, log: &EventLog, done: Option<LogPosition>) -> FeedStatus {
+    pub fn status(
+        &self,
+        now: Micros,
+        log: &EventLog,
+        done: Option<LogPosition>,
+    ) -> DistributorStatus {
         let head = log.position().unwrap_or_default();
-        let mut late: Vec<FedStatus> = self
+        let mut late: Vec<LaggingSubscriber> = self
             .subscriptions
             .iter()
             .map(|(name, subscription)| self.fed_status(now, name, subscription))
             .filter(|fed| {
-                fed.lease_left.is_none()
-                    || fed.acknowledged < log.reached_by(now - self.plan.lag_most)
+                fed.lease_remaining.is_none()
+                    || fed.acknowledged < log.reached_by(now - self.plan.max_lag)
             })
             .collect();
-        late.sort_by_key(|fed| fed.heard_ago);
+        late.sort_by_key(|fed| fed.since_heartbeat);
         late.truncate(LATE_MOST);
-        FeedStatus {
+        DistributorStatus {
             head,
             acknowledged: self.leases.least(head),
-            done,
+            in_force: done,
             subscribers: self.subscriptions.len(),
-            leased: self.leases.len(),
-            late,
+            leases: self.leases.len(),
+            lagging: late,
             purges: log.purges.len(),
-            floor: log.purges.floor(),
+            purge_floor: log.purges.floor(),
             window_bytes: log.window_bytes(),
             counters: self.counters.clone(),
         }
     }
 
-    fn fed_status(&self, now: Micros, name: &str, subscription: &Subscription) -> FedStatus {
+    fn fed_status(
+        &self,
+        now: Micros,
+        name: &str,
+        subscription: &Subscription,
+    ) -> LaggingSubscriber {
         let holder = Holder {
             name: name.into(),
             incarnation: subscription.incarnation,
         };
-        FedStatus {
+        LaggingSubscriber {
             name: name.into(),
             acknowledged: subscription.acknowledged,
-            lease_left: self
+            lease_remaining: self
                 .leases
                 .until(&holder)
                 .map(|until| until - now)
                 .filter(|left| *left > 0),
-            heard_ago: now - subscription.heard,
+            since_heartbeat: now - subscription.heard,
         }
     }
 }
@@ -403,9 +419,9 @@
         now: Micros,
         heartbeat: &Heartbeat,
         address: SocketAddr,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         if heartbeat.incarnation < self.incarnation {
-            return Err(Rejected::OldIncarnation);
+            return Err(RejectReason::OldIncarnation);
         }
         if heartbeat.incarnation > self.incarnation {
             (self.incarnation, self.request) = (heartbeat.incarnation, 0);
@@ -413,11 +429,11 @@
         }
         if heartbeat.request <= self.request {
             // A copy of an earlier one, or overtaken on the way.
-            return Err(Rejected::Unexpected);
+            return Err(RejectReason::Unexpected);
         }
         let at = heartbeat.at.map(LogPosition::from);
         if at < self.at {
-            return Err(Rejected::Backwards);
+            return Err(RejectReason::PositionRegressed);
         }
         (self.request, self.heard, self.address) = (heartbeat.request, now, address);
         self.at = at;
@@ -433,8 +449,8 @@
         Ok(())
     }
 
-    fn is_live(&self, now: Micros, plan: &Plan) -> bool {
-        self.at.is_some() && now < self.heard + plan.lease
+    fn is_live(&self, now: Micros, plan: &DistributionSettings) -> bool {
+        self.at.is_some() && now < self.heard + plan.lease_duration
     }
 
     /// What is to be sent to it next, taken as sent.
@@ -526,7 +542,7 @@
             more = true;
             break;
         }
-        last = Some((purge.stamp, purge.key));
+        last = Some((purge.timestamp, purge.key));
     }
     SnapshotPart {
         at: log.position().map(Into::into),
@@ -540,6 +556,6 @@
 }
 
 /// How long a lease of `left` may be handed on, so that it ends before this member's own by any clock.
-pub fn lease_to_hand_on(plan: &Plan, left: Micros) -> Micros {
-    (left - left * plan.drift_per_mille / 1000 - MILLISECOND).max(0)
+pub fn lease_to_hand_on(plan: &DistributionSettings, left: Micros) -> Micros {
+    (left - left * plan.clock_drift_per_mille / 1000 - MILLISECOND).max(0)
 }
--- a/crates/event-distribution/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -13,6 +13,7 @@
 )]
 
 mod budget;
+pub mod counters;
 pub mod distributor;
 mod early;
 pub mod event;
@@ -20,14 +21,14 @@
 pub mod leases;
 pub mod log;
 pub mod output;
-pub mod plan;
 pub mod publisher;
 pub mod purges;
 pub mod relay;
+pub mod settings;
+pub mod status;
 pub mod subscriber;
+pub mod time;
 pub mod wire;
 
-/// A moment or a span, in whole microseconds. Moments are of the local clock, which only moves forward.
-pub type Micros = i64;
-
 pub use meadowrill_membership::mutant;
+pub use time::Micros;
--- a/crates/event-distribution/src/log.rs
+++ b/crates/event-distribution/src/log.rs
@@ -172,7 +172,7 @@
         }
         let rest = &events[skip.min(events.len())..];
         let mut packer = Packer::default();
-        // They fitted with more before them; differences to the first stamp may take a few bytes more than the limit
+        // They fitted with more before them; differences to the first timestamp may take a few bytes more than the limit
         // of one datagram, so what does not fit waits for the next batch.
         let fitted = rest.iter().take_while(|event| packer.push(event)).count();
         self.append(now, &rest[..fitted], packer.finish())
--- a/crates/event-distribution/src/publisher.rs
+++ b/crates/event-distribution/src/publisher.rs
@@ -1,16 +1,18 @@
 //! The publisher: numbers events, and knows up to which one they are in force everywhere.
 //!
 //! An event is in force everywhere once all that hold a lease have applied it, and it was published so long ago that
-//! those without a lease serve no copy from before it ([`Plan::copy_age`]).
+//! those without a lease serve no copy from before it ([`DistributionSettings::max_copy_age`]).
 
+use crate::counters::RejectReason;
 use crate::distributor::{Distributor, Supply};
 use crate::event::{Epoch, Event, LogPosition, Position};
 use crate::log::EventLog;
-use crate::output::{FeedStatus, Notice, Output, Rejected};
-use crate::plan::{Identity, Plan, RelayPlan, SECOND};
+use crate::output::{Notice, Output};
 use crate::purges::PurgeSet;
+use crate::settings::{DistributionSettings, Identity, RelayLimits, SECOND};
+use crate::status::DistributorStatus;
 use crate::subscriber::{Role, Subscriber};
-use crate::wire::{self, Body, Packer, EPOCH_MOST};
+use crate::wire::{self, Body, Packer};
 use crate::{mutant, Micros};
 use std::collections::VecDeque;
 
@@ -51,7 +53,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
-    plan: Plan,
+    plan: DistributionSettings,
     /// Fetches what still binds from other relays, at the start only.
     recovery: Option<Subscriber>,
     recovery_until: Micros,
@@ -75,11 +77,17 @@
 }
 
 impl Publisher {
-    pub fn new(plan: Plan, relay: RelayPlan, me: Identity, now: Micros, seed: u64) -> Publisher {
+    pub fn new(
+        plan: DistributionSettings,
+        relay: RelayLimits,
+        me: Identity,
+        now: Micros,
+        seed: u64,
+    ) -> Publisher {
         let alone = plan.relays.iter().all(|other| other.name == me.name);
         let recovery =
             (!alone).then(|| Subscriber::with_role(plan.clone(), me, Role::Relay, 0, now, seed));
-        let purges = PurgeSet::new(plan.purges_most, plan.keep);
+        let purges = PurgeSet::new(plan.max_purges, plan.purge_retention);
         let mut publisher = Publisher {
             recovery,
             recovery_until: now + RECOVERY_MOST,
@@ -104,7 +112,7 @@
 
     /// A new epoch, larger than any that was heard of.
     fn begin(&mut self, now: Micros, follows: Option<LogPosition>) {
-        let clock = Epoch((now.max(0) as u64).min(EPOCH_MOST.0));
+        let clock = Epoch((now.max(0) as u64).min(Epoch::MAX.0));
         let epoch = follows.map_or(clock, |at| clock.max(self.epoch_behind(at.epoch)));
         self.log.begin(epoch, follows);
         self.done = LogPosition { epoch, position: 0 };
@@ -117,7 +125,7 @@
 
     pub fn publish(&mut self, now: Micros, event: Event) {
         self.pending.push(Pending { event, told: now });
-        if self.pending.len() < self.plan.purges_most {
+        if self.pending.len() < self.plan.max_purges {
             return;
         }
         // More than is kept does not wait: the next tick goes on without what others know.
@@ -129,7 +137,7 @@
 
     /// The service that tells events may have kept some back since then; none: it has told all. To be called before the
     /// first tick, unless all was told by then: until it has, no lease is granted.
-    pub fn behind(&mut self, since: Option<Micros>) {
+    pub fn set_behind_since(&mut self, since: Option<Micros>) {
         self.behind = since;
     }
 
@@ -151,10 +159,8 @@
     }
 
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
-        let counters = &mut self.distributor.counters;
-        counters.received += 1;
-        counters.received_bytes += bytes.len() as u64;
-        match wire::read(self.plan.fleet, bytes) {
+        self.distributor.counters.record_received(bytes.len());
+        match wire::decode(self.plan.fleet, bytes) {
             Ok(Body::Heartbeat(heartbeat)) => {
                 let supply = self.supply_lease(now);
                 let supply = Supply {
@@ -167,7 +173,7 @@
             }
             Ok(body) => match &mut self.recovery {
                 Some(recovery) => recovery.receive_body(now, body, bytes.len(), out),
-                None => self.distributor.counters.reject(Rejected::Unexpected),
+                None => self.distributor.counters.reject(RejectReason::Unexpected),
             },
             Err(why) => self.distributor.counters.reject(why),
         }
@@ -177,14 +183,14 @@
     fn answer(
         &mut self,
         now: Micros,
-        heard: Result<Option<Epoch>, Rejected>,
+        heard: Result<Option<Epoch>, RejectReason>,
         out: &mut Vec<Output>,
     ) {
         match heard {
             Ok(None) => {}
             // Somebody has followed a later publisher than this one thought to be: its clock stepped back.
-            Ok(Some(later)) if later >= EPOCH_MOST => {
-                self.distributor.counters.reject(Rejected::Future)
+            Ok(Some(later)) if later >= Epoch::MAX => {
+                self.distributor.counters.reject(RejectReason::AheadOfLog)
             }
             Ok(Some(later)) if self.recovery.is_none() => {
                 let at = LogPosition {
@@ -195,7 +201,7 @@
                 // copies from before now are too old: `done` stays where it is.
                 self.log.begin(at.epoch, None);
                 self.started = now;
-                out.push(Output::Notice(Notice::NewEpoch { at }));
+                out.push(Output::Notice(Notice::EpochStarted { position: at }));
             }
             Ok(Some(_)) => {}
             Err(why) => self.distributor.counters.reject(why),
@@ -207,7 +213,7 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let is_room = self.pending.len() < self.plan.purges_most;
+        let is_room = self.pending.len() < self.plan.max_purges;
         if let Some(fetched_at) = recovery.fetched_at().filter(|_| is_room) {
             let until = (fetched_at + RECOVERY_MOST).min(self.started + RECOVERY_LONGEST);
             self.recovery_until = self.recovery_until.max(until);
@@ -218,11 +224,13 @@
             return;
         }
         // What a broken-off snapshot brought counts as well.
-        let purges = PurgeSet::new(self.plan.purges_most, self.plan.keep);
+        let purges = PurgeSet::new(self.plan.max_purges, self.plan.purge_retention);
         self.log.purges = std::mem::replace(&mut recovery.log.purges, purges);
         self.recovery = None;
         self.begin(now, found);
-        out.push(Output::Notice(Notice::NewEpoch { at: self.done }));
+        out.push(Output::Notice(Notice::EpochStarted {
+            position: self.done,
+        }));
     }
 
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
@@ -235,7 +243,7 @@
         if now < self.next_batch {
             return;
         }
-        self.next_batch = now + self.plan.batch;
+        self.next_batch = now + self.plan.batch_interval;
         self.log.purges.expire(now);
         self.distributor.tick(now, out);
         if self.recovery.is_none() {
@@ -262,15 +270,15 @@
                 .log
                 .purges
                 .kept_from(now)
-                .is_some_and(|kept_from| purge.stamp < kept_from)
+                .is_some_and(|kept_from| purge.timestamp < kept_from)
             {
                 continue;
             }
             let known = self
                 .log
                 .purges
-                .stamp(purge.key)
-                .is_some_and(|stamp| stamp >= purge.stamp);
+                .timestamp(purge.key)
+                .is_some_and(|timestamp| timestamp >= purge.timestamp);
             if !known && !packer.push(&event) {
                 self.append(now, &mut events, std::mem::take(&mut packer));
                 // An empty one has room for any event.
@@ -286,7 +294,7 @@
         if let Some(head) = self.log.position() {
             self.cuts.push_back(Cut { at: now, head });
         }
-        let moment = now - self.plan.with_drift(self.plan.copy_age);
+        let moment = now - self.plan.with_drift(self.plan.max_copy_age);
         while self.cuts.get(1).is_some_and(|second| second.at <= moment) {
             self.cuts.pop_front();
         }
@@ -328,8 +336,8 @@
             return 0;
         }
         match self.behind {
-            None => self.plan.lease,
-            Some(since) => (since + BEHIND_MOST - now).min(self.plan.lease),
+            None => self.plan.lease_duration,
+            Some(since) => (since + BEHIND_MOST - now).min(self.plan.lease_duration),
         }
     }
 
@@ -338,7 +346,7 @@
         let Some(head) = self.log.position() else {
             return;
         };
-        let moment = now - self.plan.with_drift(self.plan.copy_age);
+        let moment = now - self.plan.with_drift(self.plan.max_copy_age);
         let Some(old) = self.cuts.front().filter(|cut| cut.at <= moment) else {
             return;
         };
@@ -349,8 +357,10 @@
             reported
         };
         // Leases of an earlier start of the publisher may still be held.
-        let earlier_leases_over =
-            now >= self.started + self.plan.with_drift(self.plan.lease) + self.plan.batch;
+        let earlier_leases_over = now
+            >= self.started
+                + self.plan.with_drift(self.plan.lease_duration)
+                + self.plan.batch_interval;
         if acknowledged.epoch != head.epoch || !earlier_leases_over {
             return;
         }
@@ -371,11 +381,11 @@
     }
 
     /// Everything up to here is in force everywhere.
-    pub fn done(&self) -> LogPosition {
+    pub fn in_force(&self) -> LogPosition {
         self.done
     }
 
-    pub fn status(&self, now: Micros) -> FeedStatus {
+    pub fn status(&self, now: Micros) -> DistributorStatus {
         self.distributor.status(now, &self.log, Some(self.done))
     }
 }
--- a/crates/event-distribution/src/relay.rs
+++ b/crates/event-distribution/src/relay.rs
@@ -1,22 +1,29 @@
 //! A relay: follows the publisher or another relay, and feeds subscribers. It grants no lease beyond its own.
 
 use crate::distributor::{lease_to_hand_on, Distributor, Supply};
-use crate::output::{FeedStatus, Output, SubscriberStatus};
-use crate::plan::{Identity, Plan, RelayPlan};
+use crate::output::Output;
+use crate::settings::{DistributionSettings, Identity, RelayLimits};
+use crate::status::{DistributorStatus, SubscriberStatus};
 use crate::subscriber::{Role, Subscriber};
 use crate::wire::{self, Body};
 use crate::Micros;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Relay {
-    plan: Plan,
+    plan: DistributionSettings,
     follower: Subscriber,
     distributor: Distributor,
     next_flush: Micros,
 }
 
 impl Relay {
-    pub fn new(plan: Plan, relay: RelayPlan, me: Identity, now: Micros, seed: u64) -> Relay {
+    pub fn new(
+        plan: DistributionSettings,
+        relay: RelayLimits,
+        me: Identity,
+        now: Micros,
+        seed: u64,
+    ) -> Relay {
         let window = relay.window_bytes;
         let distributor = Distributor::new(plan.clone(), relay, now);
         let follower = Subscriber::with_role(plan.clone(), me, Role::Relay, window, now, seed);
@@ -33,11 +40,9 @@
     }
 
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
-        match wire::read(self.plan.fleet, bytes) {
+        match wire::decode(self.plan.fleet, bytes) {
             Ok(Body::Heartbeat(heartbeat)) => {
-                let counters = &mut self.distributor.counters;
-                counters.received += 1;
-                counters.received_bytes += bytes.len() as u64;
+                self.distributor.counters.record_received(bytes.len());
                 let supply = supply(&self.plan, &self.follower, now);
                 match self.distributor.heartbeat(now, heartbeat, &supply, out) {
                     Ok(later) => self.follower.later_epoch = self.follower.later_epoch.max(later),
@@ -57,7 +62,7 @@
 
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.next_flush {
-            self.next_flush = now + self.plan.batch / 2;
+            self.next_flush = now + self.plan.batch_interval / 2;
             self.distributor.tick(now, out);
             self.flush(now, out);
         }
@@ -76,7 +81,7 @@
         self.distributor.flush(now, &supply, out);
     }
 
-    pub fn status(&self, now: Micros) -> FeedStatus {
+    pub fn status(&self, now: Micros) -> DistributorStatus {
         self.distributor.status(now, &self.follower.log, None)
     }
 
@@ -87,8 +92,8 @@
 }
 
 /// What a relay can hand on: its own lease, less what clocks may differ.
-fn supply<'a>(plan: &Plan, follower: &'a Subscriber, now: Micros) -> Supply<'a> {
-    let left = follower.lease_left(now).unwrap_or(0);
+fn supply<'a>(plan: &DistributionSettings, follower: &'a Subscriber, now: Micros) -> Supply<'a> {
+    let left = follower.lease_remaining(now).unwrap_or(0);
     Supply {
         log: &follower.log,
         lease: lease_to_hand_on(plan, left),
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -1,13 +1,17 @@
 //! The following side: a front, or a relay towards the one that feeds it. It asks one relay for events and for a lease,
 //! applies events in order, and turns to another relay where the first one fails.
 
+use crate::counters::{Counters, RejectReason};
 use crate::early::{EarlyBatch, EarlyBatches};
 use crate::event::{Epoch, Event, LogPosition};
 use crate::fetch::{Fetch, Progress, Reach};
 use crate::log::EventLog;
-use crate::output::{Counters, Notice, Output, Rejected, SubscriberStatus};
-use crate::plan::{Identity, Plan, RelayAddress, MILLISECOND, RELAYS_IN_LINE, SECOND};
+use crate::output::{Notice, Output};
 use crate::purges::PurgeSet;
+use crate::settings::{
+    DistributionSettings, Identity, RelayAddress, MAX_RELAY_HOPS, MILLISECOND, SECOND,
+};
+use crate::status::SubscriberStatus;
 use crate::wire::{self, Batch, Body, Busy, Grant, Heartbeat, SnapshotPart, SnapshotPlace};
 use crate::{mutant, Micros};
 use meadowrill_membership::rings::hash;
@@ -29,11 +33,11 @@
 
 /// What copies may be served: none issued before a moment, and none older than a span. No bound where both are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct CopyBound {
-    /// A stamp in Unix microseconds: purges up to it were dropped for room.
+pub struct FreshnessBound {
+    /// A timestamp in Unix microseconds: purges up to it were dropped for room.
     pub not_before: Option<Micros>,
     /// Set while there is no lease: purges may be missing.
-    pub age: Option<Micros>,
+    pub max_age: Option<Micros>,
 }
 
 /// What the subscriber is part of.
@@ -52,7 +56,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Subscriber {
-    plan: Plan,
+    plan: DistributionSettings,
     me: Identity,
     role: Role,
     /// In the order in which they are asked.
@@ -98,12 +102,12 @@
 
 impl Subscriber {
     /// A front's, which keeps no window for others.
-    pub fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscriber {
+    pub fn new(plan: DistributionSettings, me: Identity, now: Micros, seed: u64) -> Subscriber {
         Subscriber::with_role(plan, me, Role::Front, 0, now, seed)
     }
 
     pub(crate) fn with_role(
-        plan: Plan,
+        plan: DistributionSettings,
         me: Identity,
         role: Role,
         window_bytes: usize,
@@ -111,7 +115,7 @@
         seed: u64,
     ) -> Subscriber {
         let relays = by_preference(&plan, &me, role);
-        let purges = PurgeSet::new(plan.purges_most, plan.keep);
+        let purges = PurgeSet::new(plan.max_purges, plan.purge_retention);
         let mut subscriber = Subscriber {
             relays,
             role,
@@ -175,11 +179,11 @@
         self.fetch.as_ref().map(|_| self.refused_since)
     }
 
-    pub fn leased(&self, now: Micros) -> bool {
-        self.lease_left(now).is_some()
+    pub fn has_lease(&self, now: Micros) -> bool {
+        self.lease_remaining(now).is_some()
     }
 
-    pub fn lease_left(&self, now: Micros) -> Option<Micros> {
+    pub fn lease_remaining(&self, now: Micros) -> Option<Micros> {
         self.lease_until
             .map(|until| until - now)
             .filter(|left| *left > 0)
@@ -190,11 +194,11 @@
         self.hops
     }
 
-    pub fn copy_bound(&self, now: Micros) -> CopyBound {
-        let age = (!self.leased(now)).then_some(self.plan.copy_age);
-        CopyBound {
+    pub fn freshness_bound(&self, now: Micros) -> FreshnessBound {
+        let max_age = (!self.has_lease(now)).then_some(self.plan.max_copy_age);
+        FreshnessBound {
             not_before: self.log.purges.floor(),
-            age,
+            max_age,
         }
     }
 
@@ -213,11 +217,11 @@
     }
 
     fn notice_lapse(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.without_since.is_none() && !self.leased(now) {
+        if self.without_since.is_none() && !self.has_lease(now) {
             self.without_since = Some(now);
-            self.counters.lapses += 1;
+            self.counters.expired_leases += 1;
             let relay = self.relay_name();
-            out.push(Output::Notice(Notice::Lapsed { relay }));
+            out.push(Output::Notice(Notice::LeaseExpired { relay }));
         }
     }
 
@@ -234,16 +238,16 @@
             return;
         }
         // Where all refuse, going from one to the other helps nobody: more and more patience.
-        let patience = self.plan.lease * Micros::from(1 + self.refusals);
+        let patience = self.plan.lease_duration * Micros::from(1 + self.refusals);
         let refuses = now - self.refused_since > patience;
-        if self.unanswered >= self.plan.tries || refuses {
+        if self.unanswered >= self.plan.max_unanswered || refuses {
             self.refusals = (self.refusals + u32::from(refuses)).min(self.refusals_most());
             let next = self.next_relay();
             return self.switch(now, next, out);
         }
         let fresh = self
-            .lease_left(now)
-            .is_some_and(|left| left > self.plan.lease / 2);
+            .lease_remaining(now)
+            .is_some_and(|left| left > self.plan.lease_duration / 2);
         if self.current != 0 && fresh && now >= self.home_at {
             self.switch(now, 0, out);
         }
@@ -283,12 +287,12 @@
     fn switch(&mut self, now: Micros, to: usize, out: &mut Vec<Output>) {
         let from = self.relay_name();
         self.current = to;
-        self.counters.switches += 1;
+        self.counters.relay_changes += 1;
         self.unanswered = 0;
         self.refused_since = now;
         self.home_at = now + self.draw(HOME_LEAST, HOME_MOST);
         let to = self.relay_name();
-        out.push(Output::Notice(Notice::Switched { from, to }));
+        out.push(Output::Notice(Notice::RelayChanged { from, to }));
     }
 
     fn send_heartbeat(&mut self, now: Micros, out: &mut Vec<Output>) {
@@ -328,23 +332,22 @@
         self.unanswered_by_all = self.unanswered_by_all.saturating_add(1);
         self.last_sent = now;
         self.next_heartbeat = now + self.pause();
-        let bytes = wire::write(self.plan.fleet, Body::Heartbeat(heartbeat));
-        self.counters.sent += 1;
-        self.counters.sent_bytes += bytes.len() as u64;
+        let bytes = wire::encode(self.plan.fleet, Body::Heartbeat(heartbeat));
+        self.counters.record_sent(bytes.len());
         out.push(Output::Send { to, bytes });
     }
 
     /// Until the next heartbeat, if no answer comes.
     fn pause(&mut self) -> Micros {
-        let all_asked = self.plan.tries * self.relays.len() as u32;
+        let all_asked = self.plan.max_unanswered * self.relays.len() as u32;
         if self.unanswered_by_all > all_asked {
             return self.draw(ALONE_LEAST, ALONE_MOST);
         }
-        self.plan.retry
+        self.plan.retry_interval
     }
 
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
-        match wire::read(self.plan.fleet, bytes) {
+        match wire::decode(self.plan.fleet, bytes) {
             Ok(body) => self.receive_body(now, body, bytes.len(), out),
             Err(why) => self.counters.reject(why),
         }
@@ -357,8 +360,7 @@
         length: usize,
         out: &mut Vec<Output>,
     ) {
-        self.counters.received += 1;
-        self.counters.received_bytes += length as u64;
+        self.counters.record_received(length);
         // One that was stopped has to know that before it takes anything for granted.
         self.notice_lapse(now, out);
         let floor = self.log.purges.floor();
@@ -366,7 +368,7 @@
             Body::Batch(batch) => self.receive_batch(now, batch, out),
             Body::SnapshotPart(part) => self.receive_part(now, part, out),
             Body::Busy(busy) => self.receive_busy(now, busy, out),
-            Body::Heartbeat(_) => Err(Rejected::Unexpected),
+            Body::Heartbeat(_) => Err(RejectReason::Unexpected),
         };
         if let Err(why) = taken {
             self.counters.reject(why);
@@ -377,7 +379,7 @@
             .floor()
             .filter(|now| floor.is_none_or(|before| *now > before));
         if let Some(floor) = raised {
-            out.push(Output::Notice(Notice::FloorRaised { floor }));
+            out.push(Output::Notice(Notice::PurgeFloorRaised { floor }));
         }
     }
 
@@ -386,7 +388,7 @@
         now: Micros,
         batch: Batch,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         let events = wire::unpack(&batch.events)?;
         let place = LogPosition {
             epoch: Epoch(batch.epoch),
@@ -395,9 +397,9 @@
         let end = batch
             .first
             .checked_add(events.len() as u64)
-            .ok_or(Rejected::Bounds)?;
+            .ok_or(RejectReason::OutOfBounds)?;
         if batch.head < end {
-            return Err(Rejected::Bounds);
+            return Err(RejectReason::OutOfBounds);
         }
         let published = now - Micros::from(batch.age_ms) * MILLISECOND;
         let taken = self.follow_epoch(now, place, &batch, out);
@@ -427,7 +429,7 @@
         place: LogPosition,
         batch: &Batch,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         let Some(at) = self.log.position() else {
             return Ok(());
         };
@@ -435,7 +437,7 @@
             return Ok(());
         }
         if place.epoch < at.epoch && !mutant("old-epoch") {
-            return Err(Rejected::OldEpoch);
+            return Err(RejectReason::OldEpoch);
         }
         let follows = batch.follows.map(LogPosition::from);
         let linked = follows.is_some_and(|f| f.epoch == at.epoch && at.position >= f.position);
@@ -446,7 +448,7 @@
                 position: 0,
                 ..place
             };
-            out.push(Output::Notice(Notice::NewEpoch { at }));
+            out.push(Output::Notice(Notice::EpochStarted { position: at }));
             return Ok(());
         }
         // The start of the epoch was lost on the way. Where it does not follow, the relay offers a snapshot as soon as it
@@ -454,7 +456,7 @@
         if self.fetch.is_none() {
             self.ask_again(now);
         }
-        Err(Rejected::Unexpected)
+        Err(RejectReason::Unexpected)
     }
 
     fn take_events(&mut self, now: Micros, epoch: Epoch, batch: EarlyBatch, out: &mut Vec<Output>) {
@@ -508,16 +510,18 @@
         self.gap = true;
         let answered = self
             .asked_again
-            .map_or(now, |asked| asked + self.plan.retry);
-        let soonest = now.max(self.last_sent + self.plan.batch / 2).max(answered);
+            .map_or(now, |asked| asked + self.plan.retry_interval);
+        let soonest = now
+            .max(self.last_sent + self.plan.batch_interval / 2)
+            .max(answered);
         self.next_heartbeat = self.next_heartbeat.min(soonest);
     }
 
-    fn answered(&mut self, request: u32) -> Result<Request, Rejected> {
+    fn answered(&mut self, request: u32) -> Result<Request, RejectReason> {
         let found = self.requests.iter().position(|sent| sent.number == request);
         let request = found
             .and_then(|at| self.requests.remove(at))
-            .ok_or(Rejected::Unexpected)?;
+            .ok_or(RejectReason::Unexpected)?;
         (self.unanswered, self.unanswered_by_all) = (0, 0);
         Ok(request)
     }
@@ -527,13 +531,13 @@
         now: Micros,
         grant: Grant,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         let request = self.answered(grant.request)?;
-        let too_far = self.role == Role::Relay && grant.hops >= RELAYS_IN_LINE;
+        let too_far = self.role == Role::Relay && grant.hops >= MAX_RELAY_HOPS;
         if grant.lease_us == 0 || too_far {
             self.next_heartbeat = self
                 .next_heartbeat
-                .min(request.sent + self.plan.retry)
+                .min(request.sent + self.plan.retry_interval)
                 .max(now);
             return Ok(());
         }
@@ -545,19 +549,19 @@
         } else {
             request.sent
         };
-        let until = from + Micros::from(grant.lease_us).min(self.plan.lease);
+        let until = from + Micros::from(grant.lease_us).min(self.plan.lease_duration);
         self.lease_until = self.lease_until.max(Some(until));
         let pause = if self.role == Role::Relay {
-            self.plan.batch
+            self.plan.batch_interval
         } else {
-            self.plan.heartbeat
+            self.plan.heartbeat_interval
         };
         if !self.gap {
             self.next_heartbeat = (request.sent + pause).max(now);
         }
         if let Some(since) = self.without_since.take_if(|_| until > now) {
             let relay = self.relay_name();
-            out.push(Output::Notice(Notice::Leased {
+            out.push(Output::Notice(Notice::LeaseAcquired {
                 relay,
                 without: now - since,
             }));
@@ -570,7 +574,7 @@
         now: Micros,
         busy: Busy,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
+    ) -> Result<(), RejectReason> {
         self.answered(busy.request)?;
         let has_other = self.granted_by.is_some_and(|relay| relay != self.current);
         if (busy.full || has_other) && self.relays.len() > 1 {
@@ -578,7 +582,7 @@
             self.switch(now, next, out);
         }
         let pause = Micros::from(busy.retry_ms) * 1000;
-        self.next_heartbeat = now + pause.clamp(self.plan.retry, 10 * SECOND);
+        self.next_heartbeat = now + pause.clamp(self.plan.retry_interval, 10 * SECOND);
         Ok(())
     }
 
@@ -587,14 +591,17 @@
         now: Micros,
         part: SnapshotPart,
         out: &mut Vec<Output>,
-    ) -> Result<(), Rejected> {
-        let writer = part.at.map(LogPosition::from).ok_or(Rejected::Bounds)?;
+    ) -> Result<(), RejectReason> {
+        let writer = part
+            .at
+            .map(LogPosition::from)
+            .ok_or(RejectReason::OutOfBounds)?;
         if self
             .log
             .position()
             .is_some_and(|at| writer.epoch < at.epoch)
         {
-            return Err(Rejected::OldEpoch);
+            return Err(RejectReason::OldEpoch);
         }
         // A late one of a relay that was asked before. Where the one that is asked now is in an older epoch than the
         // snapshot that was begun, it is begun anew: nothing of it is held to be applied.
@@ -605,11 +612,11 @@
                 .as_ref()
                 .is_some_and(|fetch| writer.epoch < fetch.at.epoch)
         {
-            return Err(Rejected::OldEpoch);
+            return Err(RejectReason::OldEpoch);
         }
         let events = wire::unpack(&part.events)?;
         if self.answered(part.request).is_err() && self.fetch.is_none() {
-            return Err(Rejected::Unexpected);
+            return Err(RejectReason::Unexpected);
         }
         if self
             .fetch
@@ -619,7 +626,7 @@
             self.begin_fetch(now, writer, out);
         }
         let Some(fetch) = self.fetch.as_mut() else {
-            return Err(Rejected::Unexpected);
+            return Err(RejectReason::Unexpected);
         };
         let after = part.after.and_then(SnapshotPlace::cursor);
         let next = part.next.and_then(SnapshotPlace::cursor);
@@ -631,7 +638,7 @@
             },
         );
         if progress == Progress::None {
-            return Err(Rejected::Unexpected);
+            return Err(RejectReason::Unexpected);
         }
         fetch.at = fetch.at.min(writer);
         fetch.reached = fetch.reached.max(writer);
@@ -647,7 +654,7 @@
         match progress {
             Progress::Done => self.finish_fetch(now, out),
             Progress::Paused => self.next_heartbeat = now,
-            Progress::Going => self.next_heartbeat = now + self.plan.retry,
+            Progress::Going => self.next_heartbeat = now + self.plan.retry_interval,
             Progress::Early | Progress::None => {}
         }
         self.refused_since = now;
@@ -658,7 +665,7 @@
         let began = self.fetch.as_ref().map_or(now, |fetch| fetch.began);
         self.fetch = Some(Fetch::new(began, at));
         self.counters.snapshots += 1;
-        out.push(Output::Notice(Notice::SnapshotBegun {
+        out.push(Output::Notice(Notice::SnapshotStarted {
             relay: self.relay_name(),
         }));
     }
@@ -679,18 +686,22 @@
         self.requests.clear();
         self.next_heartbeat = now;
         let (purges, took, at) = (fetch.purges, now - fetch.began, fetch.at);
-        out.push(Output::Notice(Notice::SnapshotDone { purges, took, at }));
+        out.push(Output::Notice(Notice::SnapshotCompleted {
+            purges,
+            took,
+            position: at,
+        }));
     }
 
     pub fn status(&self, now: Micros) -> SubscriberStatus {
         SubscriberStatus {
             relay: self.relay_name(),
-            at: self.log.position(),
-            head: self.head,
-            lease_left: self.lease_left(now),
+            position: self.log.position(),
+            relay_head: self.head,
+            lease_remaining: self.lease_remaining(now),
             fetching_snapshot: self.fetch.is_some(),
             purges: self.log.purges.len(),
-            floor: self.log.purges.floor(),
+            purge_floor: self.log.purges.floor(),
             counters: self.counters.clone(),
         }
     }
@@ -698,7 +709,7 @@
 
 /// The relays in the order in which a member asks them: a relay those that publish first; then the own zone, the own
 /// region, the others; within each by rendezvous hashing, so that those who follow a failed one spread over the rest.
-fn by_preference(plan: &Plan, me: &Identity, role: Role) -> Vec<RelayAddress> {
+fn by_preference(plan: &DistributionSettings, me: &Identity, role: Role) -> Vec<RelayAddress> {
     let mut relays: Vec<RelayAddress> = plan
         .relays
         .iter()
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -1,13 +1,13 @@
-//! Messages between publisher, relays and subscribers: datagrams of at most [`DATAGRAM_MOST`] bytes, `ev`, a version, a
+//! Messages between publisher, relays and subscribers: datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes, `ev`, a version, a
 //! checksum and a protobuf message (the envelope of `meadowrill_membership`). Older builds drop what begins with `ev`.
 //!
-//! Events are packed: a number that holds the difference of stamps in milliseconds and the kind, then 8 bytes of an object
+//! Events are packed: a number that holds the difference of timestamps in milliseconds and the kind, then 8 bytes of an object
 //! or the number of a group. That makes 9 or 10 bytes for the purge of an object.
 
+use crate::counters::RejectReason;
 use crate::event::{Epoch, Event, LogPosition, Position, Purge, PurgeKey};
-use crate::output::Rejected;
-use crate::plan::{MILLISECOND, TEXT_MOST};
 use crate::purges::Cursor;
+use crate::settings::{MAX_TEXT_BYTES, MILLISECOND};
 use crate::Micros;
 use meadowrill_membership::envelope;
 use prost::encoding::{decode_varint, encode_varint};
@@ -17,13 +17,11 @@
 /// Never written: events go in datagrams only.
 const PACKED_MARK: [u8; 2] = *b"ez";
 pub const VERSION: u8 = 1;
-pub const DATAGRAM_MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Packed events of one datagram, so that head and grant fit beside them.
 pub const EVENTS_MOST: usize = 1000;
 /// Stamps are within so many milliseconds of the Unix epoch: the year 6429.
 const STAMP_MOST: i64 = 1 << 47;
-/// An epoch is no later than this: as microseconds, the year 4253. Room is left to count on from any that is read.
-pub const EPOCH_MOST: Epoch = Epoch(1 << 56);
 /// Positions are no larger than this.
 pub const POSITION_MOST: Position = 1 << 56;
 const KIND_BITS: u32 = 2;
@@ -151,7 +149,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct SnapshotPlace {
     #[prost(sint64, tag = "1")]
-    pub stamp: i64,
+    pub timestamp: i64,
     #[prost(oneof = "PlaceKey", tags = "2, 3")]
     pub key: Option<PlaceKey>,
 }
@@ -165,13 +163,13 @@
 }
 
 impl SnapshotPlace {
-    pub fn of((stamp, key): Cursor) -> SnapshotPlace {
+    pub fn of((timestamp, key): Cursor) -> SnapshotPlace {
         let key = match key {
             PurgeKey::Object(object) => PlaceKey::Object(object),
             PurgeKey::Group(group) => PlaceKey::Group(group),
         };
         SnapshotPlace {
-            stamp,
+            timestamp,
             key: Some(key),
         }
     }
@@ -181,11 +179,11 @@
             PlaceKey::Object(object) => PurgeKey::Object(object),
             PlaceKey::Group(group) => PurgeKey::Group(group),
         };
-        Some((self.stamp, key))
+        Some((self.timestamp, key))
     }
 }
 
-/// Some of the purges that still bind, in the order of their stamps.
+/// Some of the purges that still bind, in the order of their timestamps.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotPart {
     /// The sender's own position as it wrote this.
@@ -199,7 +197,7 @@
     pub next: Option<SnapshotPlace>,
     #[prost(bytes = "vec", tag = "4")]
     pub events: Vec<u8>,
-    /// Copies from before this stamp are to be refused.
+    /// Copies from before this timestamp are to be refused.
     #[prost(sint64, optional, tag = "5")]
     pub floor: Option<i64>,
     /// The sender waits for a request before it sends more.
@@ -221,7 +219,7 @@
     pub full: bool,
 }
 
-pub fn write(fleet: u64, body: Body) -> Vec<u8> {
+pub fn encode(fleet: u64, body: Body) -> Vec<u8> {
     let mut bytes = Vec::new();
     envelope::write(
         MARK,
@@ -235,15 +233,15 @@
     bytes
 }
 
-pub fn read(fleet: u64, bytes: &[u8]) -> Result<Body, Rejected> {
+pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Body, RejectReason> {
     let packet: Packet =
-        envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| Rejected::Envelope)?;
+        envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| RejectReason::Envelope)?;
     if packet.fleet != fleet as u32 {
-        return Err(Rejected::Fleet);
+        return Err(RejectReason::OtherFleet);
     }
-    let body = packet.body.ok_or(Rejected::Bounds)?;
+    let body = packet.body.ok_or(RejectReason::OutOfBounds)?;
     if !body.is_within_bounds() {
-        return Err(Rejected::Bounds);
+        return Err(RejectReason::OutOfBounds);
     }
     Ok(body)
 }
@@ -261,20 +259,20 @@
 
 impl Place {
     fn is_within_bounds(&self) -> bool {
-        self.epoch <= EPOCH_MOST.0 && self.position <= POSITION_MOST
+        self.epoch <= Epoch::MAX.0 && self.position <= POSITION_MOST
     }
 }
 
 impl Heartbeat {
     fn is_within_bounds(&self) -> bool {
         let text = !self.name.is_empty()
-            && self.name.len() <= TEXT_MOST
-            && self.address.len() <= TEXT_MOST;
+            && self.name.len() <= MAX_TEXT_BYTES
+            && self.address.len() <= MAX_TEXT_BYTES;
         // All that a relay feeds are no farther than the relay.
         let acknowledged =
             self.acknowledged.map(LogPosition::from) <= self.at.map(LogPosition::from);
         let cursor = self.cursor.is_none_or(|cursor| cursor.cursor().is_some());
-        let epoch = self.later_epoch <= EPOCH_MOST.0;
+        let epoch = self.later_epoch <= Epoch::MAX.0;
         text && acknowledged && cursor && epoch && self.at.is_none_or(|at| at.is_within_bounds())
     }
 }
@@ -329,8 +327,8 @@
     /// False, and nothing is added, where there is no more room in a datagram.
     #[must_use]
     pub fn push(&mut self, event: &Event) -> bool {
-        let Event::Purge(Purge { key, stamp }) = *event;
-        let stamp_ms = to_milliseconds(as_sent(stamp));
+        let Event::Purge(Purge { key, timestamp }) = *event;
+        let stamp_ms = to_milliseconds(as_sent(timestamp));
         let difference = zigzag(stamp_ms - self.last_stamp_ms);
         let length = self.bytes.len();
         match key {
@@ -358,33 +356,35 @@
 }
 
 /// The events of a packed batch.
-pub fn unpack(bytes: &[u8]) -> Result<Vec<Event>, Rejected> {
+pub fn unpack(bytes: &[u8]) -> Result<Vec<Event>, RejectReason> {
     let mut rest = bytes;
     let mut events = Vec::new();
     let mut stamp_ms = 0i64;
     while !rest.is_empty() {
-        let word = decode_varint(&mut rest).map_err(|_| Rejected::Bounds)?;
+        let word = decode_varint(&mut rest).map_err(|_| RejectReason::OutOfBounds)?;
         stamp_ms = stamp_ms
             .checked_add(unzigzag(word >> KIND_BITS))
-            .ok_or(Rejected::Bounds)?;
+            .ok_or(RejectReason::OutOfBounds)?;
         if !is_stamp(stamp_ms) {
-            return Err(Rejected::Bounds);
+            return Err(RejectReason::OutOfBounds);
         }
         let key = match word & ((1 << KIND_BITS) - 1) {
             OBJECT => {
-                let (object, behind) = rest.split_first_chunk::<8>().ok_or(Rejected::Bounds)?;
+                let (object, behind) = rest
+                    .split_first_chunk::<8>()
+                    .ok_or(RejectReason::OutOfBounds)?;
                 rest = behind;
                 PurgeKey::Object(u64::from_le_bytes(*object))
             }
             GROUP => {
-                let group = decode_varint(&mut rest).map_err(|_| Rejected::Bounds)?;
-                PurgeKey::Group(u32::try_from(group).map_err(|_| Rejected::Bounds)?)
+                let group = decode_varint(&mut rest).map_err(|_| RejectReason::OutOfBounds)?;
+                PurgeKey::Group(u32::try_from(group).map_err(|_| RejectReason::OutOfBounds)?)
             }
-            _ => return Err(Rejected::Bounds),
+            _ => return Err(RejectReason::OutOfBounds),
         };
         events.push(Event::Purge(Purge {
             key,
-            stamp: stamp_ms * MILLISECOND,
+            timestamp: stamp_ms * MILLISECOND,
         }));
     }
     Ok(events)
@@ -394,14 +394,14 @@
     (-STAMP_MOST..=STAMP_MOST).contains(&milliseconds)
 }
 
-/// The stamp as it travels, and as every member keeps it: the order of a snapshot is the same at all of them.
-pub(crate) fn as_sent(stamp: Micros) -> Micros {
-    to_milliseconds(stamp).clamp(-STAMP_MOST, STAMP_MOST) * MILLISECOND
+/// The timestamp as it travels, and as every member keeps it: the order of a snapshot is the same at all of them.
+pub(crate) fn as_sent(timestamp: Micros) -> Micros {
+    to_milliseconds(timestamp).clamp(-STAMP_MOST, STAMP_MOST) * MILLISECOND
 }
 
-/// Upwards: a later stamp refuses more copies, never fewer.
-fn to_milliseconds(stamp: Micros) -> i64 {
-    stamp.div_euclid(MILLISECOND) + i64::from(stamp.rem_euclid(MILLISECOND) != 0)
+/// Upwards: a later timestamp refuses more copies, never fewer.
+fn to_milliseconds(timestamp: Micros) -> i64 {
+    timestamp.div_euclid(MILLISECOND) + i64::from(timestamp.rem_euclid(MILLISECOND) != 0)
 }
 
 fn zigzag(value: i64) -> u64 {
--- a/crates/fault-injection/src/events/costs.rs
+++ b/crates/fault-injection/src/events/costs.rs
@@ -2,7 +2,7 @@
 
 use super::protocol::GroupReport;
 use super::relays::{ProcessUsage, RelayStatus};
-use meadowrill_event_distribution::plan::SECOND;
+use meadowrill_event_distribution::settings::SECOND;
 
 /// What a process of its role costs a second, over the time of the purges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/fault-injection/src/events/hollow.rs
+++ b/crates/fault-injection/src/events/hollow.rs
@@ -5,9 +5,10 @@
 use super::numbering::number_of;
 use super::protocol::{Sabotage, Traffic};
 use super::record::Life;
+use meadowrill_event_distribution::counters::Counters;
 use meadowrill_event_distribution::event::{Event, PurgeKey};
-use meadowrill_event_distribution::output::{Counters, Output};
-use meadowrill_event_distribution::plan::{Identity, Plan, SECOND};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::settings::{DistributionSettings, Identity, SECOND};
 use meadowrill_event_distribution::subscriber::Subscriber;
 use meadowrill_event_distribution::Micros;
 use mio::net::UdpSocket;
@@ -23,7 +24,7 @@
 
 pub struct HollowSubscriber {
     number: usize,
-    plan: Plan,
+    plan: DistributionSettings,
     seed: u64,
     sabotage: Option<Sabotage>,
     subscriber: Subscriber,
@@ -45,7 +46,7 @@
 }
 
 fn subscriber(
-    plan: &Plan,
+    plan: &DistributionSettings,
     number: usize,
     socket: &UdpSocket,
     now: Micros,
@@ -63,7 +64,7 @@
 
 impl HollowSubscriber {
     pub fn open(
-        plan: &Plan,
+        plan: &DistributionSettings,
         number: usize,
         now: Micros,
         seed: u64,
@@ -119,7 +120,7 @@
     }
 
     pub fn leased(&self, now: Micros) -> bool {
-        self.subscriber.leased(now)
+        self.subscriber.has_lease(now)
     }
 
     pub fn stopped(&self, now: Micros) -> bool {
@@ -210,13 +211,13 @@
 
     /// Keeps the record of leases, and of what bounds copies without one.
     fn record_lease(&mut self, now: Micros) {
-        let bound = self.subscriber.copy_bound(now);
+        let bound = self.subscriber.freshness_bound(now);
         if let Some(stamp) = bound.not_before {
             self.life().raise_floor(now, stamp);
         }
-        if !self.subscriber.leased(now) {
-            let copy_age = self.plan.copy_age;
-            let bounded = bound.age.is_some_and(|age| age <= copy_age);
+        if !self.subscriber.has_lease(now) {
+            let copy_age = self.plan.max_copy_age;
+            let bounded = bound.max_age.is_some_and(|age| age <= copy_age);
             if !bounded || self.sabotage == Some(Sabotage::CopiesUnbounded) {
                 self.life().unbounded += 1;
             }
@@ -227,13 +228,13 @@
         }
         // Whether a later moment is leased too is asked first, as it costs less than the whole status.
         let known = self.life().leased_until();
-        if known <= now || self.subscriber.leased(known) {
+        if known <= now || self.subscriber.has_lease(known) {
             self.extend_lease(now);
         }
     }
 
     fn extend_lease(&mut self, now: Micros) {
-        let Some(left) = self.subscriber.status(now).lease_left else {
+        let Some(left) = self.subscriber.status(now).lease_remaining else {
             return;
         };
         let until = match self.sabotage {
--- a/crates/fault-injection/src/events/outcome.rs
+++ b/crates/fault-injection/src/events/outcome.rs
@@ -3,7 +3,7 @@
 use super::check::Findings;
 use super::costs::Costs;
 use super::protocol::{GroupReport, Return};
-use meadowrill_event_distribution::plan::SECOND;
+use meadowrill_event_distribution::settings::SECOND;
 use meadowrill_event_distribution::Micros;
 
 /// From when a purge was told until the publisher said that it is in force everywhere.
--- a/crates/fault-injection/src/events/protocol.rs
+++ b/crates/fault-injection/src/events/protocol.rs
@@ -5,7 +5,7 @@
 use super::faults::RelaySet;
 use super::layout::{region_name, region_of, relay_name, zone_name, zone_of};
 use super::relays::PUBLISHER;
-use meadowrill_event_distribution::plan::{Plan, RelayAddress, MILLISECOND};
+use meadowrill_event_distribution::settings::{DistributionSettings, RelayAddress, MILLISECOND};
 use meadowrill_event_distribution::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 }
 
 impl GroupPlan {
-    pub fn events_plan(&self) -> Plan {
+    pub fn events_plan(&self) -> DistributionSettings {
         let relay = |(number, address): (usize, &SocketAddr)| RelayAddress {
             name: relay_name(number),
             address: *address,
@@ -46,7 +46,7 @@
             zone: zone_name(zone_of(number)),
             publishes: number == PUBLISHER,
         };
-        Plan::new(
+        DistributionSettings::new(
             self.fleet,
             self.relays.iter().enumerate().map(relay).collect(),
         )
--- a/crates/fault-injection/src/events/run.rs
+++ b/crates/fault-injection/src/events/run.rs
@@ -11,7 +11,7 @@
 use super::relays::{ProcessUsage, RelayFleet, RelayStatus, RelayTools, FLEET, PUBLISHER};
 use super::scenario::{in_region, in_zone, Action, Scenario};
 use super::teller::Teller;
-use meadowrill_event_distribution::plan::{Plan, MILLISECOND, SECOND};
+use meadowrill_event_distribution::settings::{DistributionSettings, MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
 use meadowrill_membership::plan::Plan as MembersPlan;
 use std::io;
@@ -317,7 +317,7 @@
             })
             .collect();
         let done = self.done_times(&purges);
-        let copy_age = Plan::new(0, Vec::new()).copy_age;
+        let copy_age = DistributionSettings::new(0, Vec::new()).max_copy_age;
         let timeline = Timeline {
             purges,
             done_within: DONE_WITHIN,
--- a/crates/fault-injection/src/events/subscribers.rs
+++ b/crates/fault-injection/src/events/subscribers.rs
@@ -5,7 +5,7 @@
 use super::hollow::HollowSubscriber;
 use super::protocol::{Command, GroupPlan, GroupReport, Reply, Return};
 use super::record::Life;
-use meadowrill_event_distribution::plan::MILLISECOND;
+use meadowrill_event_distribution::settings::MILLISECOND;
 use meadowrill_event_distribution::Micros;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rustix::time::{clock_gettime, ClockId};
@@ -294,8 +294,8 @@
             for counters in subscriber.counters(now) {
                 report.gaps += counters.gaps;
                 report.snapshots += counters.snapshots;
-                report.lapses += counters.lapses;
-                report.switches += counters.switches;
+                report.lapses += counters.expired_leases;
+                report.switches += counters.relay_changes;
                 report.rejected += counters.rejected.iter().sum::<u64>();
             }
         }
--- a/crates/fault-injection/src/events/teller.rs
+++ b/crates/fault-injection/src/events/teller.rs
@@ -2,7 +2,7 @@
 
 use super::clock::SharedClock;
 use super::numbering::object_of;
-use meadowrill_event_distribution::plan::{MILLISECOND, SECOND};
+use meadowrill_event_distribution::settings::{MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
 use meadowrill_test_servers::journal::Speaking;
 use serde_json::json;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::{frame, ring};
 use meadowrill_admission::cost::LookupClass;
-use meadowrill_event_distribution::plan::TEXT_MOST;
+use meadowrill_event_distribution::settings::MAX_TEXT_BYTES;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::{Micros, Settings};
 use meadowrill_settings as own;
@@ -251,11 +251,11 @@
             own,
             ..Config::read(&text, |name| std::env::var(name).ok())?
         };
-        let name_fits = (1..=TEXT_MOST).contains(&config.name.len());
+        let name_fits = (1..=MAX_TEXT_BYTES).contains(&config.name.len());
         if config.own.events.is_some() && !name_fits {
             return Err(faulty(
                 "name",
-                format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events"),
+                format!("has to be of 1 to {MAX_TEXT_BYTES} bytes with fleet.events"),
             ));
         }
         Ok(config)
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -32,7 +32,7 @@
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_admission::identity::IdentityResolver;
 use meadowrill_admission::request::{AdmissionEvent, CapacityLimits};
-use meadowrill_event_distribution::subscriber::CopyBound;
+use meadowrill_event_distribution::subscriber::FreshnessBound;
 use meadowrill_routing::host::{catch_panic, EndpointIndices};
 use meadowrill_routing::interface::*;
 use meadowrill_routing::router;
@@ -82,7 +82,7 @@
     fronts: Option<Fronts>,
     fleet_at: Micros,
     /// What copies may be served, as the decisions were told; none before the first word, and without a subscription.
-    copy_bound: Option<CopyBound>,
+    copy_bound: Option<FreshnessBound>,
     /// Further counts of a bench build.
     counts: Option<fn() -> String>,
     caches: Caches,
--- a/crates/proxy/src/front/events.rs
+++ b/crates/proxy/src/front/events.rs
@@ -75,7 +75,7 @@
             PurgeKey::Object(object) => (Some(object), 0),
             PurgeKey::Group(group) => (None, group),
         };
-        let ago = now - purge.stamp;
+        let ago = now - purge.timestamp;
         self.metrics.purge_applied(ago as f64 / 1e6);
         let mut actions = std::mem::take(&mut self.spare.actions);
         let decided = self.decide_at_once(
@@ -107,7 +107,7 @@
         }
         let event = Event::FreshnessBound {
             not_before: bound.not_before,
-            max_age: bound.age,
+            max_age: bound.max_age,
         };
         if self.decide_at_once(now, event, actions) {
             self.copy_bound = Some(bound);
--- a/crates/proxy/src/front/tests.rs
+++ b/crates/proxy/src/front/tests.rs
@@ -3,8 +3,10 @@
 use super::*;
 use crate::clock::Clock;
 use meadowrill_event_distribution::output::Output;
-use meadowrill_event_distribution::plan::{Identity, Plan as EventsPlan, RelayAddress, RelayPlan};
 use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::settings::{
+    DistributionSettings as EventsPlan, Identity, RelayAddress, RelayLimits,
+};
 use meadowrill_test_servers::{ask, config, header, ok, Cache, Journal, Seen, HANG, OBJECT};
 use slog::{o, Discard};
 use std::io::{ErrorKind, Read, Write};
@@ -39,7 +41,7 @@
             zone: String::new(),
         };
         let clock = Clock::start();
-        let publisher = Publisher::new(plan.clone(), RelayPlan::default(), me, clock.now(), 1);
+        let publisher = Publisher::new(plan.clone(), RelayLimits::default(), me, clock.now(), 1);
         (
             Feeder {
                 socket,
@@ -127,7 +129,7 @@
             .unwrap();
         subscription
             .status(self.front.clock.now())
-            .lease_left
+            .lease_remaining
             .is_some()
     }
 
@@ -188,7 +190,14 @@
         bench.front.wait(&mut bench.events, &mut gathered).unwrap();
     }
     assert!(bench.leased());
-    let lease = bench.front.config.own.events.as_ref().unwrap().lease;
+    let lease = bench
+        .front
+        .config
+        .own
+        .events
+        .as_ref()
+        .unwrap()
+        .lease_duration;
     bench.decide(gathered, 2 * lease);
     let mut request = None;
     let end = Instant::now() + HANG;
@@ -199,7 +208,7 @@
     }
     let (again, bound) = request.unwrap();
     assert_eq!(again, connection);
-    let copy_age = bench.front.config.own.events.as_ref().unwrap().copy_age;
+    let copy_age = bench.front.config.own.events.as_ref().unwrap().max_copy_age;
     assert!(
         bound.is_some_and(|bound| bound as Micros * 1000 <= copy_age),
         "{bound:?}"
--- a/crates/proxy/src/net/events.rs
+++ b/crates/proxy/src/net/events.rs
@@ -1,13 +1,14 @@
 //! The subscription to events: datagrams and time go to it, and what it wants done is kept, in order, for the loop.
 
-use meadowrill_event_distribution::output::{Output, SubscriberStatus};
-use meadowrill_event_distribution::plan::{Identity, Plan};
-use meadowrill_event_distribution::subscriber::{CopyBound, Subscriber};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::settings::{DistributionSettings, Identity};
+use meadowrill_event_distribution::status::SubscriberStatus;
+use meadowrill_event_distribution::subscriber::{FreshnessBound, Subscriber};
 use meadowrill_routing::host::catch_panic;
 use meadowrill_routing::interface::Micros;
 
 pub(crate) struct Subscription {
-    plan: Plan,
+    plan: DistributionSettings,
     me: Identity,
     seed: u64,
     subscriber: Subscriber,
@@ -17,7 +18,12 @@
 }
 
 impl Subscription {
-    pub(crate) fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscription {
+    pub(crate) fn new(
+        plan: DistributionSettings,
+        me: Identity,
+        now: Micros,
+        seed: u64,
+    ) -> Subscription {
         let subscriber = Subscriber::new(plan.clone(), me.clone(), now, seed);
         Subscription {
             plan,
@@ -64,8 +70,8 @@
         self.subscriber.next_wake()
     }
 
-    pub(crate) fn copy_bound(&self, now: Micros) -> CopyBound {
-        self.subscriber.copy_bound(now)
+    pub(crate) fn copy_bound(&self, now: Micros) -> FreshnessBound {
+        self.subscriber.freshness_bound(now)
     }
 
     pub(crate) fn status(&self, now: Micros) -> SubscriberStatus {
--- a/crates/proxy/src/net/fronts.rs
+++ b/crates/proxy/src/net/fronts.rs
@@ -6,7 +6,7 @@
 use super::streams::Streams;
 use super::Poll;
 use calloop::Readiness;
-use meadowrill_event_distribution::plan::{Identity, Plan as EventsPlan};
+use meadowrill_event_distribution::settings::{DistributionSettings as EventsPlan, Identity};
 use meadowrill_event_distribution::wire as events_wire;
 use meadowrill_membership::claim::State;
 use meadowrill_membership::envelope;
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -195,7 +195,8 @@
             self.tick_at = now + TICK;
             self.follow(now, |journal, poll, news| journal.keep_up(now, poll, news));
             let status = self.feed.status(now);
-            self.progress.note(now, status.done, self.feed.published());
+            self.progress
+                .note(now, status.in_force, self.feed.published());
         }
         if self.report_at.is_some_and(|at| now >= at) {
             self.report(now).log(&self.log);
@@ -223,7 +224,13 @@
                 }) => {
                     // Of both, the object is meant.
                     let key = object.map_or(PurgeKey::Group(group), PurgeKey::Object);
-                    self.feed.publish(now, Event::Purge(Purge { key, stamp }));
+                    self.feed.publish(
+                        now,
+                        Event::Purge(Purge {
+                            key,
+                            timestamp: stamp,
+                        }),
+                    );
                 }
                 // The list of caches goes to fronts by the journal service.
                 Ok(Change::Hosts { .. }) => {}
@@ -247,7 +254,9 @@
 
     fn report(&self, now: Micros) -> FeedReport {
         let status = self.feed.status(now);
-        let done_age = self.progress.age(now, status.done, self.feed.published());
+        let done_age = self
+            .progress
+            .age(now, status.in_force, self.feed.published());
         FeedReport {
             name: self.settings.name().to_string(),
             upstream: self.feed.upstream(now),
@@ -266,7 +275,7 @@
     fn metrics(&self, now: Micros) -> String {
         let report = self.report(now);
         let mut registry = Registry::with_prefix(report::events::PREFIX);
-        if report.status.done.is_some() {
+        if report.status.in_force.is_some() {
             let help = "Time from when an event was told until it was in force everywhere";
             registry.register("in_force_seconds", help, self.progress.took.clone());
         }
--- a/crates/proxy/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -2,10 +2,11 @@
 
 use super::settings::RelaySettings;
 use meadowrill_event_distribution::event::{Event, LogPosition};
-use meadowrill_event_distribution::output::{FeedStatus, Output, SubscriberStatus};
-use meadowrill_event_distribution::plan::Identity;
+use meadowrill_event_distribution::output::Output;
 use meadowrill_event_distribution::publisher::Publisher;
 use meadowrill_event_distribution::relay::Relay;
+use meadowrill_event_distribution::settings::Identity;
+use meadowrill_event_distribution::status::{DistributorStatus, SubscriberStatus};
 use meadowrill_routing::host::stable_id;
 use meadowrill_routing::interface::Micros;
 
@@ -54,7 +55,7 @@
         }
     }
 
-    pub(super) fn status(&self, now: Micros) -> FeedStatus {
+    pub(super) fn status(&self, now: Micros) -> DistributorStatus {
         match self {
             Feed::Relay(relay) => relay.status(now),
             Feed::Publisher(publisher) => publisher.status(now),
@@ -86,7 +87,7 @@
     /// Since when the journal service may have kept something back.
     pub(super) fn behind(&mut self, since: Option<Micros>) {
         if let Feed::Publisher(publisher) = self {
-            publisher.behind(since);
+            publisher.set_behind_since(since);
         }
     }
 }
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -1,7 +1,7 @@
 //! What a relay needs of the settings file.
 
 use crate::config::{read_settings, Faulty};
-use meadowrill_event_distribution::plan::Plan;
+use meadowrill_event_distribution::settings::DistributionSettings;
 use meadowrill_membership::plan::Plan as Fleet;
 use meadowrill_routing::interface::Micros;
 use meadowrill_settings::{Relay, Settings};
@@ -14,7 +14,7 @@
     /// All of the file.
     pub(super) own: Settings,
     pub(super) fleet: Fleet,
-    pub(super) events: Plan,
+    pub(super) events: DistributionSettings,
     pub(super) relay: Relay,
 }
 
--- a/crates/proxy/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -3,9 +3,11 @@
 
 use super::fleet::{Labels, Named, Seen};
 use crate::net::fronts::Fronts;
+use meadowrill_event_distribution::counters::{Counters, RejectReason};
 use meadowrill_event_distribution::event::LogPosition;
-use meadowrill_event_distribution::output::{
-    Counters, FedStatus, FeedStatus, Notice, Rejected, SubscriberStatus,
+use meadowrill_event_distribution::output::Notice;
+use meadowrill_event_distribution::status::{
+    DistributorStatus, LaggingSubscriber, SubscriberStatus,
 };
 use meadowrill_routing::interface::Micros;
 use serde_json::{json, Value};
@@ -81,7 +83,7 @@
 /// What a relay tells.
 pub(crate) struct FeedReport {
     pub name: String,
-    pub status: FeedStatus,
+    pub status: DistributorStatus,
     /// How it follows the one that feeds it; none where it publishes.
     pub upstream: Option<SubscriberStatus>,
     /// Where it publishes: for how long `done` has not got on, while something published is not in force everywhere.
@@ -109,21 +111,21 @@
         table.row(self.role(), &self.name);
         table.row("head", &position(Some(status.head)));
         table.row("acknowledged", &position(Some(status.acknowledged)));
-        if let Some(done) = status.done {
+        if let Some(done) = status.in_force {
             table.row("done", &position(Some(done)));
             table.row("done age", &self.done_age.map_or("-".into(), milliseconds));
             table.row("behind", &self.behind.map_or("-".into(), milliseconds));
         }
         table.row(
             "subscribers",
-            &format!("{}, {} with a lease", status.subscribers, status.leased),
+            &format!("{}, {} with a lease", status.subscribers, status.leases),
         );
-        for late in &status.late {
+        for late in &status.lagging {
             table.row("late", &late_text(late, status.head));
         }
         table.row("window", &format!("{} bytes", status.window_bytes));
         table.row("purges", &status.purges.to_string());
-        table.row("floor", &floor(status.floor, now));
+        table.row("floor", &floor(status.purge_floor, now));
         counter_rows(&mut table, &status.counters);
         table.row("unsent", &self.unsent.to_string());
         if let Some(upstream) = &self.upstream {
@@ -136,13 +138,13 @@
 
     pub(crate) fn json(&self, now: Micros) -> String {
         let status = &self.status;
-        let late: Vec<Value> = status.late.iter().map(late_json).collect();
+        let late: Vec<Value> = status.lagging.iter().map(late_json).collect();
         let all = json!({
             "role": self.role(), "name": self.name, "head": position_json(Some(status.head)),
-            "acknowledged": position_json(Some(status.acknowledged)), "done": position_json(status.done),
+            "acknowledged": position_json(Some(status.acknowledged)), "done": position_json(status.in_force),
             "done_age_us": self.done_age, "behind_us": self.behind, "in_force": self.in_force, "subscribers": status.subscribers,
-            "leased": status.leased, "late": late, "window_bytes": status.window_bytes,
-            "purges": status.purges, "floor_us": status.floor, "unsent": self.unsent,
+            "leased": status.leases, "late": late, "window_bytes": status.window_bytes,
+            "purges": status.purges, "floor_us": status.purge_floor, "unsent": self.unsent,
             "counters": counters_json(&status.counters),
             "upstream": self.upstream.as_ref().map(|upstream| subscriber_json(upstream, now)),
         });
@@ -168,12 +170,12 @@
             gauge(
                 "leased",
                 "Subscribers that hold a lease",
-                status.leased as f64,
+                status.leases as f64,
             ),
             gauge(
                 "late",
                 "Subscribers that lag or have lost their lease, up to a bound",
-                status.late.len() as f64,
+                status.lagging.len() as f64,
             ),
             gauge(
                 "window_bytes",
@@ -192,7 +194,7 @@
             ),
             gauge("purges", "Purges that are kept", status.purges as f64),
         ];
-        if let Some(done) = status.done {
+        if let Some(done) = status.in_force {
             let age = self.done_age.unwrap_or(0);
             gauges.push(gauge(
                 "done",
@@ -224,14 +226,14 @@
     pub(crate) fn log(&self, log: &Logger) {
         let status = &self.status;
         let late = status
-            .late
+            .lagging
             .iter()
             .map(|late| late.name.as_str())
             .collect::<Vec<_>>()
             .join(" ");
         info!(log, "events"; "head" => position(Some(status.head)),
-            "acknowledged" => position(Some(status.acknowledged)), "done" => position(status.done),
-            "subscribers" => status.subscribers, "leased" => status.leased, "late" => late,
+            "acknowledged" => position(Some(status.acknowledged)), "done" => position(status.in_force),
+            "subscribers" => status.subscribers, "leased" => status.leases, "late" => late,
             "window_bytes" => status.window_bytes, "purges" => status.purges);
     }
 }
@@ -251,15 +253,17 @@
     table.row("relay", &status.relay);
     table.row(
         "epoch",
-        &status.at.map_or("-".into(), |at| at.epoch.0.to_string()),
+        &status
+            .position
+            .map_or("-".into(), |at| at.epoch.0.to_string()),
     );
-    table.row("position", &position(status.head));
-    table.row("watermark", &position(status.at));
+    table.row("position", &position(status.relay_head));
+    table.row("watermark", &position(status.position));
     table.row("lag", &format!("{} events", lag(status)));
     table.row(
         "lease",
         &status
-            .lease_left
+            .lease_remaining
             .map_or("none".into(), |left| format!("{} left", milliseconds(left))),
     );
     table.row(
@@ -271,7 +275,7 @@
         },
     );
     table.row("purges", &status.purges.to_string());
-    table.row("floor", &floor(status.floor, now));
+    table.row("floor", &floor(status.purge_floor, now));
 }
 
 fn counter_rows(table: &mut Table, counters: &Counters) {
@@ -284,7 +288,7 @@
     for (name, count) in counts(counters) {
         table.row(name, &count.to_string());
     }
-    let rejected = Rejected::ALL
+    let rejected = RejectReason::ALL
         .iter()
         .zip(counters.rejected)
         .filter(|(_, count)| *count > 0);
@@ -307,25 +311,25 @@
         ("events", counters.events),
         ("batches", counters.batches),
         ("gaps", counters.gaps),
-        ("resent", counters.resent),
+        ("resent", counters.resend_requests),
         ("snapshots", counters.snapshots),
-        ("switches", counters.switches),
-        ("lapses", counters.lapses),
+        ("switches", counters.relay_changes),
+        ("lapses", counters.expired_leases),
         ("busy", counters.busy),
     ]
 }
 
 fn subscriber_json(status: &SubscriberStatus, now: Micros) -> Value {
     json!({
-        "relay": status.relay, "epoch": status.at.map(|at| at.epoch.0), "position": position_json(status.head),
-        "watermark": position_json(status.at), "lag": lag(status), "lease_left_us": status.lease_left,
-        "fetching_snapshot": status.fetching_snapshot, "purges": status.purges, "floor_us": status.floor,
-        "floor_age_us": status.floor.map(|floor| now - floor), "counters": counters_json(&status.counters),
+        "relay": status.relay, "epoch": status.position.map(|at| at.epoch.0), "position": position_json(status.relay_head),
+        "watermark": position_json(status.position), "lag": lag(status), "lease_left_us": status.lease_remaining,
+        "fetching_snapshot": status.fetching_snapshot, "purges": status.purges, "floor_us": status.purge_floor,
+        "floor_age_us": status.purge_floor.map(|floor| now - floor), "counters": counters_json(&status.counters),
     })
 }
 
 fn counters_json(counters: &Counters) -> Value {
-    let rejected = Rejected::ALL.iter().zip(counters.rejected);
+    let rejected = RejectReason::ALL.iter().zip(counters.rejected);
     let rejected: serde_json::Map<String, Value> = rejected
         .map(|(why, count)| (why.name().to_string(), count.into()))
         .collect();
@@ -339,7 +343,7 @@
     all
 }
 
-fn late_text(late: &FedStatus, head: LogPosition) -> String {
+fn late_text(late: &LaggingSubscriber, head: LogPosition) -> String {
     let behind = late.acknowledged.filter(|at| at.epoch == head.epoch);
     let behind = behind.map_or("of another epoch".into(), |at| {
         format!(
@@ -347,19 +351,19 @@
             head.position.saturating_sub(at.position)
         )
     });
-    let lease = late.lease_left.map_or("no lease".into(), |left| {
+    let lease = late.lease_remaining.map_or("no lease".into(), |left| {
         format!("lease {} left", milliseconds(left))
     });
     format!(
         "{}: {behind}, {lease}, heard {} ago",
         late.name,
-        milliseconds(late.heard_ago)
+        milliseconds(late.since_heartbeat)
     )
 }
 
-fn late_json(late: &FedStatus) -> Value {
+fn late_json(late: &LaggingSubscriber) -> Value {
     json!({"name": late.name, "acknowledged": position_json(late.acknowledged),
-        "lease_left_us": late.lease_left, "heard_ago_us": late.heard_ago})
+        "lease_left_us": late.lease_remaining, "heard_ago_us": late.since_heartbeat})
 }
 
 fn position(at: Option<LogPosition>) -> String {
@@ -377,9 +381,11 @@
 
 /// Events that the relay has told of and that are not applied.
 fn lag(status: &SubscriberStatus) -> u64 {
-    let Some(head) = status.head else { return 0 };
+    let Some(head) = status.relay_head else {
+        return 0;
+    };
     let applied = status
-        .at
+        .position
         .filter(|at| at.epoch == head.epoch)
         .map_or(0, |at| at.position);
     head.position.saturating_sub(applied)
@@ -432,8 +438,8 @@
         (name, help, values.collect::<Vec<_>>())
     };
     let rejected = sides.iter().flat_map(|(side, counters)| {
-        let why = |why: &Rejected| ("why".to_string(), why.name().to_string());
-        let reasons = Rejected::ALL.iter().zip(counters.rejected);
+        let why = |why: &RejectReason| ("why".to_string(), why.name().to_string());
+        let reasons = RejectReason::ALL.iter().zip(counters.rejected);
         reasons
             .map(|(reason, count)| ([labels(side), vec![why(reason)]].concat(), count))
             .collect::<Vec<_>>()
@@ -446,15 +452,15 @@
         count("applied", "Events applied", |c| c.events),
         count("batches", "Batches of events", |c| c.batches),
         count("gaps", "Batches with a gap before them", |c| c.gaps),
-        count("resent", "Batches sent again", |c| c.resent),
+        count("resent", "Batches sent again", |c| c.resend_requests),
         count("resumptions", "Snapshots fetched, or handed out", |c| {
             c.snapshots
         }),
         count("switches", "Times that another relay was asked", |c| {
-            c.switches
+            c.relay_changes
         }),
         count("lapses", "Leases that ended and were not renewed", |c| {
-            c.lapses
+            c.expired_leases
         }),
         count("busy", "Subscribers that were told to come later", |c| {
             c.busy
@@ -465,8 +471,8 @@
 
 fn subscriber_gauges(status: &SubscriberStatus) -> Vec<Named<f64>> {
     let (at, head) = (
-        status.at.unwrap_or_default(),
-        status.head.unwrap_or_default(),
+        status.position.unwrap_or_default(),
+        status.relay_head.unwrap_or_default(),
     );
     let mut gauges = upstream_gauges(status);
     gauges.extend([
@@ -495,12 +501,12 @@
         gauge(
             "lease_held",
             "1 while it holds a lease",
-            flag(status.lease_left.is_some()),
+            flag(status.lease_remaining.is_some()),
         ),
         gauge(
             "lease_left_seconds",
             "What is left of its lease",
-            seconds(status.lease_left.unwrap_or(0)),
+            seconds(status.lease_remaining.unwrap_or(0)),
         ),
         gauge(
             "fetching_snapshot",
@@ -513,25 +519,31 @@
 /// A line of the log.
 pub(crate) fn log_notice(log: &Logger, notice: &Notice) {
     match notice {
-        Notice::Leased { relay, without } => {
+        Notice::LeaseAcquired { relay, without } => {
             info!(log, "lease held"; "relay" => relay, "without_us" => without)
         }
-        Notice::Lapsed { relay } => {
+        Notice::LeaseExpired { relay } => {
             warn!(log, "lease lapsed: the age of copies is bounded"; "relay" => relay)
         }
-        Notice::Switched { from, to } => {
+        Notice::RelayChanged { from, to } => {
             warn!(log, "turned to another relay"; "from" => from, "to" => to)
         }
-        Notice::SnapshotBegun { relay } => info!(log, "snapshot begun"; "relay" => relay),
-        Notice::SnapshotDone { purges, took, at } => {
+        Notice::SnapshotStarted { relay } => info!(log, "snapshot begun"; "relay" => relay),
+        Notice::SnapshotCompleted {
+            purges,
+            took,
+            position: at,
+        } => {
             info!(log, "snapshot done"; "purges" => purges, "took_us" => took, "at" => position(Some(*at)))
         }
-        Notice::NewEpoch { at } => {
+        Notice::EpochStarted { position: at } => {
             warn!(log, "new epoch of the publisher"; "at" => position(Some(*at)))
         }
-        Notice::FloorRaised { floor } => {
+        Notice::PurgeFloorRaised { floor } => {
             error!(log, "no room for all purges: copies from before this stamp are refused"; "stamp_us" => floor)
         }
-        Notice::SubscriberLate { name } => warn!(log, "subscriber lost its lease"; "who" => name),
+        Notice::SubscriberLeaseExpired { name } => {
+            warn!(log, "subscriber lost its lease"; "who" => name)
+        }
     }
 }
--- a/crates/settings/src/events.rs
+++ b/crates/settings/src/events.rs
@@ -1,10 +1,10 @@
 //! `fleet { region events { ... } relay { ... } }`: how events come from relays, and what a relay does.
 
 use super::{address, fault, Faulty, Fleet, Node};
-use meadowrill_event_distribution::plan::{
-    Faulty as PlanFaulty, Plan, RelayAddress, RelayPlan, TEXT_MOST,
+use meadowrill_event_distribution::settings::{
+    DistributionSettings, InvalidSetting, RelayAddress, RelayLimits, MAX_TEXT_BYTES,
 };
-use meadowrill_event_distribution::plan::{MILLISECOND, SECOND};
+use meadowrill_event_distribution::settings::{MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 pub struct Relay {
     /// Which of the relays of the plan it is.
     pub name: String,
-    pub plan: RelayPlan,
+    pub plan: RelayLimits,
     /// Where its events come from, if it is the one that publishes.
     pub publish: Option<Publish>,
 }
@@ -29,15 +29,19 @@
 /// Region of this front or relay.
 pub(super) fn region(fleet: &Node, text: &str) -> Result<String, Faulty> {
     let region = fleet.text("region").unwrap_or_default();
-    if region.len() > TEXT_MOST {
-        let what = format!("is longer than {TEXT_MOST} bytes");
+    if region.len() > MAX_TEXT_BYTES {
+        let what = format!("is longer than {MAX_TEXT_BYTES} bytes");
         return Err(fault(text, fleet.key("region"), what));
     }
     Ok(region)
 }
 
 /// How events come from relays, if they do.
-pub(super) fn plan(fleet: &Node, members: &Fleet, text: &str) -> Result<Option<Plan>, Faulty> {
+pub(super) fn plan(
+    fleet: &Node,
+    members: &Fleet,
+    text: &str,
+) -> Result<Option<DistributionSettings>, Faulty> {
     let Some(node) = fleet.node("events") else {
         return Ok(None);
     };
@@ -46,24 +50,26 @@
         .iter()
         .map(|relay| relay_address(relay, text))
         .collect::<Result<Vec<_>, _>>()?;
-    let usual = Plan::new(members.number(), relays);
+    let usual = DistributionSettings::new(members.number(), relays);
     let span = |key: &str, unit: Micros, usual: Micros| {
         node.count(key).map_or(usual, |n| n as Micros * unit)
     };
-    let plan = Plan {
-        batch: span("batch_ms", MILLISECOND, usual.batch),
-        heartbeat: span("heartbeat_ms", MILLISECOND, usual.heartbeat),
-        retry: span("retry_ms", MILLISECOND, usual.retry),
-        tries: node.count("tries").map_or(usual.tries, |n| n as u32),
-        lease: span("lease_ms", MILLISECOND, usual.lease),
-        lag_most: span("lag_most_ms", MILLISECOND, usual.lag_most),
-        copy_age: span("copy_age_ms", MILLISECOND, usual.copy_age),
-        keep: span("keep_s", SECOND, usual.keep),
-        purges_most: node.count("purges_most").unwrap_or(usual.purges_most),
+    let plan = DistributionSettings {
+        batch_interval: span("batch_ms", MILLISECOND, usual.batch_interval),
+        heartbeat_interval: span("heartbeat_ms", MILLISECOND, usual.heartbeat_interval),
+        retry_interval: span("retry_ms", MILLISECOND, usual.retry_interval),
+        max_unanswered: node
+            .count("tries")
+            .map_or(usual.max_unanswered, |n| n as u32),
+        lease_duration: span("lease_ms", MILLISECOND, usual.lease_duration),
+        max_lag: span("lag_most_ms", MILLISECOND, usual.max_lag),
+        max_copy_age: span("copy_age_ms", MILLISECOND, usual.max_copy_age),
+        purge_retention: span("keep_s", SECOND, usual.purge_retention),
+        max_purges: node.count("purges_most").unwrap_or(usual.max_purges),
         ..usual
     };
-    plan.check()
-        .map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
+    plan.validate()
+        .map_err(|faulty: InvalidSetting| fault(text, node.key(faulty.key), faulty.reason))?;
     Ok(Some(plan))
 }
 
@@ -87,7 +93,7 @@
 /// What this process does as a relay, if it is to be one.
 pub(super) fn relay(
     fleet: &Node,
-    events: Option<&Plan>,
+    events: Option<&DistributionSettings>,
     text: &str,
 ) -> Result<Option<Relay>, Faulty> {
     let Some(node) = fleet.node("relay") else {
@@ -105,21 +111,21 @@
         let what = format!("{name:?} is none of fleet.events.relay");
         return Err(fault(text, node.key("name"), what));
     };
-    let usual = RelayPlan::default();
-    let plan = RelayPlan {
-        subscribers_most: node
+    let usual = RelayLimits::default();
+    let plan = RelayLimits {
+        max_subscribers: node
             .count("subscribers_most")
-            .unwrap_or(usual.subscribers_most),
-        joins_per_s: node
+            .unwrap_or(usual.max_subscribers),
+        joins_per_second: node
             .count("joins_per_s")
-            .map_or(usual.joins_per_s, |n| n as u64),
-        snapshot_bytes_per_s: node
+            .map_or(usual.joins_per_second, |n| n as u64),
+        snapshot_bytes_per_second: node
             .count("snapshot_bytes_per_s")
-            .map_or(usual.snapshot_bytes_per_s, |n| n as u64),
+            .map_or(usual.snapshot_bytes_per_second, |n| n as u64),
         window_bytes: node.count("window_bytes").unwrap_or(usual.window_bytes),
     };
-    plan.check()
-        .map_err(|faulty: PlanFaulty| fault(text, node.key(faulty.key), faulty.what))?;
+    plan.validate()
+        .map_err(|faulty: InvalidSetting| fault(text, node.key(faulty.key), faulty.reason))?;
     let publish = node
         .node("publish")
         .map(|node| publish(&node, text))
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 
 use ipnet::IpNet;
 use meadowrill_admission::config::{AdmissionConfig, ClientKey, QueueDiscipline, Tenant};
-use meadowrill_event_distribution::plan as distribution;
+use meadowrill_event_distribution::settings as distribution;
 use meadowrill_membership::plan::{self as fleet, Plan as Fleet};
 use meadowrill_replication::plan as replica;
 use miette::Diagnostic;
@@ -48,7 +48,7 @@
     /// Of this front or relay; empty if not told.
     pub region: String,
     /// How events come from relays.
-    pub events: Option<distribution::Plan>,
+    pub events: Option<distribution::DistributionSettings>,
     /// What a relay is to do; fronts do not look at it.
     pub relay: Option<Relay>,
 }
