--- a/crates/routing/src/fill_policy.rs
+++ b/crates/routing/src/fill_policy.rs
@@ -6,10 +6,10 @@
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::deadline::Slack;
+use crate::ended_attempt::EndedAttempt;
 use crate::endpoint::Tier;
 use crate::estimate::{SmoothedValue, DECAY_TIME, SAMPLE_WEIGHT};
 use crate::interface::{Action, CacheStatus, LogEvent, Micros};
-use crate::outcome::EndedAttempt;
 use crate::random::Random;
 use crate::time::SECOND;
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,7 +10,8 @@
 //! | `tail_retention` | which parts are cached |
 //! | `concurrency_limit` | how much may be in flight |
 //! | `slow_start` | what an endpoint gets that came up a short while ago |
-//! | `outlier_detection` | who is at fault, who is ejected, when a probe request goes out |
+//! | `fault_attribution` | who is to blame for an outcome |
+//! | `outlier_detection` | who is ejected, when a probe request goes out |
 //! | `fill_policy` | how far an attempt may go |
 //! | `retry` | whether another attempt may go out, and who pays for it |
 //! | `deadline` | latency objectives, slack, timeouts |
@@ -19,14 +20,16 @@
 //! | `response` | final answers |
 //! | `endpoint` | tiers, drains and removals as discovery lists them |
 //! | `request_class` | what work a request is expected to bring |
-//! | `planning`, `dispatch`, `outcome` | the phases of an attempt |
+//! | `planning`, `dispatch`, `outcome` | the phases of an attempt; `ended_attempt` says what an outcome means |
 
 mod concurrency_limit;
 mod deadline;
 mod dispatch;
+mod ended_attempt;
 mod endpoint;
 mod estimate;
 mod expiring_map;
+mod fault_attribution;
 mod fill_policy;
 mod freshness;
 pub mod host;
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,13 +1,13 @@
 //! The end of an attempt: who is at fault, what each estimate and limit learns of it, and how the request goes on.
 
 use crate::deadline;
+use crate::ended_attempt::EndedAttempt;
 use crate::endpoint::Tier;
 use crate::estimate::SAMPLE_WEIGHT;
-use crate::fill_policy::FillPolicy;
+use crate::fault_attribution::Fault;
 use crate::interface::{
     Action, AttemptEnd, AttemptOutcome, CacheStatus, EndpointIndex, LogEvent, Micros, Request,
 };
-use crate::outlier_detection::Fault;
 use crate::pending_request::{Attempt, PlannedAttempt};
 use crate::retry::{is_in_vain, next_fill_poll};
 use crate::router::Router;
@@ -19,109 +19,6 @@
 /// The most that a single hit says of a cache's slowdown.
 const MAX_SLOWDOWN_SAMPLE: f64 = 20.0;
 
-/// An attempt that has ended, with what the rules ask of it.
-pub(crate) struct EndedAttempt {
-    pub(crate) end: AttemptEnd,
-    pub(crate) attempt: Attempt,
-    pub(crate) request: Request,
-    pub(crate) fault: Fault,
-    /// The request was over before.
-    pub(crate) request_answered: bool,
-    /// The class's answers are never cached.
-    pub(crate) uncacheable: bool,
-    /// Caches report how they came by each answer.
-    pub(crate) complete_status: bool,
-    /// Latency objective of a request of the class that takes no work.
-    pub(crate) latency_objective: Micros,
-    /// Time that the request takes at full pace, in microseconds, as expected before this end.
-    pub(crate) expected_work: f64,
-    /// How many times its expected time a hit of the endpoint took before this end; at least 1.
-    pub(crate) slowdown: f64,
-    /// The work that it counts for, in microseconds; 0 unless it was served.
-    pub(crate) work_done: f64,
-}
-
-impl EndedAttempt {
-    pub(crate) fn policy(&self) -> FillPolicy {
-        self.attempt.policy
-    }
-
-    pub(crate) fn succeeded(&self) -> bool {
-        self.end.outcome == AttemptOutcome::Success
-    }
-
-    pub(crate) fn missed(&self) -> bool {
-        self.end.outcome == AttemptOutcome::Miss
-    }
-
-    /// A miss that the attempt asked about: it only tells where to ask next.
-    fn is_expected_miss(&self) -> bool {
-        self.missed() && self.policy().may_miss()
-    }
-
-    /// Served from the cache itself, as far as it is known: elsewhere times of fills are mixed in.
-    fn is_known_hit(&self) -> bool {
-        matches!(self.end.cache_status, CacheStatus::Hit | CacheStatus::Stale)
-            || (self.policy().stays_at_cache() && self.succeeded())
-    }
-
-    /// The cache reports that it was filled for this request.
-    pub(crate) fn was_filled(&self) -> bool {
-        let status = self.end.cache_status;
-        matches!(
-            status,
-            CacheStatus::FilledFromParent | CacheStatus::FilledFromOrigin
-        )
-    }
-
-    /// Served, with the first byte of the source early: the rest of the time was spent at the link.
-    pub(crate) fn had_early_first_byte(&self) -> bool {
-        let early = |first_byte| first_byte < self.latency_objective / 2;
-        self.succeeded() && self.end.first_byte.is_some_and(early)
-    }
-
-    /// The cache has not got it yet, and a fill of it is under way there.
-    fn found_fill_under_way(&self) -> bool {
-        self.policy() == FillPolicy::CacheOnly
-            && self.missed()
-            && self.end.cache_status == CacheStatus::JoinedFill
-    }
-
-    /// Cancelled before it was written, so it never ran.
-    fn was_withdrawn(&self) -> bool {
-        self.attempt.withdrawn && self.end.outcome == AttemptOutcome::Superseded
-    }
-
-    /// The endpoint answered. A reset too says that somebody is there, but a process that died refuses the next
-    /// connection.
-    fn was_answered(&self) -> bool {
-        matches!(
-            self.end.outcome,
-            AttemptOutcome::Success
-                | AttemptOutcome::Miss
-                | AttemptOutcome::Error
-                | AttemptOutcome::Rejected
-        )
-    }
-
-    /// Its time says how loaded fills are. A source that cannot be reached says nothing of that: it is passed over, and
-    /// links and other sources have capacity.
-    fn judges_fills(&self) -> bool {
-        let status = self.end.cache_status;
-        let source_unavailable = matches!(
-            status,
-            CacheStatus::SourceUnreachable | CacheStatus::SourceRejected
-        );
-        let is_fill = self.attempt.fill_share > 0.0 && !self.is_known_hit();
-        is_fill && !self.uncacheable && !source_unavailable
-    }
-
-    /// Its time says how loaded the cache itself is.
-    fn judges_endpoint(&self) -> bool {
-        self.succeeded() && self.is_known_hit() && !self.uncacheable
-    }
-}
-
 impl Attempt {
     /// Records which endpoints are spent for the request. `blames_source`: of two in doubt the source is at fault.
     fn record_end(&mut self, ended: &EndedAttempt, stalled: bool, blames_source: bool) {
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which endpoint is at fault for an outcome, which are ejected, and when a probe request goes out.
+//! Outlier detection: which endpoints are ejected, and when a probe request goes out.
 //!
 //! An endpoint is ejected while it is unresponsive, or while it fails clearly more than the others of its tier; failures
 //! that all share come from elsewhere, and with most of a tier ejected the rest would be overloaded. A slow cache is not
@@ -7,7 +7,8 @@
 
 use crate::endpoint::{Endpoint, EndpointTable, Tier};
 use crate::estimate::{SmoothedValue, DECAY_TIME, SAMPLE_WEIGHT};
-use crate::interface::{AttemptOutcome, CacheStatus, EndpointIndex, Micros};
+use crate::fault_attribution::Attribution;
+use crate::interface::{EndpointIndex, Micros};
 use crate::time::SECOND;
 
 /// Failure rate, and excess over the tier's mean, above which an endpoint is ejected.
@@ -68,103 +69,6 @@
     }
 }
 
-/// What an outcome says of an endpoint: a failure, a success, or nothing.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Attribution {
-    /// Whether it surely failed.
-    certain: Option<bool>,
-    /// Whether it may have failed.
-    suspected: Option<bool>,
-}
-
-/// Who is at fault for the outcome of an attempt.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Fault {
-    /// Surely the endpoint.
-    pub(crate) endpoint: bool,
-    /// Surely the source that it fills from.
-    pub(crate) source: bool,
-    /// One of the two.
-    pub(crate) unclear: bool,
-    success: bool,
-}
-
-impl Fault {
-    const NONE: Fault = Fault {
-        endpoint: false,
-        source: false,
-        unclear: false,
-        success: false,
-    };
-
-    /// Attributes an outcome. `complete_status`: caches report all that went wrong at their source.
-    pub(crate) fn attribute(
-        outcome: AttemptOutcome,
-        status: CacheStatus,
-        has_source: bool,
-        complete_status: bool,
-    ) -> Fault {
-        let fault = match outcome {
-            _ if status.blames_source() => Fault {
-                source: status != CacheStatus::OriginFailed,
-                ..Fault::NONE
-            },
-            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset => Fault {
-                endpoint: true,
-                ..Fault::NONE
-            },
-            AttemptOutcome::Rejected if status == CacheStatus::FillLimitReached => Fault::NONE,
-            AttemptOutcome::Error | AttemptOutcome::Rejected if complete_status || !has_source => {
-                Fault {
-                    endpoint: true,
-                    ..Fault::NONE
-                }
-            }
-            AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::TimedOut => Fault {
-                unclear: true,
-                ..Fault::NONE
-            },
-            AttemptOutcome::Success
-            | AttemptOutcome::Cancelled
-            | AttemptOutcome::Superseded
-            | AttemptOutcome::Miss => Fault::NONE,
-        };
-        Fault {
-            success: outcome == AttemptOutcome::Success,
-            ..fault
-        }
-    }
-
-    /// What it says of the endpoint. What is uncacheable runs at the origin: its errors are not the cache's.
-    pub(crate) fn of_endpoint(self, uncacheable: bool) -> Attribution {
-        self.attribution(self.endpoint && !uncacheable)
-    }
-
-    /// What it says of the source.
-    pub(crate) fn of_source(self) -> Attribution {
-        self.attribution(self.source)
-    }
-
-    fn attribution(self, at_fault: bool) -> Attribution {
-        Attribution {
-            certain: (at_fault || self.success).then_some(at_fault),
-            suspected: (self.unclear || self.success).then_some(self.unclear),
-        }
-    }
-}
-
-impl CacheStatus {
-    /// The cache did its part, and its source or the origin behind it did not.
-    pub(crate) fn blames_source(self) -> bool {
-        matches!(
-            self,
-            CacheStatus::SourceRejected
-                | CacheStatus::SourceUnreachable
-                | CacheStatus::OriginFailed
-        )
-    }
-}
-
 impl Health {
     /// Forgets the failures of the process before.
     pub(crate) fn forget_failures(&mut self) {
