--- /dev/null
+++ b/crates/event-distribution/src/distributor/admission.rs
@@ -0,0 +1,57 @@
+//! Which new subscribers are taken: as many in all, and as many a second, as the limits allow.
+
+use super::subscription::Subscription;
+use super::Distributor;
+use crate::counters::RejectReason;
+use crate::output::Output;
+use crate::time::Micros;
+use crate::wire::{Body, Busy, Heartbeat};
+use meadowrill_membership::rings::hash;
+use std::net::SocketAddr;
+
+/// Retry-After of those that are not served now is spread over this span, by their names.
+const MIN_RETRY_AFTER_MS: u64 = 100;
+const RETRY_AFTER_SPREAD_MS: u64 = 900;
+
+impl Distributor {
+    /// Takes in a new subscriber, or sends it a Retry-After.
+    pub(super) fn admit(
+        &mut self,
+        now: Micros,
+        heartbeat: &Heartbeat,
+        address: SocketAddr,
+        out: &mut Vec<Output>,
+    ) -> Result<(), RejectReason> {
+        if self.subscriptions.len() >= self.limits.max_subscribers {
+            self.send_busy(heartbeat, address, true, out);
+            return Err(RejectReason::Full);
+        }
+        if !self.joins.try_take(now, 1) {
+            self.send_busy(heartbeat, address, false, out);
+            return Ok(());
+        }
+        let subscription = Subscription::new(now, heartbeat.incarnation, address);
+        self.subscriptions
+            .insert(heartbeat.name.clone(), subscription);
+        Ok(())
+    }
+
+    /// A subscriber cannot be served now; where this member is full, it is to choose another relay.
+    pub(super) fn send_busy(
+        &mut self,
+        heartbeat: &Heartbeat,
+        address: SocketAddr,
+        full: bool,
+        out: &mut Vec<Output>,
+    ) {
+        self.counters.busy += 1;
+        let spread = hash(&heartbeat.name, u64::from(heartbeat.request));
+        let retry_after_ms = (MIN_RETRY_AFTER_MS + spread % RETRY_AFTER_SPREAD_MS) as u32;
+        let busy = Busy {
+            request: heartbeat.request,
+            retry_after_ms,
+            full,
+        };
+        self.send(address, Body::Busy(busy), out);
+    }
+}
--- /dev/null
+++ b/crates/event-distribution/src/event_codec.rs
@@ -0,0 +1,124 @@
+//! Events as bytes: a number that holds the difference of timestamps in milliseconds and the kind, then 8 bytes of an
+//! object or the number of a group. That makes 9 or 10 bytes for the purge of an object.
+
+use crate::counters::RejectReason;
+use crate::event::{Event, Purge, PurgeKey};
+use crate::time::MILLISECOND;
+use crate::timestamp;
+use prost::encoding::{decode_varint, encode_varint};
+
+/// Bytes of events in one datagram, so that the rest of the message fits beside them.
+pub const MAX_EVENT_BYTES: usize = 1000;
+/// Low bits of the first number of an event, which hold its kind.
+const KIND_BITS: u32 = 2;
+const KIND_OBJECT: u64 = 0;
+const KIND_GROUP: u64 = 1;
+
+/// Encodes events one behind the other.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub struct EventEncoder {
+    bytes: Vec<u8>,
+    count: u64,
+    last_milliseconds: i64,
+}
+
+impl EventEncoder {
+    /// Events encoded.
+    pub fn count(&self) -> u64 {
+        self.count
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.count == 0
+    }
+
+    /// False, and nothing is added, where there is no more room in a datagram.
+    #[must_use]
+    pub fn push(&mut self, event: &Event) -> bool {
+        let Event::Purge(purge) = *event;
+        let milliseconds = timestamp::to_milliseconds(timestamp::as_sent(purge.timestamp));
+        let difference = zigzag(milliseconds - self.last_milliseconds);
+        let length = self.bytes.len();
+        self.encode(difference, purge.key);
+        if self.bytes.len() > MAX_EVENT_BYTES {
+            self.bytes.truncate(length);
+            return false;
+        }
+        self.last_milliseconds = milliseconds;
+        self.count += 1;
+        true
+    }
+
+    fn encode(&mut self, difference: u64, key: PurgeKey) {
+        match key {
+            PurgeKey::Object(object) => {
+                encode_varint(difference << KIND_BITS | KIND_OBJECT, &mut self.bytes);
+                self.bytes.extend(object.to_le_bytes());
+            }
+            PurgeKey::Group(group) => {
+                encode_varint(difference << KIND_BITS | KIND_GROUP, &mut self.bytes);
+                encode_varint(u64::from(group), &mut self.bytes);
+            }
+        }
+    }
+
+    /// The events as bytes.
+    pub fn finish(self) -> Vec<u8> {
+        self.bytes
+    }
+}
+
+/// Reads what [`EventEncoder`] wrote.
+///
+/// # Errors
+///
+/// [`RejectReason::OutOfBounds`] for an unknown kind, a truncated event or a number out of bounds.
+pub fn decode_events(bytes: &[u8]) -> Result<Vec<Event>, RejectReason> {
+    let mut rest = bytes;
+    let mut events = Vec::new();
+    let mut milliseconds = 0i64;
+    while !rest.is_empty() {
+        let head = varint(&mut rest)?;
+        milliseconds = milliseconds
+            .checked_add(unzigzag(head >> KIND_BITS))
+            .filter(|milliseconds| timestamp::is_valid(*milliseconds))
+            .ok_or(RejectReason::OutOfBounds)?;
+        let key = decode_key(head & ((1 << KIND_BITS) - 1), &mut rest)?;
+        events.push(Event::Purge(Purge {
+            key,
+            timestamp: milliseconds * MILLISECOND,
+        }));
+    }
+    Ok(events)
+}
+
+fn decode_key(kind: u64, rest: &mut &[u8]) -> Result<PurgeKey, RejectReason> {
+    match kind {
+        KIND_OBJECT => {
+            let (object, behind) = rest
+                .split_first_chunk::<8>()
+                .ok_or(RejectReason::OutOfBounds)?;
+            *rest = behind;
+            Ok(PurgeKey::Object(u64::from_le_bytes(*object)))
+        }
+        KIND_GROUP => {
+            let group = varint(rest)?;
+            let group = u32::try_from(group).map_err(|_| RejectReason::OutOfBounds)?;
+            Ok(PurgeKey::Group(group))
+        }
+        _ => Err(RejectReason::OutOfBounds),
+    }
+}
+
+fn varint(rest: &mut &[u8]) -> Result<u64, RejectReason> {
+    decode_varint(rest).map_err(|_| RejectReason::OutOfBounds)
+}
+
+fn zigzag(value: i64) -> u64 {
+    ((value << 1) ^ (value >> 63)) as u64
+}
+
+fn unzigzag(value: u64) -> i64 {
+    (value >> 1) as i64 ^ -((value & 1) as i64)
+}
--- /dev/null
+++ b/crates/event-distribution/src/publisher/batching.rs
@@ -0,0 +1,68 @@
+//! Batches: what was published since the last one, without what is known already.
+
+use super::Publisher;
+use crate::event::{Event, Position};
+use crate::event_codec::EventEncoder;
+use crate::time::Micros;
+
+/// An event that is not in a batch yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PendingEvent {
+    pub(super) event: Event,
+    pub(super) published_at: Micros,
+}
+
+impl Publisher {
+    /// Appends all pending events to the log, without what is known: a service delivers again what it delivered before a
+    /// start. That is followed as well until it is in force everywhere.
+    pub(super) fn append_pending(&mut self, now: Micros) {
+        let mut encoder = EventEncoder::default();
+        let mut events: Vec<Event> = Vec::new();
+        for pending in std::mem::take(&mut self.pending) {
+            if self.is_expired(now, &pending.event) {
+                continue;
+            }
+            let is_new = !self.is_known(&pending.event);
+            if is_new && !encoder.push(&pending.event) {
+                self.append(now, &mut events, std::mem::take(&mut encoder));
+                // An empty one has room for any event.
+                let _ = encoder.push(&pending.event);
+            }
+            events.extend(is_new.then_some(pending.event));
+            self.track(pending, events.len() as Position);
+        }
+        self.append(now, &mut events, encoder);
+    }
+
+    fn is_expired(&self, now: Micros, event: &Event) -> bool {
+        let Event::Purge(purge) = event;
+        self.log
+            .purges
+            .retained_from(now)
+            .is_some_and(|retained_from| purge.timestamp < retained_from)
+    }
+
+    fn is_known(&self, event: &Event) -> bool {
+        let Event::Purge(purge) = event;
+        self.log
+            .purges
+            .timestamp(purge.key)
+            .is_some_and(|timestamp| timestamp >= purge.timestamp)
+    }
+
+    fn append(&mut self, now: Micros, events: &mut Vec<Event>, encoder: EventEncoder) {
+        if !events.is_empty() {
+            self.log.append(now, events, encoder.finish());
+            events.clear();
+        }
+    }
+
+    /// Waits for an event to be in force everywhere: whoever has applied the log and `appended_next` events behind it has
+    /// applied this one.
+    fn track(&mut self, pending: PendingEvent, appended_next: Position) {
+        let mut end = self.log.position().unwrap_or_default();
+        end.position += appended_next;
+        self.in_force
+            .track(pending.event, pending.published_at, end);
+    }
+}
--- /dev/null
+++ b/crates/event-distribution/src/subscriber/heartbeat.rs
@@ -0,0 +1,175 @@
+//! When heartbeats are sent, and which of them are still to be answered.
+//!
+//! Invariants: request numbers grow with each heartbeat; an answer counts once, and only while its request is among the
+//! last [`MAX_OUTSTANDING`]; what is to be sent again is requested at most once in a retry interval.
+
+use crate::counters::RejectReason;
+use crate::jitter::Jitter;
+use crate::settings::DistributionSettings;
+use crate::time::{Micros, SECOND};
+use std::collections::VecDeque;
+
+/// Heartbeats whose answers are still waited for.
+const MAX_OUTSTANDING: usize = 32;
+/// The first request number is drawn up to this, so that answers to an earlier start match none.
+const MAX_FIRST_REQUEST: i64 = 1 << 20;
+/// The pause between heartbeats while no relay answers is drawn from this range.
+const MIN_BACKOFF: Micros = SECOND / 2;
+const MAX_BACKOFF: Micros = 3 * SECOND / 2;
+
+/// A heartbeat whose answer has not come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct OutstandingRequest {
+    number: u32,
+    pub(super) sent_at: Micros,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct HeartbeatSchedule {
+    outstanding: VecDeque<OutstandingRequest>,
+    next_request: u32,
+    last_sent_at: Micros,
+    next_at: Micros,
+    /// Heartbeats since the last answer, to this relay and to all.
+    unanswered: u32,
+    unanswered_by_all: u32,
+    /// The next heartbeat asks to send again what was lost.
+    resend: bool,
+    /// When a heartbeat last did.
+    resend_requested_at: Option<Micros>,
+}
+
+impl HeartbeatSchedule {
+    pub(super) fn new(now: Micros, jitter: &mut Jitter) -> HeartbeatSchedule {
+        HeartbeatSchedule {
+            outstanding: VecDeque::new(),
+            next_request: 1 + jitter.draw(0, MAX_FIRST_REQUEST) as u32,
+            last_sent_at: now,
+            next_at: now,
+            unanswered: 0,
+            unanswered_by_all: 0,
+            resend: false,
+            resend_requested_at: None,
+        }
+    }
+
+    pub(super) fn next_at(&self) -> Micros {
+        self.next_at
+    }
+
+    /// Heartbeats to this relay since its last answer.
+    pub(super) fn unanswered(&self) -> u32 {
+        self.unanswered
+    }
+
+    /// Whether this is the number of the last heartbeat that was sent.
+    pub(super) fn is_last_request(&self, request: u32) -> bool {
+        request.checked_add(1) == Some(self.next_request)
+    }
+
+    /// A heartbeat is sent: its number, and whether it asks to send again.
+    pub(super) fn begin(&mut self, now: Micros) -> (u32, bool) {
+        let resend = std::mem::take(&mut self.resend);
+        if resend {
+            self.resend_requested_at = Some(now);
+        }
+        let number = self.next_request;
+        self.outstanding.push_back(OutstandingRequest {
+            number,
+            sent_at: now,
+        });
+        if self.outstanding.len() > MAX_OUTSTANDING {
+            self.outstanding.pop_front();
+        }
+        self.next_request += 1;
+        self.unanswered += 1;
+        self.unanswered_by_all = self.unanswered_by_all.saturating_add(1);
+        self.last_sent_at = now;
+        (number, resend)
+    }
+
+    /// The next heartbeat, if no answer comes: soon, or after a drawn pause where no relay answers.
+    pub(super) fn schedule_retry(
+        &mut self,
+        now: Micros,
+        settings: &DistributionSettings,
+        relays: u32,
+        jitter: &mut Jitter,
+    ) {
+        let pause = if self.unanswered_by_all > settings.max_unanswered * relays {
+            jitter.draw(MIN_BACKOFF, MAX_BACKOFF)
+        } else {
+            settings.retry_interval
+        };
+        self.next_at = now + pause;
+    }
+
+    pub(super) fn schedule_at(&mut self, at: Micros) {
+        self.next_at = at;
+    }
+
+    /// No lease was granted: again as soon as the retry interval of that request is over.
+    pub(super) fn schedule_after_refusal(
+        &mut self,
+        now: Micros,
+        request: OutstandingRequest,
+        settings: &DistributionSettings,
+    ) {
+        let retry_at = request.sent_at + settings.retry_interval;
+        self.next_at = self.next_at.min(retry_at).max(now);
+    }
+
+    /// A lease was granted: the next heartbeat follows the interval, unless something has to be sent again.
+    pub(super) fn schedule_after_grant(
+        &mut self,
+        now: Micros,
+        request: OutstandingRequest,
+        interval: Micros,
+    ) {
+        if !self.resend {
+            self.next_at = (request.sent_at + interval).max(now);
+        }
+    }
+
+    /// Something was lost. A heartbeat at once, but not before what the last one requested can be here: it would all be
+    /// sent once more.
+    pub(super) fn request_resend(&mut self, now: Micros, settings: &DistributionSettings) {
+        self.resend = true;
+        let answered_by = self
+            .resend_requested_at
+            .map_or(now, |requested_at| requested_at + settings.retry_interval);
+        let earliest = self.last_sent_at + settings.batch_interval / 2;
+        let at = now.max(earliest).max(answered_by);
+        self.next_at = self.next_at.min(at);
+    }
+
+    /// Whether something is still lost.
+    pub(super) fn set_resend(&mut self, resend: bool) {
+        self.resend = resend;
+    }
+
+    /// The relay has answered this request.
+    pub(super) fn take_answered(
+        &mut self,
+        number: u32,
+    ) -> Result<OutstandingRequest, RejectReason> {
+        let request = self
+            .outstanding
+            .iter()
+            .position(|request| request.number == number)
+            .and_then(|index| self.outstanding.remove(index))
+            .ok_or(RejectReason::Unexpected)?;
+        (self.unanswered, self.unanswered_by_all) = (0, 0);
+        Ok(request)
+    }
+
+    /// Later answers to what was sent so far count no more.
+    pub(super) fn forget_outstanding(&mut self) {
+        self.outstanding.clear();
+    }
+
+    /// Another relay was chosen.
+    pub(super) fn relay_changed(&mut self) {
+        self.unanswered = 0;
+    }
+}
--- /dev/null
+++ b/crates/event-distribution/src/subscriber/snapshot.rs
@@ -0,0 +1,128 @@
+//! Snapshots: all purges in force, for whoever is behind a relay's window.
+//!
+//! Invariants: a fetch is of one epoch, never one before the log's; the position moves only once all parts are here, to
+//! the least position of their writers, and never back.
+
+use super::Subscriber;
+use crate::counters::RejectReason;
+use crate::event::{Event, LogPosition};
+use crate::event_codec::decode_events;
+use crate::output::{Notice, Output};
+use crate::snapshot_fetch::{FetchProgress, PartEnd, SnapshotFetch};
+use crate::time::Micros;
+use crate::wire::{SnapshotPart, WireCursor};
+
+impl Subscriber {
+    pub(super) fn receive_part(
+        &mut self,
+        now: Micros,
+        part: SnapshotPart,
+        out: &mut Vec<Output>,
+    ) -> Result<(), RejectReason> {
+        let writer = part
+            .position
+            .map(LogPosition::from)
+            .ok_or(RejectReason::OutOfBounds)?;
+        self.check_epoch(writer, part.request)?;
+        let events = decode_events(&part.events)?;
+        let is_answer = self.heartbeats.take_answered(part.request).is_ok();
+        if !is_answer && self.fetch.is_none() {
+            return Err(RejectReason::Unexpected);
+        }
+        let end = PartEnd {
+            next: part.next.and_then(WireCursor::to_cursor),
+            is_paused: part.is_paused,
+        };
+        let after = part.after.and_then(WireCursor::to_cursor);
+        let fetch = self.fetch_of(now, writer, out);
+        let progress = fetch.add_part(after, end);
+        if progress == FetchProgress::Useless {
+            return Err(RejectReason::Unexpected);
+        }
+        fetch.record_applied(writer, events.len() as u64);
+        self.apply_part(events, part.purge_floor, out);
+        match progress {
+            FetchProgress::Complete => self.finish_fetch(now, out),
+            FetchProgress::Paused => self.heartbeats.schedule_at(now),
+            FetchProgress::MoreUnderWay => {
+                let at = now + self.settings.retry_interval;
+                self.heartbeats.schedule_at(at);
+            }
+            FetchProgress::Ahead | FetchProgress::Useless => {}
+        }
+        self.relays.record_progress(now);
+        Ok(())
+    }
+
+    /// Rejects parts of an epoch before the own one, and late ones of a relay that was followed before. Where the relay
+    /// that is followed now is in an older epoch than the snapshot that was begun, it is begun anew: nothing of it counts
+    /// as applied.
+    fn check_epoch(&self, writer: LogPosition, request: u32) -> Result<(), RejectReason> {
+        let is_before_log = self
+            .log
+            .position()
+            .is_some_and(|own| writer.epoch < own.epoch);
+        let is_before_fetch = self
+            .fetch
+            .as_ref()
+            .is_some_and(|fetch| writer.epoch < fetch.least_writer.epoch);
+        let is_late = !self.heartbeats.is_last_request(request);
+        if is_before_log || (is_late && is_before_fetch) {
+            return Err(RejectReason::OldEpoch);
+        }
+        Ok(())
+    }
+
+    /// The fetch that is under way in the writer's epoch, or a new one.
+    fn fetch_of(
+        &mut self,
+        now: Micros,
+        writer: LogPosition,
+        out: &mut Vec<Output>,
+    ) -> &mut SnapshotFetch {
+        let former = self.fetch.take();
+        let started_at = former.as_ref().map_or(now, |fetch| fetch.started_at);
+        let current = former.filter(|fetch| fetch.least_writer.epoch == writer.epoch);
+        if current.is_none() {
+            self.counters.snapshots += 1;
+            let relay = self.relays.current_name();
+            out.push(Output::Notice(Notice::SnapshotStarted { relay }));
+        }
+        let fetch = current.unwrap_or_else(|| SnapshotFetch::new(started_at, writer));
+        self.fetch.insert(fetch)
+    }
+
+    fn apply_part(&mut self, events: Vec<Event>, floor: Option<Micros>, out: &mut Vec<Output>) {
+        if let Some(floor) = floor {
+            self.log.purges.raise_floor(floor);
+        }
+        for Event::Purge(purge) in events {
+            if self.log.purges.insert(purge) {
+                out.push(Output::Apply(Event::Purge(purge)));
+            }
+        }
+    }
+
+    /// All parts are here: the log goes on from the least position of their writers.
+    fn finish_fetch(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let Some(fetch) = self.fetch.take() else {
+            return;
+        };
+        // A relay that is behind this one may have written a part: what was applied before still counts.
+        let position = self
+            .log
+            .position()
+            .map_or(fetch.least_writer, |own| own.max(fetch.least_writer));
+        self.log.reset(position);
+        self.snapshot_reaches = Some(fetch.largest_writer);
+        self.reorder_buffer.clear();
+        // Parts that are still under way begin no new one.
+        self.heartbeats.forget_outstanding();
+        self.heartbeats.schedule_at(now);
+        out.push(Output::Notice(Notice::SnapshotCompleted {
+            purges: fetch.purges,
+            took: now - fetch.started_at,
+            position,
+        }));
+    }
+}
