--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -480,5 +480,7 @@
     }
 }
 
+#[cfg(test)]
+mod recorded;
 #[cfg(test)]
 mod tests;
