--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -87,7 +87,7 @@
             self.waits.clone(),
         );
         registry.register_collector(Box::new(AdmissionCollector(door.report())));
-        let mut own = Registry::with_prefix("meadowrill_proxy");
+        let mut own = Registry::with_prefix("meadowrill_front");
         own.register_collector(Box::new(availability::Seen::new(availability)));
         let mut registries = vec![registry, own];
         if let Some(fronts) = fronts {
