--- a/crates/event-distribution/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -1,9 +1,9 @@
 //! The feeding side of a relay or a publisher: it answers the heartbeats of subscribers with events, snapshots and leases.
 //!
 //! Invariants:
-//! - Nobody that lacks what was reported upstream gets a lease (`lease_table`).
+//! - No subscriber that lacks what was reported upstream gets a lease (`lease_table`).
 //! - No lease is granted beyond what [`FeedSource::max_lease`] allows.
-//! - What a subscriber reports beyond the own log is not believed.
+//! - What a subscriber reports beyond the own log is not accepted.
 
 mod admission;
 mod leasing;
@@ -26,7 +26,7 @@
 
 /// Datagrams of events that one subscriber gets at once.
 const MAX_BATCHES_AT_ONCE: usize = 16;
-/// A subscriber that has not been heard for so many leases is forgotten.
+/// A subscriber without a heartbeat for so many lease durations is removed.
 const FORGET_AFTER_LEASES: Micros = 4;
 
 /// What a member can hand on at this moment.
@@ -91,7 +91,7 @@
         };
         let reported = heartbeat.position.map(LogPosition::from);
         if reported.is_some_and(|at| at.epoch == head.epoch && at.position > head.position) {
-            // It is ahead of a relay that lags; of a publisher nobody is. Nothing of it is believed, or leased to it.
+            // It is ahead of a relay that lags; of a publisher nobody is. Its report is not accepted, and it gets no lease.
             self.answer_without_lease(heartbeat, address, head, source.hops, out);
             return Err(RejectReason::AheadOfLog);
         }
@@ -99,22 +99,20 @@
         let (position, acknowledged) = (subscription.position(), subscription.acknowledged());
         self.counters.resend_requests += u64::from(heartbeat.resend);
         if let Some(acknowledged) = acknowledged {
-            let holder = LeaseHolder {
-                name: heartbeat.name.clone(),
-                incarnation: heartbeat.incarnation,
-            };
+            let holder = LeaseHolder::new(&heartbeat.name, heartbeat.incarnation);
             self.leases.acknowledge(&holder, acknowledged);
         }
-        let newer = Some(Epoch(heartbeat.newer_epoch)).filter(|newer| *newer > head.epoch);
-        let continues = position.filter(|_| !heartbeat.fetching_snapshot);
-        match continues.map(|position| (position, source.log.next_after(position))) {
+        let fed = Some(Epoch(heartbeat.newer_epoch)).filter(|newer| *newer > head.epoch);
+        let continues_from = position.filter(|_| !heartbeat.fetching_snapshot);
+        match continues_from.map(|position| (position, source.log.next_after(position))) {
+            Some((position, NextInLog::Ahead)) => return Ok(fed.max(Some(position.epoch))),
             None | Some((_, NextInLog::Missing)) => {
                 self.send_snapshot(now, heartbeat, address, source.log, out);
-                Ok(newer)
             }
-            Some((position, NextInLog::Ahead)) => Ok(newer.max(Some(position.epoch))),
-            Some(_) => Ok(newer),
+            // Events and the answer go out with the next flush.
+            Some(_) => {}
         }
+        Ok(fed)
     }
 
     fn answer_without_lease(
--- a/crates/event-distribution/src/distributor/leasing.rs
+++ b/crates/event-distribution/src/distributor/leasing.rs
@@ -9,9 +9,9 @@
 use crate::wire::LeaseGrant;
 
 impl Distributor {
-    /// Everything up to here has been applied by this member and by all that hold a lease of it. Whoever is behind gets
-    /// no lease from now on. Those that wait for their first lease and do not lag are not put behind by it: else none
-    /// would get one with a log that grows with each batch.
+    /// Everything up to here has been applied by this member and by all lease holders. A subscriber that is behind gets
+    /// no lease from now on. Those that wait for their first lease and do not lag are not put behind by it: otherwise
+    /// none would get one with a log that grows with each batch.
     pub(crate) fn report_acknowledged(
         &mut self,
         now: Micros,
@@ -29,7 +29,7 @@
         self.leases.report(least)
     }
 
-    /// Before the first lease: whoever is behind this gets none.
+    /// No subscriber behind this position gets a lease from now on.
     pub(crate) fn require_for_lease(&mut self, position: LogPosition) {
         self.leases.report(position);
     }
@@ -50,10 +50,7 @@
             None
         };
         if let Some(acknowledged) = holds {
-            let holder = LeaseHolder {
-                name: name.into(),
-                incarnation: subscription.incarnation(),
-            };
+            let holder = LeaseHolder::new(name, subscription.incarnation());
             let expires_at = now + self.settings.with_drift(span);
             self.leases.grant(holder, acknowledged, expires_at);
         }
--- a/crates/event-distribution/src/distributor/status.rs
+++ b/crates/event-distribution/src/distributor/status.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Those that lag or have no lease, the latest heard first.
+    /// Those that lag or have no lease, the most recent heartbeat first.
     fn lagging(&self, now: Micros, log: &EventLog) -> Vec<LaggingSubscriber> {
         let due = log.reached_by(now - self.settings.max_lag);
         let mut lagging: Vec<LaggingSubscriber> = self
@@ -49,10 +49,7 @@
     }
 
     fn describe(&self, now: Micros, name: &str, subscription: &Subscription) -> LaggingSubscriber {
-        let holder = LeaseHolder {
-            name: name.into(),
-            incarnation: subscription.incarnation(),
-        };
+        let holder = LeaseHolder::new(name, subscription.incarnation());
         let lease_remaining = self
             .leases
             .expires_at(&holder)
--- a/crates/event-distribution/src/distributor/subscription.rs
+++ b/crates/event-distribution/src/distributor/subscription.rs
@@ -1,7 +1,7 @@
 //! What a member knows of one subscriber that it feeds.
 //!
 //! Invariants: request numbers and positions of one incarnation only grow; `sent` is never behind `position` unless the
-//! subscriber asked to send again from there.
+//! subscriber requested a resend from there.
 
 use super::empty_batch;
 use crate::counters::RejectReason;
@@ -173,7 +173,7 @@
     batch: &StoredBatch,
     head: LogPosition,
 ) -> Batch {
-    // Of a former epoch all that is kept is announced: whoever reads it learns of the next one by itself.
+    // Of a former epoch everything stored is announced; a subscriber that reaches its end learns of the next one then.
     let announced = if epoch == head.epoch {
         head.position
     } else {
--- a/crates/event-distribution/src/event_log.rs
+++ b/crates/event-distribution/src/event_log.rs
@@ -9,7 +9,7 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Epochs whose batches are kept: the current one and the one before, for those who have not come so far.
+/// Epochs whose batches are stored: the current one, and the former one for subscribers that are still in it.
 const MAX_SEGMENTS: usize = 2;
 
 /// Encoded events in order.
@@ -32,11 +32,11 @@
     }
 }
 
-/// What is kept of one epoch.
+/// What is stored of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Segment {
     epoch: Epoch,
-    /// Whoever has applied this much of the former epoch may go on with this one.
+    /// A subscriber that has applied this much of the former epoch may continue with this one.
     continues_from: Option<LogPosition>,
     /// Events up to here are no longer in the window.
     window_start: Position,
@@ -45,7 +45,7 @@
 }
 
 impl Segment {
-    /// Its start, for whoever has applied enough of the former epoch.
+    /// Its start, for a subscriber that has applied enough of the former epoch.
     fn start_after(&self, from: LogPosition) -> NextInLog<'_> {
         let reached = self
             .continues_from
@@ -78,7 +78,7 @@
     Batch {
         /// Of the events.
         epoch: Epoch,
-        /// Whoever has applied this much of the former epoch may go on with this one.
+        /// A subscriber that has applied this much of the former epoch may continue with this one.
         continues_from: Option<LogPosition>,
         /// The events.
         batch: &'a StoredBatch,
@@ -92,7 +92,7 @@
     },
     /// Nothing yet.
     UpToDate,
-    /// What comes next is no longer kept, or of an epoch that is not known.
+    /// What comes next is no longer stored, or of an epoch that is not known.
     Missing,
     /// The position has not been reached here.
     Ahead,
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Bytes of the batches kept.
+    /// Bytes of the batches stored.
     pub fn window_bytes(&self) -> usize {
         self.window_bytes
     }
@@ -236,7 +236,7 @@
                 _ => NextInLog::Missing,
             };
         };
-        // What is kept of a former epoch goes first, also where the next one may do without it.
+        // What is stored of a former epoch goes first, even where the next epoch does not require it.
         if let Some(batch) = segment.batch_at(from.position) {
             return NextInLog::Batch {
                 epoch: segment.epoch,
--- a/crates/event-distribution/src/lease_table.rs
+++ b/crates/event-distribution/src/lease_table.rs
@@ -1,6 +1,6 @@
 //! Leases that a member has granted, and the least position that their holders have applied.
 //!
-//! Invariant: no holder is behind `reported`. Whoever is gets no lease, or what was reported would become untrue.
+//! Invariant: no holder is behind `reported`. A subscriber that is behind gets no lease, or what was reported would become untrue.
 
 use crate::event::LogPosition;
 use crate::time::Micros;
@@ -13,6 +13,15 @@
     pub(crate) incarnation: u64,
 }
 
+impl LeaseHolder {
+    pub(crate) fn new(name: &str, incarnation: u64) -> LeaseHolder {
+        LeaseHolder {
+            name: name.into(),
+            incarnation,
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
     expires_at: Micros,
@@ -84,7 +93,7 @@
             .fold(own, LogPosition::min)
     }
 
-    /// The same, to be sent upstream: no lease is granted to whoever is behind it from now on.
+    /// The same, to be sent upstream: no lease is granted to a subscriber behind it from now on.
     pub(crate) fn report(&mut self, own: LogPosition) -> LogPosition {
         self.reported = self.reported.max(self.least_acknowledged(own));
         self.reported
--- a/crates/event-distribution/src/publisher.rs
+++ b/crates/event-distribution/src/publisher.rs
@@ -79,7 +79,7 @@
         publisher
     }
 
-    /// An epoch that is larger than any that was heard of.
+    /// The first epoch of this start, larger than any that others are in.
     fn begin_epoch(&mut self, now: Micros, continues_from: Option<LogPosition>) {
         let epoch = epoch::first(now, continues_from, self.seed);
         self.log.begin_epoch(epoch, continues_from);
@@ -95,7 +95,7 @@
         if self.pending.len() < self.settings.max_purges {
             return;
         }
-        // More than is kept does not wait: the next tick goes on without what others know.
+        // More than can be stored does not wait: recovery ends at the next tick.
         match &mut self.recovery {
             Some(recovery) => recovery.end_at(now),
             None => self.append_pending(now),
@@ -210,7 +210,7 @@
         self.distributor.tick(now, out);
         if self.recovery.is_none() {
             self.append_pending(now);
-            self.note_caught_up();
+            self.check_caught_up();
             self.update_in_force(now, out);
         }
         let source = FeedSource {
@@ -221,8 +221,8 @@
         self.distributor.flush(now, &source, out);
     }
 
-    /// Whoever lacks what was delivered before the first lease gets none.
-    fn note_caught_up(&mut self) {
+    /// Once the service has delivered everything: a subscriber that lacks any of it gets no lease.
+    fn check_caught_up(&mut self) {
         if self.has_caught_up || self.behind_since.is_some() {
             return;
         }
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Whether no lease of an earlier start of the publisher can be held any more.
+    /// Whether no lease of an earlier start of the publisher can be valid any more.
     fn are_earlier_leases_over(&self, now: Micros) -> bool {
         let longest = self.settings.with_drift(self.settings.lease_duration);
         now >= self.started_at + longest + self.settings.batch_interval
--- a/crates/event-distribution/src/publisher/batching.rs
+++ b/crates/event-distribution/src/publisher/batching.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Waits for an event to be in force everywhere: whoever has applied the log and `appended_next` events behind it has
-    /// applied this one.
+    /// Tracks an event until it is in force everywhere: a subscriber that has applied the log and `appended_next` events
+    /// behind it has applied this one.
     fn track(&mut self, pending: PendingEvent, appended_next: Position) {
         let mut end = self.log.position().unwrap_or_default();
         end.position += appended_next;
--- a/crates/event-distribution/src/publisher/epoch.rs
+++ b/crates/event-distribution/src/publisher/epoch.rs
@@ -1,9 +1,9 @@
-//! The numbers of epochs: by the clock, and beyond any epoch that was heard of.
+//! The numbers of epochs: by the clock, and beyond any epoch that others are in.
 
 use crate::event::{Epoch, LogPosition};
 use crate::time::Micros;
 
-/// Between an epoch that was heard of and one that is drawn to follow it.
+/// Largest step from an epoch that others are in to one that is drawn to follow it.
 const MAX_STEP: u64 = 1 << 32;
 
 /// The first epoch of a start, where others have come up to `continues_from`.
@@ -13,7 +13,7 @@
 }
 
 /// A later one, drawn: where the clock has stepped back, an earlier start may have gone on from the same epoch.
-pub(super) fn beyond(heard: Epoch, seed: u64) -> Epoch {
-    let step = fastrand::Rng::with_seed(seed ^ heard.0).u64(1..=MAX_STEP);
-    Epoch(heard.0 + step)
+pub(super) fn beyond(known: Epoch, seed: u64) -> Epoch {
+    let step = fastrand::Rng::with_seed(seed ^ known.0).u64(1..=MAX_STEP);
+    Epoch(known.0 + step)
 }
--- a/crates/event-distribution/src/publisher/in_force.rs
+++ b/crates/event-distribution/src/publisher/in_force.rs
@@ -16,7 +16,7 @@
 struct TrackedEvent {
     event: Event,
     published_at: Micros,
-    /// Whoever has come so far has applied it.
+    /// A subscriber at this position has applied it.
     end: LogPosition,
 }
 
@@ -47,7 +47,7 @@
         self.position = LogPosition { epoch, position: 0 };
     }
 
-    /// Whoever has come to `end` has applied this event.
+    /// A subscriber at `end` has applied this event.
     pub(super) fn track(&mut self, event: Event, published_at: Micros, end: LogPosition) {
         self.tracked.push_back(TrackedEvent {
             event,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The log reaches so far now. Of what it reached up to `needed_at` the latest is kept.
+    /// The log reaches so far now. Of the heads up to `needed_at` only the latest is retained.
     pub(super) fn record_head(&mut self, now: Micros, head: LogPosition, needed_at: Micros) {
         self.heads.push_back(HeadAt { at: now, head });
         while self
--- a/crates/event-distribution/src/purge_set.rs
+++ b/crates/event-distribution/src/purge_set.rs
@@ -23,7 +23,7 @@
 }
 
 impl PurgeSet {
-    /// For at most so many purges, each kept for so long.
+    /// For at most so many purges, each stored for so long.
     pub fn new(max_len: usize, retention: Micros) -> PurgeSet {
         PurgeSet {
             timestamps: BTreeMap::new(),
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Timestamps before this one are no longer kept. `now` is Unix time, as timestamps are; it is not believed beyond the
-    /// latest timestamp: where a clock runs ahead of that of the service, nothing is forgotten too early.
+    /// Timestamps before this one are no longer stored. `now` is Unix time, as timestamps are, and counts up to the latest
+    /// timestamp only: where a clock runs ahead of that of the service, nothing is removed too early.
     pub fn retained_from(&self, now: Micros) -> Option<Micros> {
         self.newest.map(|newest| newest.min(now) - self.retention)
     }
 
-    /// Forgets those older than what is retained.
+    /// Removes purges older than what is retained.
     pub fn expire(&mut self, now: Micros) {
         let Some(retained_from) = self.retained_from(now) else {
             return;
--- a/crates/event-distribution/src/reorder_buffer.rs
+++ b/crates/event-distribution/src/reorder_buffer.rs
@@ -1,4 +1,4 @@
-//! Batches that came before those that they follow: kept for a while, so that a change of order on the way costs nothing.
+//! Batches that came before those that they follow: stored until those are here, so that reordering on the way costs nothing.
 //!
 //! All batches are of one epoch, none is empty, and there are [`MAX_BATCHES`] at most.
 
--- a/crates/event-distribution/src/settings.rs
+++ b/crates/event-distribution/src/settings.rs
@@ -87,9 +87,9 @@
     pub max_copy_age: Micros,
     /// Bound on how much faster one clock runs than another, in parts per thousand: 10.
     pub clock_drift_per_mille: Micros,
-    /// `keep_s`, 900 s: how long purges are kept for members that were away.
+    /// `keep_s`, 900 s: how long purges are stored for members that were away.
     pub purge_retention: Micros,
-    /// `purges_most`, 200,000: purges that are kept; beyond, all copies older than the oldest one dropped are refused.
+    /// `purges_most`, 200,000: purges that are stored; beyond, all copies older than the oldest one dropped are refused.
     pub max_purges: usize,
 }
 
@@ -219,7 +219,7 @@
     pub joins_per_second: u64,
     /// `snapshot_bytes_per_s`: bytes a second of snapshots, for all subscribers together.
     pub snapshot_bytes_per_second: u64,
-    /// `window_bytes`: bytes of events that are kept for subscribers that come back.
+    /// `window_bytes`: bytes of events that are stored for subscribers that come back.
     pub window_bytes: usize,
 }
 
--- a/crates/event-distribution/src/status.rs
+++ b/crates/event-distribution/src/status.rs
@@ -49,15 +49,15 @@
     pub in_force: Option<LogPosition>,
     /// Subscribers known.
     pub subscribers: usize,
-    /// Leases granted that may still be held.
+    /// Leases granted that may not have expired at their holders.
     pub leases: usize,
-    /// Subscribers that lag or have no lease, the latest heard first; bounded.
+    /// Subscribers that lag or have no lease, the most recent heartbeat first; bounded.
     pub lagging: Vec<LaggingSubscriber>,
     /// Purges in force that it knows.
     pub purges: usize,
     /// Copies from before this timestamp are refused.
     pub purge_floor: Option<Micros>,
-    /// Bytes of events kept for subscribers that come back.
+    /// Bytes of events stored for subscribers that come back.
     pub window_bytes: usize,
     /// Counts since its start.
     pub counters: Counters,
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -1,10 +1,10 @@
-//! The following side: a front, or a relay towards the one that feeds it. It sends heartbeats to one relay, applies the
+//! The following side: a proxy, or a relay towards the one that feeds it. It sends heartbeats to one relay, applies the
 //! events that come back in order, and chooses another relay where that one fails.
 //!
 //! Invariants:
 //! - `log` holds everything up to its position; the position never goes back.
 //! - While there is no lease the age of copies is bounded ([`Subscriber::freshness_bound`]).
-//! - An expired lease is noticed before anything that comes with a datagram is taken for granted.
+//! - An expired lease is noticed before a datagram is handled.
 
 mod batches;
 mod heartbeat;
@@ -43,7 +43,7 @@
 /// What the subscriber is part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
-    Front,
+    Proxy,
     Relay,
 }
 
@@ -75,14 +75,14 @@
 }
 
 impl Subscriber {
-    /// A front's, which keeps no window for others.
+    /// A proxy's, which stores no window for others.
     pub fn new(
         settings: DistributionSettings,
         identity: Identity,
         now: Micros,
         seed: u64,
     ) -> Subscriber {
-        Subscriber::with_role(settings, identity, Role::Front, 0, now, seed)
+        Subscriber::with_role(settings, identity, Role::Proxy, 0, now, seed)
     }
 
     pub(crate) fn with_role(
@@ -245,7 +245,7 @@
         out: &mut Vec<Output>,
     ) {
         self.counters.record_received(bytes);
-        // One that was stopped has to know that before it takes anything for granted.
+        // A process that was stopped has to notice that before it acts on anything.
         self.expire_lease(now, out);
         let former_floor = self.log.purges.floor();
         let received = match body {
--- a/crates/event-distribution/src/subscriber/batches.rs
+++ b/crates/event-distribution/src/subscriber/batches.rs
@@ -1,7 +1,7 @@
 //! Batches of events, and the leases that come with them.
 //!
-//! Invariants: events are applied in order and once; an epoch is entered at its start only, by whoever has everything
-//! of the former one that it builds on.
+//! Invariants: events are applied in order and once; an epoch is entered at its start only, with everything of the
+//! former one that it builds on.
 
 use super::{Role, Subscriber};
 use crate::counters::RejectReason;
@@ -51,7 +51,7 @@
         followed
     }
 
-    /// The publisher has restarted: whoever has all that the new epoch builds on enters it.
+    /// The publisher has restarted: enters the new epoch where everything that it builds on is here.
     fn follow_epoch(
         &mut self,
         now: Micros,
@@ -163,7 +163,7 @@
         self.relays.record_grant(now);
         let interval = match self.role {
             Role::Relay => self.settings.batch_interval,
-            Role::Front => self.settings.heartbeat_interval,
+            Role::Proxy => self.settings.heartbeat_interval,
         };
         self.heartbeats.schedule_after_grant(now, request, interval);
         let from = if mutant("lease-from-arrival") {
--- a/crates/event-distribution/src/subscriber/heartbeat.rs
+++ b/crates/event-distribution/src/subscriber/heartbeat.rs
@@ -33,7 +33,7 @@
     /// Heartbeats since the last answer, to this relay and to all.
     unanswered: u32,
     unanswered_by_all: u32,
-    /// The next heartbeat asks to send again what was lost.
+    /// The next heartbeat requests what was lost.
     resend: bool,
     /// When a heartbeat last did.
     resend_requested_at: Option<Micros>,
@@ -67,7 +67,7 @@
         request.checked_add(1) == Some(self.next_request)
     }
 
-    /// A heartbeat is sent: its number, and whether it asks to send again.
+    /// A heartbeat is sent: its number, and whether it requests a resend.
     pub(super) fn begin(&mut self, now: Micros) -> (u32, bool) {
         let resend = std::mem::take(&mut self.resend);
         if resend {
--- a/crates/event-distribution/src/subscriber/relay_selection.rs
+++ b/crates/event-distribution/src/subscriber/relay_selection.rs
@@ -14,7 +14,7 @@
 /// Between two attempts to return to the preferred relay, drawn from this range.
 const MIN_RETURN_INTERVAL: Micros = 10 * SECOND;
 const MAX_RETURN_INTERVAL: Micros = 30 * SECOND;
-/// Changes for want of a lease that add to a front's patience with the next relay, in leases.
+/// Changes for want of a lease that add to a proxy's patience with the next relay, in leases.
 const MAX_EXTRA_PATIENCE: u32 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -116,7 +116,7 @@
 
     fn max_refusals(&self) -> u32 {
         match self.role {
-            Role::Front => MAX_EXTRA_PATIENCE,
+            Role::Proxy => MAX_EXTRA_PATIENCE,
             Role::Relay => 0,
         }
     }
@@ -132,7 +132,7 @@
             return grantor;
         }
         match self.role {
-            Role::Front => (self.current + 1) % self.relays.len(),
+            Role::Proxy => (self.current + 1) % self.relays.len(),
             Role::Relay if self.current != 0 => 0,
             Role::Relay => {
                 let others = self.relays.len() - 1;
@@ -160,7 +160,7 @@
     let mut relays: Vec<RelayAddress> = settings
         .relays
         .iter()
-        .filter(|relay| role == Role::Front || relay.name != identity.name)
+        .filter(|relay| role == Role::Proxy || relay.name != identity.name)
         .cloned()
         .collect();
     relays.sort_by_cached_key(|relay| {
--- a/crates/event-distribution/src/subscriber/snapshot.rs
+++ b/crates/event-distribution/src/subscriber/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: all purges in force, for whoever is behind a relay's window.
+//! Snapshots: all purges in force, where this one is behind its relay's window.
 //!
 //! Invariants: a fetch is of one epoch, never one before the log's; the position moves only once all parts are here, to
 //! the least position of their writers, and never back.
@@ -41,6 +41,13 @@
         }
         fetch.record_applied(writer, events.len() as u64);
         self.apply_part(events, part.purge_floor, out);
+        self.continue_fetch(now, progress, out);
+        self.relays.record_progress(now);
+        Ok(())
+    }
+
+    /// Completes the snapshot, or schedules the request for its next parts.
+    fn continue_fetch(&mut self, now: Micros, progress: FetchProgress, out: &mut Vec<Output>) {
         match progress {
             FetchProgress::Complete => self.finish_fetch(now, out),
             FetchProgress::Paused => self.heartbeats.schedule_at(now),
@@ -50,8 +57,6 @@
             }
             FetchProgress::Ahead | FetchProgress::Useless => {}
         }
-        self.relays.record_progress(now);
-        Ok(())
     }
 
     /// Rejects parts of an epoch before the own one, and late ones of a relay that was followed before. Where the relay
--- a/crates/event-distribution/src/wire/messages.rs
+++ b/crates/event-distribution/src/wire/messages.rs
@@ -126,7 +126,7 @@
     /// The answer to the last heartbeat.
     #[prost(message, optional, tag = "5")]
     pub grant: Option<LeaseGrant>,
-    /// With the first events of an epoch: whoever has applied this much of the former one may go on here.
+    /// With the first events of an epoch: a subscriber that has applied this much of the former one may continue here.
     #[prost(message, optional, tag = "6")]
     pub continues_from: Option<WirePosition>,
     /// How long ago these events were published, as far as the sender knows.
