--- a/crates/benchmarks/src/scale/view.rs
+++ b/crates/benchmarks/src/scale/view.rs
@@ -8,8 +8,8 @@
 use super::target;
 use meadowrill_fault_injection::model::{address, Config, Fleet};
 use meadowrill_fault_injection::name;
-use meadowrill_membership::plan::{Plan, SEC};
-use meadowrill_membership::view::{Me, View};
+use meadowrill_membership::settings::{FleetSettings, SECOND};
+use meadowrill_membership::view::{MemberIdentity, View};
 use meadowrill_membership::Micros;
 
 const SIZES: [usize; 5] = [24, 48, 96, 192, 384];
@@ -17,13 +17,13 @@
 const LARGE: usize = 768;
 const MEMBERS_MOST: usize = 8192;
 /// The longest that the model waits for a fleet to settle; beyond it no figure is told.
-const PATIENCE: Micros = 120 * SEC;
+const PATIENCE: Micros = 120 * SECOND;
 /// How often it is looked at meanwhile: to compare all views with each other is work of its own.
-const LOOK: Micros = SEC / 4;
-const CALM: Micros = 20 * SEC;
+const LOOK: Micros = SECOND / 4;
+const CALM: Micros = 20 * SECOND;
 /// Time after one restart in which all its extra bytes are sent.
-const AFTER_RESTART: Micros = 20 * SEC;
-const REGION_CUT: Micros = 60 * SEC;
+const AFTER_RESTART: Micros = 20 * SECOND;
+const REGION_CUT: Micros = 60 * SECOND;
 /// Views that are dropped to see what one holds.
 const WEIGHED: usize = 4;
 /// A target that a settled fleet has to reach soon enough for the next event of its kind.
@@ -65,16 +65,16 @@
         ..Config::new(many, 3)
     };
     let make = |config: &Config, n: usize, start: u64, now: Micros| {
-        let mut plan = Plan::new(address(n));
-        plan.period = config.period;
+        let mut plan = FleetSettings::new(address(n));
+        plan.probe_period = config.period;
         plan.contacts = (0..config.contacts.min(config.many)).map(address).collect();
-        plan.remember = config.remember;
-        plan.bytes_per_s = config.bytes_per_s;
-        plan.members_most = MEMBERS_MOST;
+        plan.departed_retention = config.remember;
+        plan.bytes_per_second = config.bytes_per_s;
+        plan.max_members = MEMBERS_MOST;
         plan.zone = format!("zone-{}", n % target::ZONES);
         View::new(
             plan,
-            Me {
+            MemberIdentity {
                 name: name(n),
                 version: "0.1.0".into(),
                 start,
@@ -93,7 +93,7 @@
         fleet.run(LOOK);
         fleet.seen.clear();
         if done(fleet) {
-            return (fleet.now - begun) as f64 / SEC as f64;
+            return (fleet.now - begun) as f64 / SECOND as f64;
         }
     }
     f64::NAN
@@ -103,7 +103,7 @@
 fn bytes_during(fleet: &mut Fleet<View>, span: Micros) -> f64 {
     let before = fleet.bytes();
     fleet.run(span);
-    (fleet.bytes() - before) as f64 / (span as f64 / SEC as f64) / fleet.config.many as f64
+    (fleet.bytes() - before) as f64 / (span as f64 / SECOND as f64) / fleet.config.many as f64
 }
 
 fn settle(fleet: &mut Fleet<View>) -> Settled {
@@ -117,7 +117,10 @@
 fn still_held(fleet: &Fleet<View>, by: &[usize], of: &[usize]) -> f64 {
     let names: Vec<String> = of.iter().map(|n| name(*n)).collect();
     let held = |view: &View| {
-        let there = |name: &&String| view.member(name).is_some_and(|m| m.claim.state.here());
+        let there = |name: &&String| {
+            view.member(name)
+                .is_some_and(|m| m.claim.state.is_present())
+        };
         names.iter().filter(there).count()
     };
     let held: usize = by.iter().filter_map(|n| fleet.view(*n)).map(held).sum();
@@ -136,12 +139,12 @@
     fleet.run(CALM);
     let begun = thread_time();
     let bytes = bytes_during(&mut fleet, CALM);
-    let core = (thread_time() - begun).as_secs_f64() / (CALM as f64 / SEC as f64) / many as f64;
+    let core = (thread_time() - begun).as_secs_f64() / (CALM as f64 / SECOND as f64) / many as f64;
     let one = many / 2;
     fleet.kill(one);
     let begun = fleet.now;
     let gone = fleet.run_until(begun + PATIENCE, |f| f.gone(one));
-    let death_s = gone.map_or(f64::NAN, |at| (at - begun) as f64 / SEC as f64);
+    let death_s = gone.map_or(f64::NAN, |at| (at - begun) as f64 / SECOND as f64);
     fleet.seen = Vec::new();
     let before = held();
     (0..WEIGHED).for_each(|n| fleet.kill(1 + n * many / WEIGHED));
@@ -163,7 +166,7 @@
     fleet.run(CALM);
     fleet.start(one);
     let extra = bytes_during(&mut fleet, AFTER_RESTART) - calm_bytes;
-    let restart_bytes = extra * (AFTER_RESTART as f64 / SEC as f64);
+    let restart_bytes = extra * (AFTER_RESTART as f64 / SECOND as f64);
 
     let zone: Vec<usize> = (0..many).filter(|n| n % target::ZONES == 1).collect();
     zone.iter().for_each(|n| fleet.kill(*n));
@@ -184,7 +187,7 @@
 
     let tenth: Vec<usize> = (0..many).filter(|n| n % 10 == 7).collect();
     tenth.iter().for_each(|n| fleet.kill(*n));
-    fleet.run(SEC);
+    fleet.run(SECOND);
     tenth.iter().for_each(|n| fleet.start(*n));
     let release = settle(&mut fleet);
     Events {
--- a/crates/event-distribution/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -204,7 +204,7 @@
     ) {
         self.counters.busy += 1;
         let spread =
-            meadowrill_membership::rings::hash(&heartbeat.name, u64::from(heartbeat.request));
+            meadowrill_membership::hash::stable_hash(&heartbeat.name, u64::from(heartbeat.request));
         let retry_ms = (RETRY_LEAST_MS + spread % RETRY_SPREAD_MS) as u32;
         self.send(
             address,
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -10,7 +10,7 @@
 use crate::purges::PurgeSet;
 use crate::wire::{self, Batch, Body, Busy, Grant, Heartbeat, SnapshotPart, SnapshotPlace};
 use crate::{mutant, Micros};
-use meadowrill_membership::rings::hash;
+use meadowrill_membership::hash::stable_hash;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
@@ -705,7 +705,7 @@
         .filter(|relay| role == Role::Front || relay.name != me.name)
         .cloned()
         .collect();
-    let weight = |relay: &RelayAddress| hash(&format!("{} {}", me.name, relay.name), 0);
+    let weight = |relay: &RelayAddress| stable_hash(&format!("{} {}", me.name, relay.name), 0);
     let distance = |relay: &RelayAddress| match (relay.zone == me.zone, relay.region == me.region) {
         (true, true) => 0,
         (false, true) => 1,
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -223,7 +223,7 @@
 
 pub fn write(fleet: u64, body: Body) -> Vec<u8> {
     let mut bytes = Vec::new();
-    envelope::write(
+    envelope::encode(
         MARK,
         VERSION,
         &Packet {
@@ -237,7 +237,7 @@
 
 pub fn read(fleet: u64, bytes: &[u8]) -> Result<Body, Rejected> {
     let packet: Packet =
-        envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| Rejected::Envelope)?;
+        envelope::decode(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| Rejected::Envelope)?;
     if packet.fleet != fleet as u32 {
         return Err(Rejected::Fleet);
     }
--- a/crates/fault-injection/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -1,9 +1,11 @@
 //! Plain protocols beside which the view is measured, on the same network.
 
 use crate::model::{address, Config, Peer};
-use meadowrill_membership::claim::{refute, Claim, State};
-use meadowrill_membership::view::{Act, Change, Why};
-use meadowrill_membership::wire::{self, Packet, Ping, PingRequest, Record, Said, Seq};
+use meadowrill_membership::claim::{refute, Claim, MemberState};
+use meadowrill_membership::view::{Action, Change, ClaimSource};
+use meadowrill_membership::wire::{
+    self, Packet, Payload, Ping, PingRequest, Record, SequenceNumber,
+};
 use meadowrill_membership::Micros;
 use std::collections::BTreeMap;
 
@@ -40,7 +42,7 @@
 }
 
 impl Peer for Heartbeats {
-    fn hear(&mut self, now: Micros, bytes: &[u8], _: &mut Vec<Act>) {
+    fn hear(&mut self, now: Micros, bytes: &[u8], _: &mut Vec<Action>) {
         if let Some(from) = bytes
             .first_chunk::<4>()
             .map(|b| u32::from_le_bytes(*b) as usize)
@@ -51,7 +53,7 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Act>) {
+    fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now < self.at {
             return;
         }
@@ -61,7 +63,7 @@
         bytes[..4].copy_from_slice(&(self.me as u32).to_le_bytes());
         for to in (0..self.many).filter(|to| *to != self.me) {
             self.sent += LENGTH as u64;
-            out.push(Act::Send {
+            out.push(Action::SendDatagram {
                 to: address(to),
                 bytes: bytes.clone(),
             });
@@ -133,7 +135,7 @@
         }
     }
 
-    fn send(&mut self, to: usize, said: Said, out: &mut Vec<Act>) {
+    fn send(&mut self, to: usize, said: Payload, out: &mut Vec<Action>) {
         let mut told: Vec<(u32, usize)> = self.news.iter().map(|(n, left)| (*left, *n)).collect();
         told.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
         let mut records = Vec::new();
@@ -158,15 +160,15 @@
         self.news.retain(|_, left| *left > 0);
         let from = self.names[self.me].clone();
         let packet = Packet {
-            from,
-            said: Some(said),
+            sender: from,
+            payload: Some(said),
             records,
             ..Packet::default()
         };
         let mut bytes = Vec::new();
-        wire::write(&packet, &mut bytes);
+        wire::encode(&packet, &mut bytes);
         self.sent += bytes.len() as u64;
-        out.push(Act::Send {
+        out.push(Action::SendDatagram {
             to: address(to),
             bytes,
         });
@@ -186,7 +188,7 @@
             .filter(|n| *n < self.claims.len())
     }
 
-    fn take(&mut self, n: usize, claim: Claim, now: Micros, out: &mut Vec<Act>) {
+    fn take(&mut self, n: usize, claim: Claim, now: Micros, out: &mut Vec<Action>) {
         if n == self.me {
             if let Some(own) = refute(self.own(), claim) {
                 self.incarnation = own.incarnation;
@@ -195,31 +197,31 @@
             return;
         }
         let former = self.claims[n].0;
-        if claim.overrules(&former) {
+        if claim.supersedes(&former) {
             self.claims[n] = (claim, now);
             self.news.insert(n, self.tells);
             let (from, to) = (Some(former.state), claim.state);
             let (name, by) = (self.names[n].clone(), String::new());
             let (start, incarnation) = (claim.start, claim.incarnation);
-            out.push(Act::Tell(Change::Member {
+            out.push(Action::Notify(Change::MemberChanged {
                 name,
                 from,
                 to,
                 start,
                 incarnation,
-                why: Why::Heard,
-                by,
+                source: ClaimSource::Rumor,
+                accuser: by,
             }));
         }
     }
 }
 
 impl Peer for Swim {
-    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Act>) {
-        let Ok(packet) = wire::read(bytes, 0) else {
+    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
+        let Ok(packet) = wire::decode(bytes, 0) else {
             return;
         };
-        let Some(from) = self.number(&packet.from) else {
+        let Some(from) = self.number(&packet.sender) else {
             return;
         };
         for record in &packet.records {
@@ -227,25 +229,31 @@
                 self.take(n, claim, now, out);
             }
         }
-        match packet.said {
-            Some(Said::Ping(ping)) => self.send(from, Said::Ack(Seq { seq: ping.seq }), out),
-            Some(Said::Ack(Seq { seq })) => {
+        match packet.payload {
+            Some(Payload::Ping(ping)) => self.send(
+                from,
+                Payload::Ack(SequenceNumber {
+                    sequence: ping.sequence,
+                }),
+                out,
+            ),
+            Some(Payload::Ack(SequenceNumber { sequence: seq })) => {
                 if let Some((back, to)) = self.errands.remove(&seq) {
-                    self.send(to, Said::Ack(Seq { seq: back }), out);
+                    self.send(to, Payload::Ack(SequenceNumber { sequence: back }), out);
                 } else if self.probe.is_some_and(|(open, ..)| open == seq) {
                     self.probe = None;
                 }
             }
-            Some(Said::PingRequest(ask)) => {
+            Some(Payload::PingRequest(ask)) => {
                 if let Some(target) = self.number(&ask.target) {
                     self.seq += 1;
-                    self.errands.insert(self.seq, (ask.seq, from));
+                    self.errands.insert(self.seq, (ask.sequence, from));
                     self.errands.retain(|seq, _| seq + 1000 > self.seq);
                     self.send(
                         target,
-                        Said::Ping(Ping {
-                            seq: self.seq,
-                            to: ask.target,
+                        Payload::Ping(Ping {
+                            sequence: self.seq,
+                            target: ask.target,
                         }),
                         out,
                     );
@@ -255,22 +263,22 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Act>) {
+    fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         if let Some((seq, target, ask, end)) = self.probe {
             if now >= end {
                 self.probe = None;
-                let claim = self.claims[target].0.with(State::Suspected);
+                let claim = self.claims[target].0.with_state(MemberState::Suspected);
                 self.take(target, claim, now, out);
             } else if now >= ask && ask > 0 {
                 self.probe = Some((seq, target, 0, end));
                 for _ in 0..3 {
                     let helper = self.rng.usize(0..self.claims.len());
-                    if helper != self.me && self.claims[helper].0.state.here() {
+                    if helper != self.me && self.claims[helper].0.state.is_present() {
                         let target = self.names[target].clone();
                         self.send(
                             helper,
-                            Said::PingRequest(PingRequest {
-                                seq,
+                            Payload::PingRequest(PingRequest {
+                                sequence: seq,
                                 target,
                                 address: String::new(),
                             }),
@@ -281,19 +289,19 @@
             }
         }
         let over = |(claim, at): &(Claim, Micros)| {
-            claim.state == State::Suspected && now - at >= self.wait
+            claim.state == MemberState::Suspected && now - at >= self.wait
         };
         let over: Vec<usize> = (0..self.claims.len())
             .filter(|n| over(&self.claims[*n]))
             .collect();
         for n in over {
-            self.take(n, self.claims[n].0.with(State::Dead), now, out);
+            self.take(n, self.claims[n].0.with_state(MemberState::Dead), now, out);
         }
         if now >= self.at {
             self.at = now + self.period;
-            self.order.retain(|n| self.claims[*n].0.state.here());
+            self.order.retain(|n| self.claims[*n].0.state.is_present());
             if self.order.is_empty() {
-                let here = |n: &usize| *n != self.me && self.claims[*n].0.state.here();
+                let here = |n: &usize| *n != self.me && self.claims[*n].0.state.is_present();
                 self.order = (0..self.claims.len()).filter(here).collect();
                 self.rng.shuffle(&mut self.order);
             }
@@ -303,9 +311,9 @@
                 self.probe = Some((self.seq, target, now + third, now + self.period - 1));
                 self.send(
                     target,
-                    Said::Ping(Ping {
-                        seq: self.seq,
-                        to: String::new(),
+                    Payload::Ping(Ping {
+                        sequence: self.seq,
+                        target: String::new(),
                     }),
                     out,
                 );
@@ -320,7 +328,7 @@
     }
 
     fn here(&self) -> Vec<&str> {
-        let here = |n: &usize| *n != self.me && self.claims[*n].0.state.here();
+        let here = |n: &usize| *n != self.me && self.claims[*n].0.state.is_present();
         (0..self.claims.len())
             .filter(here)
             .map(|n| self.names[n].as_str())
@@ -329,7 +337,7 @@
 
     fn holds(&self, name: &str) -> bool {
         self.number(name)
-            .is_some_and(|n| n != self.me && self.claims[n].0.state.here())
+            .is_some_and(|n| n != self.me && self.claims[n].0.state.is_present())
     }
 
     fn sent_bytes(&self) -> u64 {
--- a/crates/fault-injection/src/events/run.rs
+++ b/crates/fault-injection/src/events/run.rs
@@ -13,7 +13,7 @@
 use super::teller::Teller;
 use meadowrill_event_distribution::plan::{Plan, MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
-use meadowrill_membership::plan::Plan as MembersPlan;
+use meadowrill_membership::settings::FleetSettings as MembersPlan;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -157,7 +157,7 @@
         fleet: FLEET.into(),
         ..MembersPlan::new(nowhere)
     }
-    .number()
+    .fleet_id()
 }
 
 impl Run {
--- a/crates/fault-injection/src/model.rs
+++ b/crates/fault-injection/src/model.rs
@@ -2,9 +2,9 @@
 //! start again; by seed, on a clock of its own. What sockets cannot reach in size or in number of runs.
 
 use crate::name;
-use meadowrill_membership::claim::State;
-use meadowrill_membership::plan::{Plan, SEC};
-use meadowrill_membership::view::{Act, Change, Me, View};
+use meadowrill_membership::claim::MemberState;
+use meadowrill_membership::settings::{FleetSettings, SECOND};
+use meadowrill_membership::view::{Action, Change, MemberIdentity, View};
 use meadowrill_membership::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,7 +13,7 @@
 /// After so long a stream sends again what was lost.
 const RETRANSMIT: Micros = 200_000;
 /// Unix time at which models begin.
-const BEGIN: Micros = 1_700_000_000 * SEC;
+const BEGIN: Micros = 1_700_000_000 * SECOND;
 
 #[derive(Clone, Debug)]
 pub struct Network {
@@ -40,8 +40,8 @@
 
 /// What a model of a protocol has to do, so that baselines run on the same network.
 pub trait Peer {
-    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Act>);
-    fn tick(&mut self, now: Micros, out: &mut Vec<Act>);
+    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>);
+    fn tick(&mut self, now: Micros, out: &mut Vec<Action>);
     fn next(&self) -> Micros;
     /// Names of those held to be there, but for itself, and of those held to be dead.
     fn here(&self) -> Vec<&str>;
@@ -51,35 +51,36 @@
 }
 
 impl Peer for View {
-    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Act>) {
-        View::hear(self, now, bytes, out);
+    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
+        View::receive(self, now, bytes, out);
     }
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Act>) {
-        View::tick(self, now, out);
+    fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
+        View::handle_timeout(self, now, out);
     }
 
     fn next(&self) -> Micros {
-        View::next(self)
+        View::next_timeout(self)
     }
 
     fn here(&self) -> Vec<&str> {
         self.members()
-            .filter(|(_, m)| m.claim.state.here())
+            .filter(|(_, m)| m.claim.state.is_present())
             .map(|(name, _)| name)
             .collect()
     }
 
     fn holds(&self, name: &str) -> bool {
-        self.member(name).is_some_and(|m| m.claim.state.here())
+        self.member(name)
+            .is_some_and(|m| m.claim.state.is_present())
     }
 
     fn sent_bytes(&self) -> u64 {
-        self.counts.sent_bytes
+        self.counters.bytes_sent
     }
 
     fn unstreamed(&mut self, now: Micros, to: SocketAddr) {
-        View::unstreamed(self, now, to);
+        View::stream_failed(self, now, to);
     }
 }
 
@@ -125,10 +126,10 @@
 impl Config {
     pub fn new(many: usize, seed: u64) -> Config {
         Config {
-            period: SEC,
+            period: SECOND,
             seed,
             contacts: 3,
-            remember: 600 * SEC,
+            remember: 600 * SECOND,
             many,
             bytes_per_s: 4000,
             own_health: true,
@@ -172,15 +173,15 @@
     /// Views as they are shipped.
     pub fn views(config: Config) -> Fleet<View> {
         let make = |config: &Config, n: usize, start: u64, now: Micros| {
-            let mut plan = Plan::new(address(n));
-            plan.period = config.period;
+            let mut plan = FleetSettings::new(address(n));
+            plan.probe_period = config.period;
             plan.contacts = (0..config.contacts.min(config.many)).map(address).collect();
-            plan.remember = config.remember;
-            plan.bytes_per_s = config.bytes_per_s;
-            plan.own_health = config.own_health;
-            plan.streams = config.streams;
+            plan.departed_retention = config.remember;
+            plan.bytes_per_second = config.bytes_per_s;
+            plan.local_health = config.own_health;
+            plan.use_streams = config.streams;
             plan.zone = format!("zone-{}", n % 4);
-            let me = Me {
+            let me = MemberIdentity {
                 name: name(n),
                 version: "0.1.0".into(),
                 start,
@@ -306,16 +307,16 @@
         }
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Act>) {
+    fn carry(&mut self, n: usize, out: Vec<Action>) {
         for act in out {
             match act {
-                Act::Tell(change) => self.seen.push(Seen {
+                Action::Notify(change) => self.seen.push(Seen {
                     at: self.now,
                     by: n,
                     change,
                 }),
-                Act::Send { to, bytes } => self.post(n, number(to), bytes),
-                Act::Stream { to, bytes } => self.stream(n, number(to), bytes),
+                Action::SendDatagram { to, bytes } => self.post(n, number(to), bytes),
+                Action::SendStream { to, bytes } => self.stream(n, number(to), bytes),
             }
         }
         self.arm(n);
@@ -492,9 +493,9 @@
             .iter()
             .filter(|s| s.at >= since)
             .filter_map(|s| match &s.change {
-                Change::Member {
+                Change::MemberChanged {
                     name,
-                    to: State::Dead,
+                    to: MemberState::Dead,
                     ..
                 } => Some((name.clone(), s.by, s.at - since)),
                 _ => None,
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -3,34 +3,39 @@
 
 /// The state of a member. Of two claims with the same incarnation the one with the later state supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum MemberState {
     Alive,
     Suspected,
     Dead,
     Left,
 }
 
-impl State {
+impl MemberState {
     /// The state with this number on the wire.
-    pub fn of(number: u32) -> Option<State> {
-        [State::Alive, State::Suspected, State::Dead, State::Left]
-            .get(number as usize)
-            .copied()
+    pub fn from_wire(number: u32) -> Option<MemberState> {
+        [
+            MemberState::Alive,
+            MemberState::Suspected,
+            MemberState::Dead,
+            MemberState::Left,
+        ]
+        .get(number as usize)
+        .copied()
     }
 
     /// Its name in logs and tables.
     pub fn name(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspected => "suspected",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspected => "suspected",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 
     /// Whether a member in this state counts as present.
-    pub fn here(self) -> bool {
-        self <= State::Suspected
+    pub fn is_present(self) -> bool {
+        self <= MemberState::Suspected
     }
 }
 
@@ -42,7 +47,7 @@
     pub start: u64,
     /// Raised only by the member itself, to refute a claim.
     pub incarnation: u64,
-    pub state: State,
+    pub state: MemberState,
 }
 
 impl Claim {
@@ -51,17 +56,17 @@
         Claim {
             start,
             incarnation: 0,
-            state: State::Alive,
+            state: MemberState::Alive,
         }
     }
 
     /// The same process and incarnation in another state.
-    pub fn with(self, state: State) -> Claim {
+    pub fn with_state(self, state: MemberState) -> Claim {
         Claim { state, ..self }
     }
 
     /// Whether this supersedes what is known.
-    pub fn overrules(&self, known: &Claim) -> bool {
+    pub fn supersedes(&self, known: &Claim) -> bool {
         if crate::mutant("stale-incarnation") && self.start == known.start {
             return self.state != known.state;
         }
@@ -71,10 +76,11 @@
 
 /// The refutation of a claim about this member, if it is wrong. A member that has left refutes nothing.
 pub fn refute(own: Claim, heard: Claim) -> Option<Claim> {
-    if crate::mutant("no-refutation") || own.state == State::Left || heard.start != own.start {
+    if crate::mutant("no-refutation") || own.state == MemberState::Left || heard.start != own.start
+    {
         return None;
     }
-    let wrong = heard.state != State::Alive && heard.incarnation >= own.incarnation;
+    let wrong = heard.state != MemberState::Alive && heard.incarnation >= own.incarnation;
     wrong.then(|| Claim {
         incarnation: heard.incarnation.saturating_add(1),
         ..own
@@ -82,6 +88,6 @@
 }
 
 /// A claim that supersedes this start, of another process or of one that was forgotten, unless `own` does already.
-pub fn past(own: Claim, start: u64) -> Option<Claim> {
+pub fn supersede_start(own: Claim, start: u64) -> Option<Claim> {
     (start >= own.start).then(|| Claim::alive(start.saturating_add(1)))
 }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,29 +1,24 @@
 //! Digests of a view, by which two fronts find where their views differ without sending all they know.
 
 use crate::claim::Claim;
-use crate::rings::hash;
-use crate::wire::BUCKETS;
-
-/// Salt of the hash that sorts names into buckets: different from the number of any ring.
-const BUCKET_SALT: u64 = 1 << 40;
-/// Salt of the hash of one entry.
-const ENTRY_SALT: u64 = BUCKET_SALT + 1;
+use crate::hash::{stable_hash, BUCKET_SALT, ENTRY_SALT};
+use crate::wire::BUCKET_COUNT;
 
 /// The bucket of a member, by its name.
 pub fn bucket(name: &str) -> usize {
-    (hash(name, BUCKET_SALT) % BUCKETS as u64) as usize
+    (stable_hash(name, BUCKET_SALT) % BUCKET_COUNT as u64) as usize
 }
 
 /// XOR of the hashes of a set of entries, by bucket; independent of the order in which they were added.
 #[derive(Clone, Debug)]
 pub struct Digest {
-    buckets: [u64; BUCKETS],
+    buckets: [u64; BUCKET_COUNT],
 }
 
 impl Default for Digest {
     fn default() -> Digest {
         Digest {
-            buckets: [0; BUCKETS],
+            buckets: [0; BUCKET_COUNT],
         }
     }
 }
@@ -31,7 +26,7 @@
 impl Digest {
     /// Adds an entry, or removes it if it was added before.
     pub fn toggle(&mut self, name: &str, claim: &Claim, revision: u64) {
-        let mut h = hash(name, ENTRY_SALT);
+        let mut h = stable_hash(name, ENTRY_SALT);
         for part in [claim.start, claim.incarnation, claim.state as u64, revision] {
             h = (h ^ part).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             h ^= h >> 29;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -4,68 +4,68 @@
 use prost::Message;
 
 /// Length of the header: mark, version and checksum.
-pub const HEAD: usize = 7;
+pub const HEADER_LENGTH: usize = 7;
 /// Length of a chunk at most, as it is sent and after decompression: a longer one is dropped unread.
-pub const CHUNK_MOST: usize = 64 * 1024;
-const UNPACKED_MOST: usize = 256 * 1024;
+pub const MAX_CHUNK_LENGTH: usize = 64 * 1024;
+const MAX_DECOMPRESSED_LENGTH: usize = 256 * 1024;
 /// Compression level for messages that a small send budget limits.
-pub const SMALL: u8 = 6;
+pub const COMPACT_LEVEL: u8 = 6;
 /// Compression level for messages that the event loop waits for.
-pub const FAST: u8 = 1;
+pub const FAST_LEVEL: u8 = 1;
 
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
-    Short,
-    Mark,
-    Version,
-    Checksum,
-    Garbled,
-    Fleet,
+pub enum DropReason {
+    TooShort,
+    UnknownMark,
+    UnknownVersion,
+    WrongChecksum,
+    Malformed,
+    OtherFleet,
     /// A part of it is too long or out of range.
-    Bounds,
+    OutOfBounds,
     /// There is no room for another member.
-    Full,
+    ViewFull,
     /// It is from a member that is held to be dead.
-    Dead,
+    SenderDead,
     /// It is from another process of this front's name.
-    Twin,
+    NameConflict,
 }
 
-impl Dropped {
+impl DropReason {
     /// All reasons.
-    pub const ALL: [Dropped; 10] = [
-        Dropped::Short,
-        Dropped::Mark,
-        Dropped::Version,
-        Dropped::Checksum,
-        Dropped::Garbled,
-        Dropped::Fleet,
-        Dropped::Bounds,
-        Dropped::Full,
-        Dropped::Dead,
-        Dropped::Twin,
+    pub const ALL: [DropReason; 10] = [
+        DropReason::TooShort,
+        DropReason::UnknownMark,
+        DropReason::UnknownVersion,
+        DropReason::WrongChecksum,
+        DropReason::Malformed,
+        DropReason::OtherFleet,
+        DropReason::OutOfBounds,
+        DropReason::ViewFull,
+        DropReason::SenderDead,
+        DropReason::NameConflict,
     ];
 
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Dropped::Short => "short",
-            Dropped::Mark => "mark",
-            Dropped::Version => "version",
-            Dropped::Checksum => "checksum",
-            Dropped::Garbled => "garbled",
-            Dropped::Fleet => "fleet",
-            Dropped::Bounds => "bounds",
-            Dropped::Full => "full",
-            Dropped::Dead => "dead",
-            Dropped::Twin => "twin",
+            DropReason::TooShort => "short",
+            DropReason::UnknownMark => "mark",
+            DropReason::UnknownVersion => "version",
+            DropReason::WrongChecksum => "checksum",
+            DropReason::Malformed => "garbled",
+            DropReason::OtherFleet => "fleet",
+            DropReason::OutOfBounds => "bounds",
+            DropReason::ViewFull => "full",
+            DropReason::SenderDead => "dead",
+            DropReason::NameConflict => "twin",
         }
     }
 }
 
 /// Encodes a plain message.
-pub fn write(mark: [u8; 2], version: u8, message: &impl Message, into: &mut Vec<u8>) {
+pub fn encode(mark: [u8; 2], version: u8, message: &impl Message, into: &mut Vec<u8>) {
     head(mark, version, into);
     // A vector grows as it needs to.
     let _ = message.encode(into);
@@ -73,7 +73,7 @@
 }
 
 /// Encodes a compressed message.
-pub fn write_packed(
+pub fn encode_compressed(
     mark: [u8; 2],
     version: u8,
     level: u8,
@@ -96,37 +96,37 @@
 }
 
 fn seal(into: &mut [u8]) {
-    let sum = crc32fast::hash(&into[HEAD..]).to_le_bytes();
-    into[HEAD - 4..HEAD].copy_from_slice(&sum);
+    let sum = crc32fast::hash(&into[HEADER_LENGTH..]).to_le_bytes();
+    into[HEADER_LENGTH - 4..HEADER_LENGTH].copy_from_slice(&sum);
 }
 
 /// The mark of an encoded message.
-pub fn mark(bytes: &[u8]) -> Option<[u8; 2]> {
+pub fn message_mark(bytes: &[u8]) -> Option<[u8; 2]> {
     bytes.first_chunk::<2>().copied()
 }
 
 /// Decodes a message, plain or compressed.
-pub fn read<M: Message + Default>(
+pub fn decode<M: Message + Default>(
     plain: [u8; 2],
     packed: [u8; 2],
     version: u8,
     bytes: &[u8],
-) -> Result<M, Dropped> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
-        return Err(Dropped::Short);
+) -> Result<M, DropReason> {
+    let Some((head, rest)) = bytes.split_first_chunk::<HEADER_LENGTH>() else {
+        return Err(DropReason::TooShort);
     };
     let chunk = head[..2] == packed;
     if head[..2] != plain && !chunk {
-        return Err(Dropped::Mark);
+        return Err(DropReason::UnknownMark);
     }
     if head[2] != version {
-        return Err(Dropped::Version);
+        return Err(DropReason::UnknownVersion);
     }
     if head[3..] != crc32fast::hash(rest).to_le_bytes() {
-        return Err(Dropped::Checksum);
+        return Err(DropReason::WrongChecksum);
     }
-    let unpacked =
-        chunk.then(|| miniz_oxide::inflate::decompress_to_vec_with_limit(rest, UNPACKED_MOST));
-    let unpacked = unpacked.transpose().map_err(|_| Dropped::Garbled)?;
-    M::decode(unpacked.as_deref().unwrap_or(rest)).map_err(|_| Dropped::Garbled)
+    let unpacked = chunk
+        .then(|| miniz_oxide::inflate::decompress_to_vec_with_limit(rest, MAX_DECOMPRESSED_LENGTH));
+    let unpacked = unpacked.transpose().map_err(|_| DropReason::Malformed)?;
+    M::decode(unpacked.as_deref().unwrap_or(rest)).map_err(|_| DropReason::Malformed)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,10 +10,12 @@
 pub mod claim;
 pub mod digest;
 pub mod envelope;
+pub mod hash;
 pub mod health;
-pub mod plan;
+
 pub mod rings;
 pub mod rumors;
+pub mod settings;
 pub mod view;
 pub mod wire;
 
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -2,6 +2,7 @@
 //! and each observes its successor. Fronts with the same view agree on all observers, each member has as many of them
 //! as there are rings, and one that joins or leaves changes only its neighbours.
 
+use crate::hash::stable_hash;
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
@@ -11,17 +12,6 @@
 /// one after the other costs a period each.
 const STEPS_BEYOND_UNHEALTHY: usize = 2;
 
-/// A member's position on a ring. The same at every front and in every version.
-pub fn hash(name: &str, ring: u64) -> u64 {
-    let mut h = 0xcbf2_9ce4_8422_2325u64 ^ ring.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    for b in name.bytes() {
-        h = (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    }
-    h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    h ^ (h >> 31)
-}
-
 /// The members on all rings.
 #[derive(Clone, Debug, Default)]
 pub struct Rings {
@@ -39,14 +29,14 @@
     /// Adds a member to each ring.
     pub fn insert(&mut self, name: &str) {
         for (number, ring) in (0u64..).zip(&mut self.rings) {
-            ring.insert((hash(name, number), name.to_string()));
+            ring.insert((stable_hash(name, number), name.to_string()));
         }
     }
 
     /// Removes a member from each ring.
     pub fn remove(&mut self, name: &str) {
         for (number, ring) in (0u64..).zip(&mut self.rings) {
-            ring.remove(&(hash(name, number), name.to_string()));
+            ring.remove(&(stable_hash(name, number), name.to_string()));
         }
     }
 
@@ -55,7 +45,7 @@
     pub fn observed_by(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observed = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
-            let position = (hash(name, number), name.to_string());
+            let position = (stable_hash(name, number), name.to_string());
             let after = ring.range((Bound::Excluded(&position), Bound::Unbounded));
             walk(
                 after.chain(ring.range(..&position)),
@@ -70,7 +60,7 @@
     pub fn observers_of(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observers = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
-            let position = (hash(name, number), name.to_string());
+            let position = (stable_hash(name, number), name.to_string());
             let before = ring.range(..&position).rev();
             let after = ring
                 .range((Bound::Excluded(&position), Bound::Unbounded))
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -32,15 +32,16 @@
 mod suspicion;
 mod transfer;
 
-pub use event::{Act, Change, Counts, Me, Why};
+pub use event::{Action, Change, ClaimSource, Counters, MemberIdentity};
 pub use member::{Member, Suspicion};
 
-use crate::claim::{Claim, State};
+use crate::claim::{Claim, MemberState};
 use crate::digest::Digest;
+use crate::hash::{stable_hash, SEED_SALT};
 use crate::health::{pause_length, Health};
-use crate::plan::Plan;
-use crate::rings::{hash, Rings};
+use crate::rings::Rings;
 use crate::rumors::Rumors;
+use crate::settings::FleetSettings;
 use crate::wire::{Body, Value};
 use crate::{mutant, Micros};
 use budget::SendBudget;
@@ -54,15 +55,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Salt that keeps the random seeds of fronts with different names apart.
-const SEED_SALT: u64 = 99;
 /// How long streams to an address that refused one are avoided, in periods; datagrams do the same in more bytes.
 const STREAM_RETRY_PERIODS: Micros = 30;
 
 /// The membership state machine of one front.
 #[derive(Clone, Debug)]
 pub struct View {
-    plan: Plan,
+    plan: FleetSettings,
     fleet_id: u64,
     own: OwnMember,
     members: BTreeMap<String, Member>,
@@ -94,45 +93,45 @@
     rng: fastrand::Rng,
     send_buffer: Vec<u8>,
     body_updates: u64,
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
 impl View {
     /// A view that knows only itself. `seed` determines all of its random choices.
-    pub fn new(plan: Plan, me: Me, now: Micros, seed: u64) -> View {
-        let mut rng = fastrand::Rng::with_seed(seed ^ hash(&me.name, SEED_SALT));
+    pub fn new(plan: FleetSettings, me: MemberIdentity, now: Micros, seed: u64) -> View {
+        let mut rng = fastrand::Rng::with_seed(seed ^ stable_hash(&me.name, SEED_SALT));
         let own = OwnMember::new(me, &plan, rng.u64(1..));
         // Fronts that start together spread their periods.
-        let first_probe_at = now + rng.i64(0..plan.period);
+        let first_probe_at = now + rng.i64(0..plan.probe_period);
         let mut rings = Rings::new(plan.observers);
         rings.insert(&own.name);
         let mut view = View {
-            fleet_id: plan.number(),
+            fleet_id: plan.fleet_id(),
             own,
             members: BTreeMap::new(),
             rings,
             digest: Digest::default(),
-            health: Health::new(plan.own_health),
+            health: Health::new(plan.local_health),
             rumors: Rumors::default(),
             probes: BTreeMap::new(),
             relayed_probes: BTreeMap::new(),
             schedule: ProbeSchedule::new(now, first_probe_at),
             maintenance: MaintenanceTimer::new(now),
             push_at: None,
-            forgotten: ForgottenMembers::new(plan.members_most),
+            forgotten: ForgottenMembers::new(plan.max_members),
             failed_streams: BTreeMap::new(),
             last_sequence: 0,
             passed_nonces: Vec::new(),
             departure: None,
             gave_way: false,
             joined: false,
-            budget: SendBudget::new(plan.bytes_per_s, now),
+            budget: SendBudget::new(plan.bytes_per_second, now),
             membership_changed_at: now,
             now,
             rng,
             send_buffer: Vec::new(),
             body_updates: 0,
-            counts: Counts::default(),
+            counters: Counters::default(),
             plan,
         };
         view.toggle_own_digest();
@@ -163,10 +162,10 @@
     }
 
     /// Number of present members, this front included.
-    pub fn here(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.members
             .values()
-            .filter(|m| m.claim.state.here())
+            .filter(|m| m.claim.state.is_present())
             .count()
             + 1
     }
@@ -178,7 +177,7 @@
 
     /// Number of times a member's published body was learned or replaced. A member's first one counts here although it
     /// is not reported as a [`Change::Values`].
-    pub fn worded(&self) -> u64 {
+    pub fn body_updates(&self) -> u64 {
         self.body_updates
     }
 
@@ -187,27 +186,27 @@
         let suspects = self
             .members
             .values()
-            .any(|m| m.claim.state == State::Suspected);
+            .any(|m| m.claim.state == MemberState::Suspected);
         (!suspects && self.joined).then_some(self.membership_changed_at)
     }
 
     /// Whether this front's view has agreed with that of another front since it started.
-    pub fn joined(&self) -> bool {
+    pub fn has_joined(&self) -> bool {
         self.joined
     }
 
     /// The local health score: 0 is healthy, larger ones make probe timeouts longer.
-    pub fn health(&self) -> u32 {
+    pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
     /// Whether this front has withdrawn because another live process has its name.
-    pub fn gave_way(&self) -> bool {
+    pub fn is_withdrawn(&self) -> bool {
         self.gave_way
     }
 
     /// Whether a departure is complete: enough members have confirmed it, or its deadline has passed.
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.departure
             .as_ref()
             .is_some_and(|departure| departure.is_complete(self.now))
@@ -231,15 +230,15 @@
     }
 
     /// Reports that a stream to this address failed: datagrams are used in its place for a while.
-    pub fn unstreamed(&mut self, now: Micros, to: SocketAddr) {
-        if self.failed_streams.len() < self.plan.members_most {
+    pub fn stream_failed(&mut self, now: Micros, to: SocketAddr) {
+        if self.failed_streams.len() < self.plan.max_members {
             self.failed_streams
-                .insert(to, now + STREAM_RETRY_PERIODS * self.plan.period);
+                .insert(to, now + STREAM_RETRY_PERIODS * self.plan.probe_period);
         }
     }
 
     /// When [`View::tick`] has to be called next.
-    pub fn next(&self) -> Micros {
+    pub fn next_timeout(&self) -> Micros {
         if self.gave_way {
             // Probes and pushes that were due are never sent any more.
             return self.maintenance.next_at;
@@ -262,15 +261,15 @@
     }
 
     /// Runs everything that is due.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Act>) {
-        let due = self.next();
+    pub fn handle_timeout(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let due = self.next_timeout();
         self.now = now;
         if self.gave_way {
-            self.maintenance.next_at = now + self.plan.period;
+            self.maintenance.next_at = now + self.plan.probe_period;
             return;
         }
         if let Some(span) =
-            pause_length(due, now, self.plan.period).filter(|_| self.plan.own_health)
+            pause_length(due, now, self.plan.probe_period).filter(|_| self.plan.local_health)
         {
             self.recover_from_pause(span, out);
         }
@@ -295,7 +294,7 @@
 
     /// This process was paused and knows nothing of what happened meanwhile: it withdraws its open probes and its
     /// accusations of others.
-    fn recover_from_pause(&mut self, span: Micros, out: &mut Vec<Act>) {
+    fn recover_from_pause(&mut self, span: Micros, out: &mut Vec<Action>) {
         self.health.record_pause();
         if !mutant("trusts-itself") {
             self.probes.clear();
@@ -305,13 +304,13 @@
                 .values_mut()
                 .filter_map(|member| member.suspicion.as_mut())
             {
-                suspicion.by.remove(&self.own.name);
+                suspicion.accusers.remove(&self.own.name);
                 suspicion.since = self.now;
             }
         }
         self.maintenance.next_at = self.now;
-        self.schedule.next_at = self.now + self.plan.period / 4;
-        out.push(Act::Tell(Change::WasAway { span }));
+        self.schedule.next_at = self.now + self.plan.probe_period / 4;
+        out.push(Action::Notify(Change::ProcessPaused { duration: span }));
     }
 
     /// Whether a known member is not alive; false for unknown names and for this front.
@@ -332,9 +331,9 @@
         if let Some(member) = self
             .members
             .get(name)
-            .filter(|member| member.claim.state.here())
+            .filter(|member| member.claim.state.is_present())
         {
-            self.digest.toggle(name, &member.claim, member.rev);
+            self.digest.toggle(name, &member.claim, member.revision);
         }
     }
 
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -6,8 +6,8 @@
 
 use super::peers::Recipient;
 use super::transfer::MAX_DATAGRAM_RECORDS;
-use super::{Act, Change, View};
-use crate::wire::{BucketDigests, RootDigest, Said};
+use super::{Action, Change, View};
+use crate::wire::{BucketDigests, Payload, RootDigest};
 
 /// Records sent to a front that knows few members; over a stream as many as it knows, which doubles them.
 const BOOTSTRAP_RECORDS: usize = MAX_DATAGRAM_RECORDS;
@@ -18,12 +18,12 @@
         &mut self,
         sender: Recipient,
         root: RootDigest,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         if root.digest == self.digest.root() {
             return self.mark_joined(out);
         }
-        let knows_few = root.count.saturating_mul(2) < self.here() as u64;
+        let knows_few = root.count.saturating_mul(2) < self.present_count() as u64;
         if !self.may_send_deferrable() {
             return;
         }
@@ -33,7 +33,7 @@
             let digests = self.digest.bucket_digests();
             self.send(
                 sender,
-                Some(Said::BucketDigests(BucketDigests { digests })),
+                Some(Payload::BucketDigests(BucketDigests { digests })),
                 out,
             );
         }
@@ -41,7 +41,7 @@
 
     /// Sends records of random members to a front that knows few. It learns of others from those, so that a few contacts
     /// need not send the whole view to all that join.
-    fn bootstrap(&mut self, to: Recipient, known: usize, out: &mut Vec<Act>) {
+    fn bootstrap(&mut self, to: Recipient, known: usize, out: &mut Vec<Action>) {
         let count = if self.can_stream(to.address) {
             BOOTSTRAP_RECORDS.max(known)
         } else {
@@ -56,10 +56,10 @@
     }
 
     /// This front's view agrees with that of another.
-    pub(super) fn mark_joined(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn mark_joined(&mut self, out: &mut Vec<Action>) {
         if !self.joined {
             self.joined = true;
-            out.push(Act::Tell(Change::Joined));
+            out.push(Action::Notify(Change::Joined));
         }
     }
 }
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -2,7 +2,7 @@
 //! anti-entropy exchanges wait for it.
 
 use super::View;
-use crate::plan::SEC;
+use crate::settings::SECOND;
 use crate::wire;
 use crate::Micros;
 
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn refill(&mut self, now: Micros) {
-        self.available += (now - self.refilled_at) as f64 * self.bytes_per_s as f64 / SEC as f64;
+        self.available += (now - self.refilled_at) as f64 * self.bytes_per_s as f64 / SECOND as f64;
         self.available = self.available.min(self.capacity());
         self.refilled_at = now;
     }
@@ -52,7 +52,7 @@
     }
 
     fn has_datagram(&self) -> bool {
-        self.available >= wire::MOST as f64
+        self.available >= wire::MAX_DATAGRAM_LENGTH as f64
     }
 
     /// The debt is at most the capacity: what the simultaneous start of a thousand fronts costs a contact would
@@ -67,7 +67,7 @@
     pub(super) fn may_send_deferrable(&mut self) -> bool {
         self.budget.refill(self.now);
         let allowed = self.budget.has_datagram();
-        self.counts.held_back += u64::from(!allowed);
+        self.counters.deferred += u64::from(!allowed);
         allowed
     }
 
@@ -75,7 +75,7 @@
     pub(super) fn charge_send_buffer(&mut self, kind: &'static str) {
         let length = self.send_buffer.len();
         self.budget.charge(length);
-        self.counts.sent_bytes += length as u64;
-        *self.counts.spent.entry(kind).or_default() += length as u64;
+        self.counters.bytes_sent += length as u64;
+        *self.counters.bytes_sent_by_kind.entry(kind).or_default() += length as u64;
     }
 }
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -3,9 +3,9 @@
 use super::member::PublishedBody;
 use super::merge::Report;
 use super::peers::{Peer, Recipient};
-use super::{Act, Change, View, Why};
-use crate::claim::{Claim, State};
-use crate::wire::{Body, Said, Seq};
+use super::{Action, Change, ClaimSource, View};
+use crate::claim::{Claim, MemberState};
+use crate::wire::{Body, Payload, SequenceNumber};
 use crate::Micros;
 use std::collections::BTreeSet;
 
@@ -37,14 +37,14 @@
 
 impl View {
     /// Begins to leave the fleet. [`View::left`] tells when that is done.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<Act>) {
+    pub fn leave(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.now = now;
         if self.departure.is_some() || self.gave_way {
             return;
         }
         self.toggle_own_digest();
-        self.own.claim = self.own.claim.with(State::Left);
-        let deadline = now + MAX_WAIT_PERIODS * self.plan.period;
+        self.own.claim = self.own.claim.with_state(MemberState::Left);
+        let deadline = now + MAX_WAIT_PERIODS * self.plan.probe_period;
         let departure = Departure {
             deadline,
             next_announcement_at: now,
@@ -55,24 +55,24 @@
     }
 
     /// Tells random members, or reports the end where the departure is complete.
-    pub(super) fn announce_departure(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn announce_departure(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(departure) = &mut self.departure else {
             return;
         };
         if departure.is_complete(now) {
             departure.next_announcement_at = Micros::MAX;
-            out.push(Act::Tell(Change::Gone {
-                confirmed: departure.confirmed.len(),
+            out.push(Action::Notify(Change::DepartureCompleted {
+                confirmations: departure.confirmed.len(),
             }));
             return;
         }
-        departure.next_announcement_at = now + self.plan.period / ANNOUNCEMENT_DIVISOR;
+        departure.next_announcement_at = now + self.plan.probe_period / ANNOUNCEMENT_DIVISOR;
         for peer in self.unconfirmed_peers() {
-            let announcement = Seq {
-                seq: ANNOUNCEMENT_SEQUENCE,
+            let announcement = SequenceNumber {
+                sequence: ANNOUNCEMENT_SEQUENCE,
             };
-            self.send(peer.recipient(), Some(Said::Leaving(announcement)), out);
+            self.send(peer.recipient(), Some(Payload::Leaving(announcement)), out);
         }
     }
 
@@ -98,7 +98,7 @@
         claim: Claim,
         address: String,
         sequence: u64,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let body = Body {
             address,
@@ -114,11 +114,15 @@
                 name: sender.name,
                 claim,
                 by: "",
-                why: Why::Said,
+                why: ClaimSource::MemberItself,
             },
             published,
             out,
         );
-        self.send(sender, Some(Said::Confirmed(Seq { seq: sequence })), out);
+        self.send(
+            sender,
+            Some(Payload::Confirmed(SequenceNumber { sequence })),
+            out,
+        );
     }
 }
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -1,8 +1,8 @@
 //! Rumor dissemination: which changes are spread with probes, and which are pushed to random members at once.
 
 use super::merge::Report;
-use super::{Act, Change, View, Why};
-use crate::claim::{Claim, State};
+use super::{Action, Change, ClaimSource, View};
+use crate::claim::{Claim, MemberState};
 use crate::Micros;
 
 /// The part of a period until an urgent change is pushed, as a divisor: changes in between share the datagrams.
@@ -12,7 +12,12 @@
 
 impl View {
     /// Spreads and reports a new claim about a member; `former` is the one that it replaces.
-    pub(super) fn announce(&mut self, report: Report, former: Option<Claim>, out: &mut Vec<Act>) {
+    pub(super) fn announce(
+        &mut self,
+        report: Report,
+        former: Option<Claim>,
+        out: &mut Vec<Action>,
+    ) {
         if self.is_spread(report, former) {
             self.rumors.insert(report.name, self.members.len());
         }
@@ -21,14 +26,14 @@
         }
         let claim = report.claim;
         if former.is_none_or(|former| former.state != claim.state || former.start != claim.start) {
-            out.push(Act::Tell(Change::Member {
+            out.push(Action::Notify(Change::MemberChanged {
                 name: report.name.into(),
                 from: former.map(|former| former.state),
                 to: claim.state,
                 start: claim.start,
                 incarnation: claim.incarnation,
-                why: report.why,
-                by: report.by.into(),
+                source: report.why,
+                accuser: report.by.into(),
             }));
         }
     }
@@ -40,18 +45,18 @@
             .members
             .get(report.name)
             .is_some_and(|m| !m.encoded_body.is_empty());
-        let is_bare = report.claim.state == State::Alive && !has_body;
-        (report.why != Why::Caught && !is_bare) || has_returned(former)
+        let is_bare = report.claim.state == MemberState::Alive && !has_body;
+        (report.why != ClaimSource::AntiEntropy && !is_bare) || has_returned(former)
     }
 
     /// Pushes rumors soon.
     pub(super) fn schedule_push(&mut self) {
-        let at = self.now + self.plan.period / PUSH_DELAY_DIVISOR;
+        let at = self.now + self.plan.probe_period / PUSH_DELAY_DIVISOR;
         self.push_at = Some(self.push_at.map_or(at, |scheduled| scheduled.min(at)));
     }
 
     /// Sends rumors to some random members, as far as the budget allows.
-    pub(super) fn push_rumors(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn push_rumors(&mut self, out: &mut Vec<Action>) {
         self.push_at = None;
         for peer in self.random_peers(PUSH_FANOUT, "") {
             if !self.may_send_deferrable() {
@@ -65,13 +70,14 @@
 /// What this front found out by itself; and appearances, disappearances and new processes, unless by anti-entropy.
 fn is_urgent(report: Report, former: Option<Claim>) -> bool {
     let changes_membership = former.is_none_or(|former| {
-        former.state.here() != report.claim.state.here() || former.start != report.claim.start
+        former.state.is_present() != report.claim.state.is_present()
+            || former.start != report.claim.start
     });
-    let is_news = report.why != Why::Caught || has_returned(former);
-    report.why == Why::Seen || (is_news && changes_membership)
+    let is_news = report.why != ClaimSource::AntiEntropy || has_returned(former);
+    report.why == ClaimSource::OwnProbe || (is_news && changes_membership)
 }
 
 /// Whether the member was dead or had left before.
 fn has_returned(former: Option<Claim>) -> bool {
-    former.is_some_and(|former| !former.state.here())
+    former.is_some_and(|former| !former.state.is_present())
 }
--- a/crates/membership/src/view/event.rs
+++ b/crates/membership/src/view/event.rs
@@ -1,14 +1,14 @@
 //! What a view is given and gives: its identity, the actions for its host, the changes it reports, its counters.
 
-use crate::claim::State;
-use crate::wire::Dropped;
+use crate::claim::MemberState;
+use crate::wire::DropReason;
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The identity of this front.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct MemberIdentity {
     pub name: String,
     pub version: String,
     /// When the process started, by its own clock: only compared with other starts of the same name.
@@ -17,87 +17,99 @@
 
 /// What the host of a view has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Send a datagram.
-    Send { to: SocketAddr, bytes: Vec<u8> },
+    SendDatagram { to: SocketAddr, bytes: Vec<u8> },
     /// Send over a stream, as it may be longer than a datagram. The host reports failures by
     /// [`View::unstreamed`](super::View::unstreamed).
-    Stream { to: SocketAddr, bytes: Vec<u8> },
+    SendStream { to: SocketAddr, bytes: Vec<u8> },
     /// Report a change to the log and to other modules.
-    Tell(Change),
+    Notify(Change),
 }
 
 /// A change of the view, for the log and for other modules.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A member appeared, or its state or its process changed.
-    Member {
+    MemberChanged {
         name: String,
-        from: Option<State>,
-        to: State,
+        from: Option<MemberState>,
+        to: MemberState,
         start: u64,
         incarnation: u64,
-        why: Why,
-        by: String,
+        source: ClaimSource,
+        accuser: String,
     },
     /// A member replaced its published body.
-    Values { name: String },
+    BodyReplaced { name: String },
     /// A member that was dead or had left was removed from the view.
     Forgotten { name: String },
     /// This front was claimed to fail, and refuted that.
-    Refuted { by: String },
+    Refuted { accuser: String },
     /// This process was paused or starved for so long: what it knew of others may be old.
-    WasAway { span: Micros },
+    ProcessPaused { duration: Micros },
     /// This front's view agreed with that of another front for the first time.
     Joined,
     /// Another process of this front's name started later or as late: this front took a later start than that one.
-    Passed { start: u64 },
+    StartAdvanced { start: u64 },
     /// The other process of this front's name is alive: this front withdraws from the fleet.
-    GaveWay { to: String },
+    Withdrawn { other_address: String },
     /// This front has announced its departure, and so many members have confirmed that.
-    Gone { confirmed: usize },
+    DepartureCompleted { confirmations: usize },
 }
 
 /// The source of a change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ClaimSource {
     /// The member itself.
-    Said,
+    MemberItself,
     /// This front's own probes.
-    Seen,
+    OwnProbe,
     /// A rumor from another front.
-    Heard,
+    Rumor,
     /// An anti-entropy exchange: others have known it for a while.
-    Caught,
+    AntiEntropy,
+}
+
+impl ClaimSource {
+    /// Its name in logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            ClaimSource::MemberItself => "Said",
+            ClaimSource::OwnProbe => "Seen",
+            ClaimSource::Rumor => "Heard",
+            ClaimSource::AntiEntropy => "Caught",
+        }
+    }
 }
 
 /// Counters of a view since it was made.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     /// Probes sent.
     pub probes: u64,
     /// Probes without any answer.
-    pub failures: u64,
+    pub failed_probes: u64,
     /// Suspicions that this front's own probes raised or confirmed.
     pub suspicions: u64,
     /// Claims about this front that it refuted.
     pub refutations: u64,
     /// Members that this front declared dead.
-    pub deaths: u64,
+    pub deaths_declared: u64,
     /// Datagrams sent.
-    pub sent: u64,
+    pub datagrams_sent: u64,
     /// Messages sent over streams.
-    pub chunks: u64,
+    pub chunks_sent: u64,
     /// Bytes sent in datagrams and over streams.
-    pub sent_bytes: u64,
+    pub bytes_sent: u64,
     /// Messages received.
-    pub heard: u64,
+    pub messages_received: u64,
     /// Bytes received.
-    pub heard_bytes: u64,
+    pub bytes_received: u64,
     /// Deferrable messages that were not sent for lack of budget.
-    pub held_back: u64,
+    pub deferred: u64,
     /// Messages and records dropped, by reason.
-    pub dropped: BTreeMap<Dropped, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
     /// Bytes sent, by kind of message.
-    pub spent: BTreeMap<&'static str, u64>,
+    pub bytes_sent_by_kind: BTreeMap<&'static str, u64>,
 }
--- a/crates/membership/src/view/inventory.rs
+++ b/crates/membership/src/view/inventory.rs
@@ -2,10 +2,10 @@
 
 use super::peers::Recipient;
 use super::transfer::{DATAGRAM_ROOM, STREAM_CHUNK, STREAM_THRESHOLD};
-use super::{Act, Member, View, Why};
-use crate::claim::{Claim, State};
+use super::{Action, ClaimSource, Member, View};
+use crate::claim::{Claim, MemberState};
 use crate::digest::bucket;
-use crate::wire::{Inventory, Record, Said, BUCKETS};
+use crate::wire::{Inventory, Payload, Record, BUCKET_COUNT};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What an item and a bucket number take in a message besides their own encoding, at most.
@@ -49,7 +49,7 @@
         &mut self,
         sender: Recipient,
         digests: &[u32],
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let differing = self.differing_buckets(digests);
         if differing.is_empty() {
@@ -67,9 +67,9 @@
     /// The buckets that differ, from a random one on: where not all fit, another comparison begins with others.
     fn differing_buckets(&mut self, theirs: &[u32]) -> Vec<usize> {
         let ours = self.digest.bucket_digests();
-        let first = self.rng.usize(0..BUCKETS);
-        (0..BUCKETS)
-            .map(|offset| (first + offset) % BUCKETS)
+        let first = self.rng.usize(0..BUCKET_COUNT);
+        (0..BUCKET_COUNT)
+            .map(|offset| (first + offset) % BUCKET_COUNT)
             .filter(|bucket| theirs.get(*bucket) != ours.get(*bucket))
             .collect()
     }
@@ -94,7 +94,12 @@
     }
 
     /// Sends whole buckets up to one chunk of a stream. The next comparison finds the rest.
-    fn stream_inventory(&mut self, to: Recipient, buckets: Vec<BucketItems>, out: &mut Vec<Act>) {
+    fn stream_inventory(
+        &mut self,
+        to: Recipient,
+        buckets: Vec<BucketItems>,
+        out: &mut Vec<Action>,
+    ) {
         let mut inventory = Inventory::default();
         let mut length = 0;
         for bucket in buckets {
@@ -105,12 +110,12 @@
             bucket.append_to(&mut inventory);
         }
         if self.may_send_deferrable() {
-            self.send_chunk(to.address, Said::Inventory(inventory), out);
+            self.send_chunk(to.address, Payload::Inventory(inventory), out);
         }
     }
 
     /// Sends as many buckets in each datagram as fit, as far as the budget allows.
-    fn send_inventory(&mut self, to: Recipient, buckets: Vec<BucketItems>, out: &mut Vec<Act>) {
+    fn send_inventory(&mut self, to: Recipient, buckets: Vec<BucketItems>, out: &mut Vec<Action>) {
         let mut inventory = Inventory::default();
         for bucket in buckets {
             let length = bucket.encoded_length();
@@ -121,7 +126,7 @@
                 }
                 self.send(
                     to,
-                    Some(Said::Inventory(std::mem::take(&mut inventory))),
+                    Some(Payload::Inventory(std::mem::take(&mut inventory))),
                     out,
                 );
             }
@@ -132,7 +137,7 @@
             }
         }
         if !inventory.buckets.is_empty() {
-            self.send(to, Some(Said::Inventory(inventory)), out);
+            self.send(to, Some(Payload::Inventory(inventory)), out);
         }
     }
 
@@ -142,7 +147,7 @@
         &mut self,
         to: Recipient,
         bucket: &BucketItems,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) -> bool {
         for items in bucket.items.chunks(ITEMS_PER_DATAGRAM) {
             if !self.may_send_deferrable() {
@@ -152,7 +157,7 @@
                 buckets: Vec::new(),
                 items: items.to_vec(),
             };
-            self.send(to, Some(Said::Inventory(part)), out);
+            self.send(to, Some(Payload::Inventory(part)), out);
         }
         true
     }
@@ -163,7 +168,7 @@
         &mut self,
         sender: Recipient,
         inventory: Inventory,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let listed: BTreeSet<String> = inventory
             .items
@@ -197,17 +202,17 @@
         item: Record,
         claim: Claim,
         difference: &mut Difference,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let own = (
             self.own.claim.start,
             self.own.claim.incarnation,
             self.own.revision,
         );
-        let is_outdated = own > (claim.start, claim.incarnation, item.rev);
+        let is_outdated = own > (claim.start, claim.incarnation, item.revision);
         let name = item.name.clone();
-        self.receive_record(item, Why::Caught, out);
-        if is_outdated || claim.state != State::Alive {
+        self.receive_record(item, ClaimSource::AntiEntropy, out);
+        if is_outdated || claim.state != MemberState::Alive {
             difference.newer.push(name);
         }
     }
@@ -217,7 +222,7 @@
         item: Record,
         claim: Claim,
         difference: &mut Difference,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let Some(member) = self.members.get(&item.name) else {
             if !self.forgotten.covers(&item.name, item.start) {
@@ -225,18 +230,19 @@
             }
             return;
         };
-        if claim == member.claim && item.rev == member.rev {
+        if claim == member.claim && item.revision == member.revision {
             return;
         }
         let known = member.claim;
         let same_process = claim.start == known.start;
-        let body_is_newer = claim.start > known.start || (same_process && item.rev > member.rev);
-        let is_outdated = known > claim || (same_process && member.rev > item.rev);
+        let body_is_newer =
+            claim.start > known.start || (same_process && item.revision > member.revision);
+        let is_outdated = known > claim || (same_process && member.revision > item.revision);
         let name = item.name.clone();
         if body_is_newer {
             difference.wanted.push(name.clone());
         } else if claim > known {
-            self.receive_record(item, Why::Caught, out);
+            self.receive_record(item, ClaimSource::AntiEntropy, out);
         }
         if is_outdated {
             difference.newer.push(name);
@@ -246,7 +252,7 @@
     /// Members, this front among them, that the other does not know: those that its complete buckets do not list.
     fn missing_names(&self, complete: &BTreeSet<usize>, listed: &BTreeSet<String>) -> Vec<String> {
         let is_missing = |name: &String| complete.contains(&bucket(name)) && !listed.contains(name);
-        let present = |(_, member): &(&String, &Member)| member.claim.state.here();
+        let present = |(_, member): &(&String, &Member)| member.claim.state.is_present();
         let members = self.members.iter().filter(present).map(|(name, _)| name);
         members
             .chain([&self.own.name])
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -2,9 +2,9 @@
 
 use super::budget::ESSENTIAL_SHARE;
 use super::peers::{Peer, Recipient};
-use super::{Act, Change, View};
-use crate::claim::State;
-use crate::wire::{Ping, RootDigest, Said};
+use super::{Action, Change, View};
+use crate::claim::MemberState;
+use crate::wire::{Payload, Ping, RootDigest};
 use crate::{mutant, Micros};
 use std::net::SocketAddr;
 
@@ -38,8 +38,9 @@
 }
 
 impl View {
-    pub(super) fn run_maintenance(&mut self, out: &mut Vec<Act>) {
-        self.maintenance.next_at = self.now + self.plan.period / Micros::from(CHECKS_PER_PERIOD);
+    pub(super) fn run_maintenance(&mut self, out: &mut Vec<Action>) {
+        self.maintenance.next_at =
+            self.now + self.plan.probe_period / Micros::from(CHECKS_PER_PERIOD);
         self.decide_suspicions(out);
         let whole_period = self.maintenance.advance();
         self.budget.refill(self.now);
@@ -58,31 +59,31 @@
     /// be wasted, and take more of it from the next.
     fn wants_extra_exchange(&self) -> bool {
         let is_unsettled =
-            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.plan.period;
+            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.plan.probe_period;
         (!self.joined || is_unsettled) && self.budget.has_share(ESSENTIAL_SHARE)
     }
 
     /// Sends the digest of the view to a random member; the two exchange more where theirs differ.
-    fn begin_exchange(&mut self, out: &mut Vec<Act>) {
+    fn begin_exchange(&mut self, out: &mut Vec<Action>) {
         for peer in self.random_peers(1, "") {
             let root = RootDigest {
                 digest: self.digest.root(),
-                count: self.here() as u64,
+                count: self.present_count() as u64,
             };
-            self.send(peer.recipient(), Some(Said::RootDigest(root)), out);
+            self.send(peer.recipient(), Some(Payload::RootDigest(root)), out);
         }
     }
 
     /// Removes members that have been dead or gone for long.
-    fn forget_members(&mut self, out: &mut Vec<Act>) {
+    fn forget_members(&mut self, out: &mut Vec<Action>) {
         if mutant("tombstones-for-ever") {
             return;
         }
-        let before = self.now - self.plan.remember;
+        let before = self.now - self.plan.departed_retention;
         let expired: Vec<String> = self
             .members
             .iter()
-            .filter(|(_, member)| !member.claim.state.here() && member.since < before)
+            .filter(|(_, member)| !member.claim.state.is_present() && member.state_since < before)
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
@@ -91,7 +92,7 @@
         self.forgotten.drop_oldest();
     }
 
-    fn forget_member(&mut self, name: String, out: &mut Vec<Act>) {
+    fn forget_member(&mut self, name: String, out: &mut Vec<Action>) {
         if let Some(member) = self
             .members
             .remove(&name)
@@ -100,7 +101,7 @@
             self.forgotten.insert(&name, member.claim.start, self.now);
         }
         self.rumors.remove(&name);
-        out.push(Act::Tell(Change::Forgotten { name }));
+        out.push(Action::Notify(Change::Forgotten { name }));
     }
 
     fn retry_failed_streams(&mut self) {
@@ -109,9 +110,9 @@
     }
 
     /// Pings a random dead member: so a partition that has healed is noticed.
-    fn ping_dead_member(&mut self, out: &mut Vec<Act>) {
+    fn ping_dead_member(&mut self, out: &mut Vec<Action>) {
         let dead = |(name, member): (&String, &super::Member)| {
-            let is_dead = member.claim.state == State::Dead;
+            let is_dead = member.claim.state == MemberState::Dead;
             member.address().filter(|_| is_dead).map(|address| Peer {
                 name: name.clone(),
                 address,
@@ -123,20 +124,20 @@
         }
         let peer = &dead[self.rng.usize(0..dead.len())];
         let ping = Ping {
-            seq: NO_PROBE,
-            to: peer.name.clone(),
+            sequence: NO_PROBE,
+            target: peer.name.clone(),
         };
-        self.send(peer.recipient(), Some(Said::Ping(ping)), out);
+        self.send(peer.recipient(), Some(Payload::Ping(ping)), out);
     }
 
     /// Pings the configured contacts at whose addresses no present member is known.
-    fn ping_unknown_contacts(&mut self, out: &mut Vec<Act>) {
+    fn ping_unknown_contacts(&mut self, out: &mut Vec<Action>) {
         let is_unknown = |address: &SocketAddr| {
             let text = address.to_string();
             !self
                 .members
                 .values()
-                .any(|m| m.claim.state.here() && m.body.address == text)
+                .any(|m| m.claim.state.is_present() && m.body.address == text)
         };
         let contacts = self.plan.contacts.iter().copied();
         let unknown: Vec<SocketAddr> = contacts
@@ -144,10 +145,14 @@
             .collect();
         for address in unknown {
             let ping = Ping {
-                seq: NO_PROBE,
-                to: String::new(),
+                sequence: NO_PROBE,
+                target: String::new(),
             };
-            self.send(Recipient { name: "", address }, Some(Said::Ping(ping)), out);
+            self.send(
+                Recipient { name: "", address },
+                Some(Payload::Ping(ping)),
+                out,
+            );
         }
     }
 }
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -1,6 +1,6 @@
 //! What this front knows of one other member.
 
-use crate::claim::{Claim, State};
+use crate::claim::{Claim, MemberState};
 use crate::wire::{Body, Record};
 use crate::Micros;
 use std::collections::BTreeSet;
@@ -12,14 +12,14 @@
     /// When it began.
     pub since: Micros,
     /// Names of the observers whose probes failed.
-    pub by: BTreeSet<String>,
+    pub accusers: BTreeSet<String>,
 }
 
 impl Suspicion {
     pub(super) fn new(now: Micros) -> Suspicion {
         Suspicion {
             since: now,
-            by: BTreeSet::new(),
+            accusers: BTreeSet::new(),
         }
     }
 }
@@ -29,16 +29,16 @@
 pub struct Member {
     pub claim: Claim,
     /// When it took its state, by this view.
-    pub since: Micros,
+    pub state_since: Micros,
     /// Revision of `body`, counted from 1 by the member; 0 while only its name and address are known.
-    pub rev: u64,
+    pub revision: u64,
     /// What the member publishes of itself.
     pub body: Body,
     /// `body` as the member encoded it, with fields that this build does not know.
     pub(super) encoded_body: Vec<u8>,
     pub suspicion: Option<Suspicion>,
     /// Who claimed that it is dead.
-    pub by: String,
+    pub declared_dead_by: String,
     /// When this front last had an answer to a probe of it.
     pub(super) acknowledged_at: Option<Micros>,
     /// When this front last received anything from it.
@@ -59,12 +59,12 @@
     pub(super) fn new(claim: Claim, published: PublishedBody, by: &str, now: Micros) -> Member {
         Member {
             claim,
-            since: now,
-            rev: published.revision,
+            state_since: now,
+            revision: published.revision,
             body: published.body,
             encoded_body: published.encoded,
-            suspicion: (claim.state == State::Suspected).then(|| Suspicion::new(now)),
-            by: by.to_string(),
+            suspicion: (claim.state == MemberState::Suspected).then(|| Suspicion::new(now)),
+            declared_dead_by: by.to_string(),
             acknowledged_at: None,
             received_at: None,
             round_trip: None,
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn is_alive(&self) -> bool {
-        self.claim.state == State::Alive
+        self.claim.state == MemberState::Alive
     }
 
     /// The record of this member for another front, without its body.
@@ -87,15 +87,15 @@
             start: self.claim.start,
             incarnation: self.claim.incarnation,
             state: self.claim.state as u32,
-            by: self.accuser(preferred_accuser),
-            rev: self.rev,
+            accuser: self.accuser(preferred_accuser),
+            revision: self.revision,
             body: Vec::new(),
         }
     }
 
     /// The same with the body of a member that is present.
     pub(super) fn record_with_body(&self, name: &str, preferred_accuser: &str) -> Record {
-        let body = if self.claim.state.here() {
+        let body = if self.claim.state.is_present() {
             self.encoded_body.clone()
         } else {
             Vec::new()
@@ -109,13 +109,13 @@
     /// Who is named for a suspicion or a death: of several accusers the preferred one, if it is among them.
     fn accuser(&self, preferred: &str) -> String {
         match (&self.suspicion, self.claim.state) {
-            (Some(suspicion), State::Suspected) if suspicion.by.contains(preferred) => {
+            (Some(suspicion), MemberState::Suspected) if suspicion.accusers.contains(preferred) => {
                 preferred.to_string()
             }
-            (Some(suspicion), State::Suspected) => {
-                suspicion.by.first().cloned().unwrap_or_default()
+            (Some(suspicion), MemberState::Suspected) => {
+                suspicion.accusers.first().cloned().unwrap_or_default()
             }
-            (_, State::Dead) => self.by.clone(),
+            (_, MemberState::Dead) => self.declared_dead_by.clone(),
             _ => String::new(),
         }
     }
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -1,10 +1,10 @@
 //! Merging claims and published bodies about members into the view.
 
 use super::member::PublishedBody;
-use super::{Act, Change, Member, Suspicion, View, Why};
-use crate::claim::{Claim, State};
-use crate::plan::TEXT_MOST;
-use crate::wire::{self, Dropped, Record, You};
+use super::{Action, Change, ClaimSource, Member, Suspicion, View};
+use crate::claim::{Claim, MemberState};
+use crate::settings::MAX_TEXT_LENGTH;
+use crate::wire::{self, DropReason, ReceiverClaim, Record};
 use crate::Micros;
 
 /// An answer to a probe within so many periods speaks against an unconfirmed report of a death.
@@ -20,12 +20,17 @@
     pub claim: Claim,
     /// Who accuses the member; empty where nobody does.
     pub by: &'a str,
-    pub why: Why,
+    pub why: ClaimSource,
 }
 
 impl View {
     /// A record from another front; `why` tells whether it came as a rumor or by anti-entropy.
-    pub(super) fn receive_record(&mut self, record: Record, why: Why, out: &mut Vec<Act>) {
+    pub(super) fn receive_record(
+        &mut self,
+        record: Record,
+        why: ClaimSource,
+        out: &mut Vec<Action>,
+    ) {
         let Some(claim) = record.claim() else { return };
         if record.name == self.own.name {
             self.receive_record_about_self(record, out);
@@ -34,58 +39,60 @@
         }
     }
 
-    fn receive_record_about_self(&mut self, record: Record, out: &mut Vec<Act>) {
+    fn receive_record_about_self(&mut self, record: Record, out: &mut Vec<Action>) {
         if record.start > self.own.claim.start {
-            let body = wire::body(&record.body)
+            let body = wire::decode_body(&record.body)
                 .filter(|_| !record.body.is_empty())
                 .unwrap_or_default();
             self.resolve_name_conflict(record.start, body.nonce, &body.address, out);
             return;
         }
         let (start, incarnation, state) = (record.start, record.incarnation, record.state);
-        let claim = You {
+        let claim = ReceiverClaim {
             start,
             incarnation,
             state,
             forgotten: false,
         };
-        self.receive_claim_about_self(claim, &record.by, out);
+        self.receive_claim_about_self(claim, &record.accuser, out);
     }
 
     fn receive_record_about_member(
         &mut self,
         record: Record,
         claim: Claim,
-        why: Why,
-        out: &mut Vec<Act>,
+        why: ClaimSource,
+        out: &mut Vec<Action>,
     ) {
         let published = PublishedBody {
             revision: if record.body.is_empty() {
                 0
             } else {
-                record.rev
+                record.revision
             },
-            body: wire::body(&record.body).unwrap_or_default(),
+            body: wire::decode_body(&record.body).unwrap_or_default(),
             encoded: record.body,
         };
         let known = self.members.get(&record.name);
         let report = Report {
             name: &record.name,
             claim,
-            by: &record.by,
+            by: &record.accuser,
             why,
         };
         match claim.state {
-            State::Suspected => {
+            MemberState::Suspected => {
                 if known.is_none() {
                     self.learn_or_drop(report, published, out);
                 }
                 self.suspect(report, out);
             }
-            State::Dead if known.is_some_and(|member| self.is_death_doubtful(member, report)) => {
+            MemberState::Dead
+                if known.is_some_and(|member| self.is_death_doubtful(member, report)) =>
+            {
                 self.suspect(
                     Report {
-                        claim: claim.with(State::Suspected),
+                        claim: claim.with_state(MemberState::Suspected),
                         by: "",
                         ..report
                     },
@@ -102,26 +109,26 @@
     /// recently, or the report is old and this front has not suspected it for long.
     fn is_death_doubtful(&self, member: &Member, report: Report) -> bool {
         let known = member.claim;
-        if !report.claim.overrules(&known)
-            || !known.state.here()
+        if !report.claim.supersedes(&known)
+            || !known.state.is_present()
             || report.claim.start != known.start
         {
             return false;
         }
-        let period = self.plan.period;
+        let period = self.plan.probe_period;
         let recent = RECENT_ANSWER_PERIODS * period as f64;
         let has_answered = member
             .acknowledged_at
             .is_some_and(|at| ((self.now - at) as f64) < recent);
-        let is_rumor = report.why == Why::Heard;
-        let long_suspected = known.state == State::Suspected
-            && self.now - member.since >= OLD_SUSPICION_PERIODS * period;
+        let is_rumor = report.why == ClaimSource::Rumor;
+        let long_suspected = known.state == MemberState::Suspected
+            && self.now - member.state_since >= OLD_SUSPICION_PERIODS * period;
         has_answered || !(is_rumor || long_suspected)
     }
 
-    fn learn_or_drop(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Act>) {
+    fn learn_or_drop(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Action>) {
         if self.learn(report, published, out).is_err() {
-            self.count_dropped(Dropped::Full);
+            self.count_dropped(DropReason::ViewFull);
         }
     }
 
@@ -131,8 +138,8 @@
         &mut self,
         report: Report,
         published: PublishedBody,
-        out: &mut Vec<Act>,
-    ) -> Result<(), Dropped> {
+        out: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
         let Some(member) = self.members.get(report.name) else {
             return self.add_member(report, published, out);
         };
@@ -143,7 +150,7 @@
         if self
             .members
             .get(report.name)
-            .is_some_and(|member| report.claim.overrules(&member.claim))
+            .is_some_and(|member| report.claim.supersedes(&member.claim))
         {
             self.apply_claim(report, out);
         }
@@ -154,28 +161,32 @@
         &mut self,
         report: Report,
         published: PublishedBody,
-        out: &mut Vec<Act>,
-    ) -> Result<(), Dropped> {
+        out: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
         let Report {
             name,
             claim,
             by,
             why,
         } = report;
-        if self.members.len() + 1 >= self.plan.members_most || name.len() > TEXT_MOST {
-            return Err(Dropped::Full);
+        if self.members.len() + 1 >= self.plan.max_members || name.len() > MAX_TEXT_LENGTH {
+            return Err(DropReason::ViewFull);
         }
         let mut member = Member::new(claim, published, by, self.now);
-        member.received_at = (why == Why::Said).then_some(self.now);
+        member.received_at = (why == ClaimSource::MemberItself).then_some(self.now);
         self.members.insert(name.into(), member);
-        if claim.state.here() {
+        if claim.state.is_present() {
             self.rings.insert(name);
             self.toggle_digest(name);
             self.membership_changed_at = self.now;
         }
         self.forgotten.remove(name);
         self.body_updates += 1;
-        let by = if why == Why::Said { name } else { by };
+        let by = if why == ClaimSource::MemberItself {
+            name
+        } else {
+            by
+        };
         self.announce(Report { by, ..report }, None, out);
         Ok(())
     }
@@ -184,7 +195,7 @@
     fn reset_for_new_process(&mut self, name: &str, published: &PublishedBody) {
         self.toggle_digest(name);
         if let Some(member) = self.members.get_mut(name) {
-            member.rev = 0;
+            member.revision = 0;
             member.acknowledged_at = None;
             member.round_trip = None;
             member.encoded_body.clear();
@@ -195,7 +206,7 @@
 
     /// Takes a later revision of a member's body; and one without revision, which holds only its address, where that
     /// is not known yet.
-    fn update_body(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Act>) {
+    fn update_body(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Action>) {
         let Report {
             name, claim, why, ..
         } = report;
@@ -203,29 +214,30 @@
             return;
         };
         let is_address = published.revision == 0 && member.body.address.is_empty();
-        if claim.start < member.claim.start || !(published.revision > member.rev || is_address) {
+        if claim.start < member.claim.start || !(published.revision > member.revision || is_address)
+        {
             return;
         }
-        let is_first = member.rev == 0;
-        let is_present = member.claim.state.here();
+        let is_first = member.revision == 0;
+        let is_present = member.claim.state.is_present();
         self.body_updates += 1;
         self.replace_body(name, published);
         if is_present {
             self.membership_changed_at = self.now;
         }
         // What comes by anti-entropy spreads by it as well.
-        if why != Why::Caught {
+        if why != ClaimSource::AntiEntropy {
             self.rumors.insert(name, self.members.len());
         }
         if !is_first {
-            out.push(Act::Tell(Change::Values { name: name.into() }));
+            out.push(Action::Notify(Change::BodyReplaced { name: name.into() }));
         }
     }
 
     fn replace_body(&mut self, name: &str, published: PublishedBody) {
         self.toggle_digest(name);
         if let Some(member) = self.members.get_mut(name) {
-            member.rev = published.revision.max(member.rev);
+            member.revision = published.revision.max(member.revision);
             member.body = published.body;
             member.encoded_body = published.encoded;
         }
@@ -233,7 +245,7 @@
     }
 
     /// Replaces the claim about a known member.
-    pub(super) fn apply_claim(&mut self, report: Report, out: &mut Vec<Act>) {
+    pub(super) fn apply_claim(&mut self, report: Report, out: &mut Vec<Action>) {
         let Report {
             name, claim, by, ..
         } = report;
@@ -243,12 +255,12 @@
         self.toggle_digest(name);
         self.replace_claim(name, claim, by);
         self.toggle_digest(name);
-        match (former.state.here(), claim.state.here()) {
+        match (former.state.is_present(), claim.state.is_present()) {
             (true, false) => self.rings.remove(name),
             (false, true) => self.rings.insert(name),
             _ => {}
         }
-        if former.state.here() != claim.state.here() || former.start != claim.start {
+        if former.state.is_present() != claim.state.is_present() || former.start != claim.start {
             self.membership_changed_at = self.now;
         }
         self.announce(report, Some(former), out);
@@ -260,14 +272,14 @@
             return;
         };
         if member.claim.state != claim.state || member.claim.start != claim.start {
-            member.since = now;
+            member.state_since = now;
         }
         member.claim = claim;
-        if claim.state == State::Suspected {
+        if claim.state == MemberState::Suspected {
             member.suspicion.get_or_insert_with(|| Suspicion::new(now));
         } else {
             member.suspicion = None;
-            member.by = by.into();
+            member.declared_dead_by = by.into();
         }
     }
 }
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -1,9 +1,9 @@
 //! This front as a member of the fleet: its claim and the body that it publishes.
 
-use super::{Me, View};
-use crate::claim::{Claim, State};
-use crate::plan::Plan;
-use crate::wire::{Body, Record, Value, VALUES_MOST};
+use super::{MemberIdentity, View};
+use crate::claim::{Claim, MemberState};
+use crate::settings::FleetSettings;
+use crate::wire::{Body, Record, Value, MAX_VALUES_LENGTH};
 
 /// This front's own entry.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
 }
 
 impl OwnMember {
-    pub(super) fn new(me: Me, plan: &Plan, nonce: u64) -> OwnMember {
+    pub(super) fn new(me: MemberIdentity, plan: &FleetSettings, nonce: u64) -> OwnMember {
         let body = Body {
             address: plan.advertise.to_string(),
             zone: plan.zone.clone(),
@@ -45,7 +45,7 @@
         values.push(value);
         values.sort_by_key(|value| value.kind);
         let size: usize = values.iter().map(|value| value.bytes.len()).sum();
-        if size > VALUES_MOST {
+        if size > MAX_VALUES_LENGTH {
             return false;
         }
         self.body.values = values;
@@ -59,8 +59,8 @@
             start: self.claim.start,
             incarnation: self.claim.incarnation,
             state: self.claim.state as u32,
-            by: String::new(),
-            rev: self.revision,
+            accuser: String::new(),
+            revision: self.revision,
             body: Vec::new(),
         }
     }
@@ -77,7 +77,7 @@
     /// Publishes this front's body under a new revision.
     pub(super) fn publish_own_body(&mut self) {
         // A front that leaves is no longer in the digest.
-        let in_digest = self.own.claim.state == State::Alive;
+        let in_digest = self.own.claim.state == MemberState::Alive;
         if in_digest {
             self.toggle_own_digest();
         }
--- a/crates/membership/src/view/peers.rs
+++ b/crates/membership/src/view/peers.rs
@@ -1,7 +1,7 @@
 //! Recipients, and the random choice of them.
 
 use super::View;
-use crate::claim::State;
+use crate::claim::MemberState;
 use crate::Micros;
 use std::net::SocketAddr;
 
@@ -44,7 +44,7 @@
         let mut candidates: Vec<Candidate> = self
             .members
             .iter()
-            .filter(|(name, member)| member.claim.state == State::Alive && *name != except)
+            .filter(|(name, member)| member.claim.state == MemberState::Alive && *name != except)
             .filter_map(|(name, member)| {
                 Some(Candidate {
                     name,
@@ -56,7 +56,11 @@
         let mut peers = Vec::new();
         while peers.len() < count && !candidates.is_empty() {
             let drawn = (0..CANDIDATES_PER_PLACE).map(|_| self.rng.usize(0..candidates.len()));
-            let period = |at: &usize| candidates[*at].received_at.map(|at| at / self.plan.period);
+            let period = |at: &usize| {
+                candidates[*at]
+                    .received_at
+                    .map(|at| at / self.plan.probe_period)
+            };
             let best = drawn.max_by_key(period).unwrap_or(0);
             let Candidate { name, address, .. } = candidates.swap_remove(best);
             peers.push(Peer {
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -2,8 +2,8 @@
 
 use super::budget::ESSENTIAL_SHARE;
 use super::peers::Recipient;
-use super::{Act, View};
-use crate::wire::{Ping, PingRequest, Said};
+use super::{Action, View};
+use crate::wire::{Payload, Ping, PingRequest};
 use crate::Micros;
 
 /// The part of a period that a direct probe may take, as a divisor.
@@ -40,14 +40,14 @@
 
 impl View {
     /// Pings a member, unless a probe of it is open.
-    pub(super) fn probe(&mut self, name: &str, out: &mut Vec<Act>) {
+    pub(super) fn probe(&mut self, name: &str, out: &mut Vec<Action>) {
         let Some(address) = self.address_of(name) else {
             return;
         };
         if self.probes.values().any(|probe| probe.target == name) {
             return;
         }
-        let (period, multiplier) = (self.plan.period, self.health.timeout_multiplier());
+        let (period, multiplier) = (self.plan.probe_period, self.health.timeout_multiplier());
         let probe = Probe {
             target: name.into(),
             sent_at: self.now,
@@ -56,25 +56,25 @@
             indirect_requested: false,
             helper_responded: false,
         };
-        self.counts.probes += 1;
+        self.counters.probes += 1;
         let sequence = self.next_sequence();
         self.probes.insert(sequence, probe);
         let ping = Ping {
-            seq: sequence,
-            to: name.into(),
+            sequence,
+            target: name.into(),
         };
-        self.send(Recipient { name, address }, Some(Said::Ping(ping)), out);
+        self.send(Recipient { name, address }, Some(Payload::Ping(ping)), out);
     }
 
     /// Takes the next step of each probe, its own and relayed ones, whose time is up.
-    pub(super) fn process_probe_deadlines(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn process_probe_deadlines(&mut self, out: &mut Vec<Action>) {
         self.request_due_indirect_probes(out);
         self.fail_expired_probes(out);
         self.send_due_nacks(out);
         self.drop_expired_relayed_probes();
     }
 
-    fn request_due_indirect_probes(&mut self, out: &mut Vec<Act>) {
+    fn request_due_indirect_probes(&mut self, out: &mut Vec<Action>) {
         let is_due = |probe: &Probe| !probe.indirect_requested && self.now >= probe.indirect_at;
         let due: Vec<u64> = self
             .probes
@@ -87,7 +87,7 @@
         }
     }
 
-    fn request_indirect_probe(&mut self, sequence: u64, out: &mut Vec<Act>) {
+    fn request_indirect_probe(&mut self, sequence: u64, out: &mut Vec<Action>) {
         let Some(probe) = self.probes.get_mut(&sequence) else {
             return;
         };
@@ -106,15 +106,15 @@
         };
         for helper in self.random_peers(helpers, &target) {
             let request = PingRequest {
-                seq: sequence,
+                sequence,
                 target: target.clone(),
                 address: address.to_string(),
             };
-            self.send(helper.recipient(), Some(Said::PingRequest(request)), out);
+            self.send(helper.recipient(), Some(Payload::PingRequest(request)), out);
         }
     }
 
-    fn fail_expired_probes(&mut self, out: &mut Vec<Act>) {
+    fn fail_expired_probes(&mut self, out: &mut Vec<Action>) {
         let is_expired = |probe: &Probe| self.now >= probe.deadline;
         let expired: Vec<u64> = self
             .probes
@@ -130,12 +130,12 @@
     }
 
     /// No answer came, neither directly nor through a helper.
-    fn fail_probe(&mut self, probe: Probe, out: &mut Vec<Act>) {
-        self.counts.failures += 1;
+    fn fail_probe(&mut self, probe: Probe, out: &mut Vec<Action>) {
+        self.counters.failed_probes += 1;
         let has_other_members = self
             .members
             .values()
-            .filter(|m| m.claim.state.here())
+            .filter(|m| m.claim.state.is_present())
             .count()
             > 1;
         if !probe.helper_responded && has_other_members {
@@ -145,7 +145,7 @@
     }
 
     /// An answer to a probe of this front, or to one relayed for another.
-    pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, out: &mut Vec<Act>) {
+    pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, out: &mut Vec<Action>) {
         if self.complete_relayed_probe(sequence, out) {
             return;
         }
@@ -165,7 +165,7 @@
         // This front withdraws its accusation. Other accusers learn from the member's refutation; it has heard of the
         // suspicion by now.
         if let Some(suspicion) = &mut member.suspicion {
-            suspicion.by.remove(&self.own.name);
+            suspicion.accusers.remove(&self.own.name);
         }
     }
 
--- a/crates/membership/src/view/receive.rs
+++ b/crates/membership/src/view/receive.rs
@@ -3,19 +3,19 @@
 use super::member::PublishedBody;
 use super::merge::Report;
 use super::peers::Recipient;
-use super::{Act, View, Why};
-use crate::claim::{Claim, State};
-use crate::wire::{self, Body, Dropped, Packet, Ping, Said, Seq};
+use super::{Action, ClaimSource, View};
+use crate::claim::{Claim, MemberState};
+use crate::wire::{self, Body, DropReason, Packet, Payload, Ping, SequenceNumber};
 use crate::Micros;
 use std::net::SocketAddr;
 
 impl View {
     /// A datagram, or a message of a stream.
-    pub fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Act>) {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.counts.heard += 1;
-        self.counts.heard_bytes += bytes.len() as u64;
-        let packet = match wire::read(bytes, self.fleet_id) {
+        self.counters.messages_received += 1;
+        self.counters.bytes_received += bytes.len() as u64;
+        let packet = match wire::decode(bytes, self.fleet_id) {
             Ok(packet) => packet,
             Err(reason) => return self.count_dropped(reason),
         };
@@ -27,18 +27,26 @@
         }
     }
 
-    pub(super) fn count_dropped(&mut self, reason: Dropped) {
-        *self.counts.dropped.entry(reason).or_default() += 1;
+    pub(super) fn count_dropped(&mut self, reason: DropReason) {
+        *self.counters.dropped.entry(reason).or_default() += 1;
     }
 
-    fn receive_packet(&mut self, mut packet: Packet, out: &mut Vec<Act>) -> Result<(), Dropped> {
-        if packet.from == self.own.name {
+    fn receive_packet(
+        &mut self,
+        mut packet: Packet,
+        out: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
+        if packet.sender == self.own.name {
             return self.receive_from_own_name(&packet, out);
         }
-        let address: SocketAddr = packet.address.parse().map_err(|_| Dropped::Bounds)?;
-        let you = packet.you.take();
-        let refuted = you.is_some_and(|you| self.receive_claim_about_self(you, &packet.from, out));
-        let from = packet.from.clone();
+        let address: SocketAddr = packet
+            .address
+            .parse()
+            .map_err(|_| DropReason::OutOfBounds)?;
+        let you = packet.receiver_claim.take();
+        let refuted =
+            you.is_some_and(|you| self.receive_claim_about_self(you, &packet.sender, out));
+        let from = packet.sender.clone();
         let sender = Recipient {
             name: &from,
             address,
@@ -46,9 +54,9 @@
         if self.forgotten.covers(sender.name, packet.start) {
             // The reply tells the sender so. It returns by a later start.
             self.send(sender, None, out);
-            return Err(Dropped::Dead);
+            return Err(DropReason::SenderDead);
         }
-        let is_leaving = matches!(packet.said, Some(Said::Leaving(_)));
+        let is_leaving = matches!(packet.payload, Some(Payload::Leaving(_)));
         if !is_leaving {
             self.learn_from_header(&packet, out)?;
         }
@@ -56,11 +64,11 @@
             member.received_at = Some(self.now);
         }
         if !is_leaving && self.is_sender_gone(&packet) {
-            self.reply_to_gone(sender, packet.said, refuted, out);
-            return Err(Dropped::Dead);
+            self.reply_to_gone(sender, packet.payload, refuted, out);
+            return Err(DropReason::SenderDead);
         }
         for record in std::mem::take(&mut packet.records) {
-            self.receive_record(record, Why::Heard, out);
+            self.receive_record(record, ClaimSource::Rumor, out);
         }
         self.dispatch(sender, packet, refuted, out);
         Ok(())
@@ -69,17 +77,21 @@
     fn receive_from_own_name(
         &mut self,
         packet: &Packet,
-        out: &mut Vec<Act>,
-    ) -> Result<(), Dropped> {
+        out: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
         if packet.nonce == self.own.nonce {
             return Ok(());
         }
         self.resolve_name_conflict(packet.start, packet.nonce, &packet.address, out);
-        Err(Dropped::Twin)
+        Err(DropReason::NameConflict)
     }
 
     /// The sender is alive, and this is its address.
-    fn learn_from_header(&mut self, packet: &Packet, out: &mut Vec<Act>) -> Result<(), Dropped> {
+    fn learn_from_header(
+        &mut self,
+        packet: &Packet,
+        out: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
         let body = Body {
             address: packet.address.clone(),
             nonce: packet.nonce,
@@ -92,14 +104,14 @@
         let claim = Claim {
             start: packet.start,
             incarnation: packet.incarnation,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         self.learn(
             Report {
-                name: &packet.from,
+                name: &packet.sender,
                 claim,
                 by: "",
-                why: Why::Said,
+                why: ClaimSource::MemberItself,
             },
             published,
             out,
@@ -108,8 +120,8 @@
 
     /// Whether this front holds the sending process to be dead or to have left.
     fn is_sender_gone(&self, packet: &Packet) -> bool {
-        let member = self.members.get(&packet.from);
-        member.is_some_and(|m| m.claim.start != packet.start || !m.claim.state.here())
+        let member = self.members.get(&packet.sender);
+        member.is_some_and(|m| m.claim.start != packet.start || !m.claim.state.is_present())
     }
 
     /// The reply tells such a sender what is held of it, so that it can refute that; what it tells of others does not
@@ -118,9 +130,9 @@
     fn reply_to_gone(
         &mut self,
         sender: Recipient,
-        payload: Option<Said>,
+        payload: Option<Payload>,
         refuted: bool,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         let wants_reply = payload.is_some() || refuted;
         let replied = self.receive_probe_message(sender, payload, out);
@@ -129,25 +141,31 @@
         }
     }
 
-    fn dispatch(&mut self, sender: Recipient, packet: Packet, refuted: bool, out: &mut Vec<Act>) {
-        match packet.said {
-            Some(Said::Leaving(Seq { seq })) => {
+    fn dispatch(
+        &mut self,
+        sender: Recipient,
+        packet: Packet,
+        refuted: bool,
+        out: &mut Vec<Action>,
+    ) {
+        match packet.payload {
+            Some(Payload::Leaving(SequenceNumber { sequence: seq })) => {
                 let claim = Claim {
                     start: packet.start,
                     incarnation: packet.incarnation,
-                    state: State::Left,
+                    state: MemberState::Left,
                 };
                 self.receive_departure(sender, claim, packet.address, seq, out);
             }
-            Some(Said::Confirmed(_)) => self.receive_departure_confirmation(sender.name),
-            Some(Said::RootDigest(root)) => self.receive_root_digest(sender, root, out),
-            Some(Said::BucketDigests(buckets)) => {
+            Some(Payload::Confirmed(_)) => self.receive_departure_confirmation(sender.name),
+            Some(Payload::RootDigest(root)) => self.receive_root_digest(sender, root, out),
+            Some(Payload::BucketDigests(buckets)) => {
                 self.receive_bucket_digests(sender, &buckets.digests, out)
             }
-            Some(Said::Inventory(inventory)) => self.receive_inventory(sender, inventory, out),
-            Some(Said::Want(want)) => {
+            Some(Payload::Inventory(inventory)) => self.receive_inventory(sender, inventory, out),
+            Some(Payload::RecordTransfer(want)) => {
                 for record in want.records {
-                    self.receive_record(record, Why::Caught, out);
+                    self.receive_record(record, ClaimSource::AntiEntropy, out);
                 }
                 self.send_records(sender, want.names, out);
             }
@@ -164,20 +182,20 @@
     fn receive_probe_message(
         &mut self,
         sender: Recipient,
-        payload: Option<Said>,
-        out: &mut Vec<Act>,
+        payload: Option<Payload>,
+        out: &mut Vec<Action>,
     ) -> bool {
         match payload {
-            Some(Said::Ping(ping)) => {
+            Some(Payload::Ping(ping)) => {
                 self.receive_ping(sender, ping, out);
                 true
             }
-            Some(Said::PingRequest(request)) => self.receive_ping_request(sender, request, out),
-            Some(Said::Ack(Seq { seq })) => {
+            Some(Payload::PingRequest(request)) => self.receive_ping_request(sender, request, out),
+            Some(Payload::Ack(SequenceNumber { sequence: seq })) => {
                 self.receive_ack(sender.name, seq, out);
                 false
             }
-            Some(Said::Nack(Seq { seq })) => {
+            Some(Payload::Nack(SequenceNumber { sequence: seq })) => {
                 self.receive_nack(seq);
                 false
             }
@@ -186,9 +204,15 @@
     }
 
     /// Answers a ping, unless it is meant for a member that had this address before.
-    fn receive_ping(&mut self, sender: Recipient, ping: Ping, out: &mut Vec<Act>) {
-        if ping.to.is_empty() || ping.to == self.own.name {
-            self.send(sender, Some(Said::Ack(Seq { seq: ping.seq })), out);
+    fn receive_ping(&mut self, sender: Recipient, ping: Ping, out: &mut Vec<Action>) {
+        if ping.target.is_empty() || ping.target == self.own.name {
+            self.send(
+                sender,
+                Some(Payload::Ack(SequenceNumber {
+                    sequence: ping.sequence,
+                })),
+                out,
+            );
         }
     }
 }
--- a/crates/membership/src/view/refutation.rs
+++ b/crates/membership/src/view/refutation.rs
@@ -1,18 +1,18 @@
 //! Claims of others about this front: wrong ones are refuted by a later incarnation or a later start.
 
-use super::{Act, Change, View};
-use crate::claim::{past, refute, Claim, State};
-use crate::wire::You;
+use super::{Action, Change, View};
+use crate::claim::{refute, supersede_start, Claim, MemberState};
+use crate::wire::ReceiverClaim;
 
 impl View {
     /// What another front holds of this one. Whether this front published a new claim because of it.
     pub(super) fn receive_claim_about_self(
         &mut self,
-        you: You,
+        you: ReceiverClaim,
         by: &str,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) -> bool {
-        let Some(state) = State::of(you.state) else {
+        let Some(state) = MemberState::from_wire(you.state) else {
             return false;
         };
         if you.forgotten || you.start > self.own.claim.start {
@@ -26,22 +26,22 @@
         let Some(refutation) = refute(self.own.claim, claimed) else {
             return false;
         };
-        self.counts.refutations += 1;
-        out.push(Act::Tell(Change::Refuted { by: by.into() }));
+        self.counters.refutations += 1;
+        out.push(Action::Notify(Change::Refuted { accuser: by.into() }));
         self.publish_own_claim(refutation);
         true
     }
 
     /// Takes a start later than one that was forgotten or is of another process. A front that leaves does not for the
     /// latter.
-    fn pass_start(&mut self, you: You, out: &mut Vec<Act>) -> bool {
+    fn pass_start(&mut self, you: ReceiverClaim, out: &mut Vec<Action>) -> bool {
         if !you.forgotten && self.departure.is_some() {
             return false;
         }
-        let Some(claim) = past(self.own.claim, you.start) else {
+        let Some(claim) = supersede_start(self.own.claim, you.start) else {
             return false;
         };
-        out.push(Act::Tell(Change::Passed { start: you.start }));
+        out.push(Action::Notify(Change::StartAdvanced { start: you.start }));
         self.publish_own_claim(claim);
         true
     }
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -2,8 +2,8 @@
 
 use super::peers::{Peer, Recipient};
 use super::probing::DIRECT_TIMEOUT_DIVISOR;
-use super::{Act, View};
-use crate::wire::{Ping, PingRequest, Said, Seq};
+use super::{Action, View};
+use crate::wire::{Payload, Ping, PingRequest, SequenceNumber};
 use crate::Micros;
 
 /// A probe sent at the request of another front.
@@ -30,13 +30,13 @@
         &mut self,
         requester: Recipient,
         request: PingRequest,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) -> bool {
         let Ok(address) = request.address.parse() else {
             return false;
         };
         let sequence = self.next_sequence();
-        if self.relayed_probes.len() >= self.plan.members_most {
+        if self.relayed_probes.len() >= self.plan.max_members {
             return true;
         }
         let relayed = RelayedProbe {
@@ -44,40 +44,40 @@
                 name: requester.name.into(),
                 address: requester.address,
             },
-            requested_sequence: request.seq,
-            nack_at: Some(self.now + self.plan.period / DIRECT_TIMEOUT_DIVISOR),
-            expires_at: self.now + self.plan.period,
+            requested_sequence: request.sequence,
+            nack_at: Some(self.now + self.plan.probe_period / DIRECT_TIMEOUT_DIVISOR),
+            expires_at: self.now + self.plan.probe_period,
         };
         self.relayed_probes.insert(sequence, relayed);
         let ping = Ping {
-            seq: sequence,
-            to: request.target.clone(),
+            sequence,
+            target: request.target.clone(),
         };
         self.send(
             Recipient {
                 name: &request.target,
                 address,
             },
-            Some(Said::Ping(ping)),
+            Some(Payload::Ping(ping)),
             out,
         );
         true
     }
 
     /// Relays the answer to a relayed probe. False if that sequence number is of none.
-    pub(super) fn complete_relayed_probe(&mut self, sequence: u64, out: &mut Vec<Act>) -> bool {
+    pub(super) fn complete_relayed_probe(&mut self, sequence: u64, out: &mut Vec<Action>) -> bool {
         let Some(relayed) = self.relayed_probes.remove(&sequence) else {
             return false;
         };
-        let ack = Seq {
-            seq: relayed.requested_sequence,
+        let ack = SequenceNumber {
+            sequence: relayed.requested_sequence,
         };
-        self.send(relayed.requester.recipient(), Some(Said::Ack(ack)), out);
+        self.send(relayed.requester.recipient(), Some(Payload::Ack(ack)), out);
         true
     }
 
     /// Tells requesters whose targets have not answered in time.
-    pub(super) fn send_due_nacks(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut due = Vec::new();
         for relayed in self.relayed_probes.values_mut() {
@@ -86,7 +86,11 @@
             }
         }
         for (requester, seq) in due {
-            self.send(requester.recipient(), Some(Said::Nack(Seq { seq })), out);
+            self.send(
+                requester.recipient(),
+                Some(Payload::Nack(SequenceNumber { sequence: seq })),
+                out,
+            );
         }
     }
 
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -1,6 +1,6 @@
 //! The probe schedule: which of the observed members are probed when, spread evenly over each round of one period.
 
-use super::{Act, View};
+use super::{Action, View};
 use crate::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -57,12 +57,12 @@
 
 impl View {
     /// Probes the next member of the round, and begins another round after the last.
-    pub(super) fn probe_next_scheduled(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn probe_next_scheduled(&mut self, out: &mut Vec<Action>) {
         if self.schedule.pending.is_empty() {
             self.schedule.begin_round(self.now);
             self.schedule_observed_members();
         }
-        if let Some(name) = self.schedule.take_next(self.now, self.plan.period) {
+        if let Some(name) = self.schedule.take_next(self.now, self.plan.probe_period) {
             self.probe(&name, out);
         }
     }
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -3,8 +3,8 @@
 
 use super::merge::Report;
 use super::peers::Recipient;
-use super::{Act, Member, Suspicion, View, Why};
-use crate::claim::State;
+use super::{Action, ClaimSource, Member, Suspicion, View};
+use crate::claim::MemberState;
 use crate::wire::Record;
 use crate::{mutant, Micros};
 
@@ -21,23 +21,23 @@
 
 impl View {
     /// Suspects a member that did not answer a probe of this front, and has its other observers look at it.
-    pub(super) fn suspect_unanswering(&mut self, name: &str, out: &mut Vec<Act>) {
+    pub(super) fn suspect_unanswering(&mut self, name: &str, out: &mut Vec<Action>) {
         let Some(member) = self
             .members
             .get(name)
-            .filter(|member| member.claim.state.here())
+            .filter(|member| member.claim.state.is_present())
         else {
             return;
         };
-        self.counts.suspicions += 1;
-        let claim = member.claim.with(State::Suspected);
+        self.counters.suspicions += 1;
+        let claim = member.claim.with_state(MemberState::Suspected);
         let accuser = self.own.name.clone();
         self.suspect(
             Report {
                 name,
                 claim,
                 by: &accuser,
-                why: Why::Seen,
+                why: ClaimSource::OwnProbe,
             },
             out,
         );
@@ -52,7 +52,7 @@
     }
 
     /// The other observers learn of a suspicion at once: together they can decide sooner.
-    fn notify_observers(&mut self, suspect: &str, out: &mut Vec<Act>) {
+    fn notify_observers(&mut self, suspect: &str, out: &mut Vec<Action>) {
         let observers: Vec<String> = self
             .observers_of(suspect)
             .into_iter()
@@ -80,17 +80,17 @@
     fn accusation(&self, name: &str) -> Option<Record> {
         let member = self.members.get(name)?;
         Some(Record {
-            by: self.own.name.clone(),
+            accuser: self.own.name.clone(),
             ..member.record(name, "")
         })
     }
 
     /// Takes in that a member is suspected. An empty `by` adds no accuser.
-    pub(super) fn suspect(&mut self, report: Report, out: &mut Vec<Act>) {
+    pub(super) fn suspect(&mut self, report: Report, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(report.name) else {
             return;
         };
-        if report.claim.overrules(&member.claim) {
+        if report.claim.supersedes(&member.claim) {
             member.suspicion = Some(Suspicion::new(self.now));
             self.apply_claim(report, out);
         }
@@ -108,20 +108,20 @@
         let Some(suspicion) = &mut member.suspicion else {
             return;
         };
-        if report.by.is_empty() || suspicion.by.len() >= MAX_ACCUSERS {
+        if report.by.is_empty() || suspicion.accusers.len() >= MAX_ACCUSERS {
             return;
         }
-        let is_new = suspicion.by.insert(report.by.into());
+        let is_new = suspicion.accusers.insert(report.by.into());
         if is_new && report.by == self.own.name {
             // This front's own evidence is one period old at most: a later answer withdraws the accusation.
-            suspicion.since = suspicion.since.max(self.now - self.plan.period);
+            suspicion.since = suspicion.since.max(self.now - self.plan.probe_period);
         }
     }
 
     /// How long a suspicion that this front shares stands before it declares the member dead.
     fn suspicion_timeout(&self, name: &str, suspicion: &Suspicion) -> Micros {
-        let size_factor = ((self.here() as f64).log10() / 2.0).max(1.0);
-        let shortest = self.plan.period as f64 * size_factor;
+        let size_factor = ((self.present_count() as f64).log10() / 2.0).max(1.0);
+        let shortest = self.plan.probe_period as f64 * size_factor;
         let longest = shortest * MAX_TIMEOUT_FACTOR;
         let timeout = longest - (longest - shortest) * self.agreement(name, suspicion);
         timeout as Micros * self.health.timeout_multiplier()
@@ -132,7 +132,7 @@
         let observers = self.observers_of(name);
         let agreeing = observers
             .iter()
-            .filter(|name| suspicion.by.contains(**name))
+            .filter(|name| suspicion.accusers.contains(**name))
             .count()
             .saturating_sub(1);
         // Observers that are suspected themselves may never answer: where many have died the rest decide.
@@ -154,20 +154,21 @@
 
     /// Declares dead whose suspicion timed out, and probes whom this front does not accuse itself but others have
     /// suspected for too long.
-    pub(super) fn decide_suspicions(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn decide_suspicions(&mut self, out: &mut Vec<Action>) {
         let mut expired = Vec::new();
         let mut undecided = Vec::new();
-        let undecided_after = UNDECIDED_TIMEOUTS * MAX_TIMEOUT_FACTOR * self.plan.period as f64;
+        let undecided_after =
+            UNDECIDED_TIMEOUTS * MAX_TIMEOUT_FACTOR * self.plan.probe_period as f64;
         for (name, member) in &self.members {
             let Some(suspicion) = member
                 .suspicion
                 .as_ref()
-                .filter(|_| member.claim.state == State::Suspected)
+                .filter(|_| member.claim.state == MemberState::Suspected)
             else {
                 continue;
             };
             let age = self.now - suspicion.since;
-            if suspicion.by.contains(&self.own.name) {
+            if suspicion.accusers.contains(&self.own.name) {
                 if age >= self.suspicion_timeout(name, suspicion) {
                     expired.push(name.clone());
                 }
@@ -179,21 +180,21 @@
         undecided.iter().for_each(|name| self.probe(name, out));
     }
 
-    fn declare_dead(&mut self, name: &str, out: &mut Vec<Act>) {
+    fn declare_dead(&mut self, name: &str, out: &mut Vec<Action>) {
         let suspected = self
             .members
             .get(name)
-            .filter(|member| member.claim.state == State::Suspected);
+            .filter(|member| member.claim.state == MemberState::Suspected);
         let Some(member) = suspected else { return };
-        let claim = member.claim.with(State::Dead);
-        self.counts.deaths += 1;
+        let claim = member.claim.with_state(MemberState::Dead);
+        self.counters.deaths_declared += 1;
         let by = self.own.name.clone();
         self.apply_claim(
             Report {
                 name,
                 claim,
                 by: &by,
-                why: Why::Seen,
+                why: ClaimSource::OwnProbe,
             },
             out,
         );
--- a/crates/membership/src/view/transfer.rs
+++ b/crates/membership/src/view/transfer.rs
@@ -2,12 +2,12 @@
 
 use super::peers::Recipient;
 use super::send::RECORD_OVERHEAD;
-use super::{Act, View};
-use crate::wire::{self, Said, Want};
+use super::{Action, View};
+use crate::wire::{self, Payload, RecordTransfer};
 use std::net::SocketAddr;
 
 /// Room for one part of an exchange in a datagram, besides its header.
-pub(super) const DATAGRAM_ROOM: usize = wire::MOST - 220;
+pub(super) const DATAGRAM_ROOM: usize = wire::MAX_DATAGRAM_LENGTH - 220;
 /// Parts of an exchange longer than this go over a stream.
 pub(super) const STREAM_THRESHOLD: usize = 2 * DATAGRAM_ROOM;
 /// Length of one message of a stream before compression; compressed it is about what the default rate allows at once.
@@ -22,7 +22,7 @@
 impl View {
     /// Whether messages for this address may go over a stream.
     pub(super) fn can_stream(&self, to: SocketAddr) -> bool {
-        self.plan.streams && !self.failed_streams.contains_key(&to)
+        self.plan.use_streams && !self.failed_streams.contains_key(&to)
     }
 
     /// Requests the records of these members. False where the budget did not allow all of the datagrams.
@@ -30,13 +30,13 @@
         &mut self,
         to: Recipient,
         names: Vec<String>,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) -> bool {
         if names.len() > STREAMED_NAMES && self.can_stream(to.address) {
             if self.may_send_deferrable() {
                 self.send_chunk(
                     to.address,
-                    Said::Want(Want {
+                    Payload::RecordTransfer(RecordTransfer {
                         names,
                         records: Vec::new(),
                     }),
@@ -49,11 +49,11 @@
             if !self.may_send_deferrable() {
                 return false;
             }
-            let request = Want {
+            let request = RecordTransfer {
                 names: names.to_vec(),
                 records: Vec::new(),
             };
-            self.send(to, Some(Said::Want(request)), out);
+            self.send(to, Some(Payload::RecordTransfer(request)), out);
         }
         true
     }
@@ -63,14 +63,14 @@
         &mut self,
         to: Recipient,
         mut names: Vec<String>,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Action>,
     ) {
         if names.len() > MAX_DATAGRAM_RECORDS && self.can_stream(to.address) {
             // Where the budget does not allow all, another exchange sends others.
             self.rng.shuffle(&mut names);
             return self.stream_records(to.address, &names, out);
         }
-        let mut batch = Want::default();
+        let mut batch = RecordTransfer::default();
         for name in names {
             let Some(record) = self.record_with_body(&name) else {
                 continue;
@@ -82,17 +82,21 @@
                 if !self.may_send_deferrable() {
                     return;
                 }
-                self.send(to, Some(Said::Want(std::mem::take(&mut batch))), out);
+                self.send(
+                    to,
+                    Some(Payload::RecordTransfer(std::mem::take(&mut batch))),
+                    out,
+                );
             }
             batch.records.push(record);
         }
         if !batch.records.is_empty() {
-            self.send(to, Some(Said::Want(batch)), out);
+            self.send(to, Some(Payload::RecordTransfer(batch)), out);
         }
     }
 
-    fn stream_records(&mut self, to: SocketAddr, names: &[String], out: &mut Vec<Act>) {
-        let mut batch = Want::default();
+    fn stream_records(&mut self, to: SocketAddr, names: &[String], out: &mut Vec<Action>) {
+        let mut batch = RecordTransfer::default();
         let mut length = 0;
         for (index, name) in names.iter().enumerate() {
             if let Some(record) = self.record_with_body(name) {
@@ -106,22 +110,22 @@
             if !self.may_send_deferrable() {
                 return;
             }
-            self.send_chunk(to, Said::Want(std::mem::take(&mut batch)), out);
+            self.send_chunk(to, Payload::RecordTransfer(std::mem::take(&mut batch)), out);
             length = 0;
         }
     }
 
     /// Sends a message over a stream; one that is too long even when compressed is dropped.
-    pub(super) fn send_chunk(&mut self, to: SocketAddr, payload: Said, out: &mut Vec<Act>) {
+    pub(super) fn send_chunk(&mut self, to: SocketAddr, payload: Payload, out: &mut Vec<Action>) {
         let kind = payload.name();
         let packet = self.packet(None, Some(payload), Vec::new());
-        wire::write_chunk(&packet, &mut self.send_buffer);
-        if self.send_buffer.len() > wire::CHUNK_MOST {
+        wire::encode_chunk(&packet, &mut self.send_buffer);
+        if self.send_buffer.len() > wire::MAX_CHUNK_LENGTH {
             return;
         }
         self.charge_send_buffer(kind);
-        self.counts.chunks += 1;
-        out.push(Act::Stream {
+        self.counters.chunks_sent += 1;
+        out.push(Action::SendStream {
             to,
             bytes: self.send_buffer.clone(),
         });
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,26 +1,26 @@
-//! The messages of the membership protocol: datagrams of at most [`MOST`] bytes, with the mark `mr`, the version of the
+//! The messages of the membership protocol: datagrams of at most [`MAX_DATAGRAM_LENGTH`] bytes, with the mark `mr`, the version of the
 //! format, a checksum (CRC-32, as in IEEE 802.3) and a protobuf message. A member's published body is forwarded as the
 //! member encoded it, so older builds forward fields that they do not know. What is too long for datagrams goes over a
 //! stream in chunks: the mark `mz`, the same header, and the message compressed (DEFLATE, RFC 1951).
 
-use crate::claim::{Claim, State};
+use crate::claim::{Claim, MemberState};
 use crate::envelope;
-pub use crate::envelope::{Dropped, CHUNK_MOST};
-use crate::plan::TEXT_MOST;
+pub use crate::envelope::{DropReason, MAX_CHUNK_LENGTH};
+use crate::settings::MAX_TEXT_LENGTH;
 use prost::Message;
 
 /// Length of a datagram at most.
-pub const MOST: usize = 1200;
+pub const MAX_DATAGRAM_LENGTH: usize = 1200;
 /// Version of the format.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 const MARK: [u8; 2] = *b"mr";
 const CHUNK_MARK: [u8; 2] = *b"mz";
 /// Length of all values of one member together, at most.
-pub const VALUES_MOST: usize = 512;
+pub const MAX_VALUES_LENGTH: usize = 512;
 /// Length of an encoded body at most.
-const BODY_MOST: usize = 900;
+const MAX_BODY_LENGTH: usize = 900;
 /// Number of buckets of a digest.
-pub const BUCKETS: usize = 64;
+pub const BUCKET_COUNT: usize = 64;
 
 /// A message, with what its sender claims of itself and of the receiver.
 #[derive(Clone, PartialEq, Message)]
@@ -29,7 +29,7 @@
     #[prost(fixed64, tag = "1")]
     pub fleet: u64,
     #[prost(string, tag = "2")]
-    pub from: String,
+    pub sender: String,
     #[prost(uint64, tag = "3")]
     pub start: u64,
     #[prost(uint64, tag = "4")]
@@ -42,12 +42,12 @@
     pub address: String,
     /// Revision of the sender's body.
     #[prost(uint64, tag = "7")]
-    pub rev: u64,
+    pub revision: u64,
     /// What the sender knows of the receiver, if that is not that it is alive.
     #[prost(message, optional, tag = "8")]
-    pub you: Option<You>,
-    #[prost(oneof = "Said", tags = "9, 10, 11, 12, 13, 14, 15, 16, 17, 18")]
-    pub said: Option<Said>,
+    pub receiver_claim: Option<ReceiverClaim>,
+    #[prost(oneof = "Payload", tags = "9, 10, 11, 12, 13, 14, 15, 16, 17, 18")]
+    pub payload: Option<Payload>,
     /// Piggybacked rumors.
     #[prost(message, repeated, tag = "30")]
     pub records: Vec<Record>,
@@ -55,19 +55,19 @@
 
 /// The payload of a message. A message without one only carries rumors.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Said {
+pub enum Payload {
     #[prost(message, tag = "9")]
     Ping(Ping),
     #[prost(message, tag = "10")]
-    Ack(Seq),
+    Ack(SequenceNumber),
     #[prost(message, tag = "11")]
     PingRequest(PingRequest),
     #[prost(message, tag = "12")]
-    Nack(Seq),
+    Nack(SequenceNumber),
     #[prost(message, tag = "13")]
-    Leaving(Seq),
+    Leaving(SequenceNumber),
     #[prost(message, tag = "14")]
-    Confirmed(Seq),
+    Confirmed(SequenceNumber),
     #[prost(message, tag = "15")]
     RootDigest(RootDigest),
     #[prost(message, tag = "16")]
@@ -76,30 +76,30 @@
     Inventory(Inventory),
     /// Requested and delivered records of an anti-entropy exchange, as against rumors.
     #[prost(message, tag = "18")]
-    Want(Want),
+    RecordTransfer(RecordTransfer),
 }
 
-impl Said {
+impl Payload {
     /// Its kind in metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Said::Ping(_) => "ping",
-            Said::Ack(_) => "ack",
-            Said::PingRequest(_) => "ask",
-            Said::Nack(_) => "nack",
-            Said::Leaving(_) => "leaving",
-            Said::Confirmed(_) => "confirmed",
-            Said::RootDigest(_) => "root",
-            Said::BucketDigests(_) => "buckets",
-            Said::Inventory(_) => "have",
-            Said::Want(_) => "want",
+            Payload::Ping(_) => "ping",
+            Payload::Ack(_) => "ack",
+            Payload::PingRequest(_) => "ask",
+            Payload::Nack(_) => "nack",
+            Payload::Leaving(_) => "leaving",
+            Payload::Confirmed(_) => "confirmed",
+            Payload::RootDigest(_) => "root",
+            Payload::BucketDigests(_) => "buckets",
+            Payload::Inventory(_) => "have",
+            Payload::RecordTransfer(_) => "want",
         }
     }
 }
 
 /// A claim about the receiver of a message.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct You {
+pub struct ReceiverClaim {
     #[prost(uint64, tag = "1")]
     pub start: u64,
     #[prost(uint64, tag = "2")]
@@ -115,24 +115,24 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Ping {
     #[prost(uint64, tag = "1")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The member to answer; empty for whichever receives it.
     #[prost(string, tag = "2")]
-    pub to: String,
+    pub target: String,
 }
 
 /// The sequence number that a reply answers.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Seq {
+pub struct SequenceNumber {
     #[prost(uint64, tag = "1")]
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// A request to ping a target and relay its answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct PingRequest {
     #[prost(uint64, tag = "1")]
-    pub seq: u64,
+    pub sequence: u64,
     #[prost(string, tag = "2")]
     pub target: String,
     #[prost(string, tag = "3")]
@@ -169,7 +169,7 @@
 
 /// Names whose records the sender requests, and records that it delivers.
 #[derive(Clone, PartialEq, Message)]
-pub struct Want {
+pub struct RecordTransfer {
     #[prost(string, repeated, tag = "1")]
     pub names: Vec<String>,
     #[prost(message, repeated, tag = "2")]
@@ -189,10 +189,10 @@
     pub state: u32,
     /// Whose probe failed, for a member that is suspected or dead.
     #[prost(string, tag = "5")]
-    pub by: String,
+    pub accuser: String,
     /// Revision of the body, counted by the member from 1 at each start; 0 for none.
     #[prost(uint64, tag = "6")]
-    pub rev: u64,
+    pub revision: u64,
     /// A [`Body`] as the member itself encoded it.
     #[prost(bytes = "vec", tag = "7")]
     pub body: Vec<u8>,
@@ -204,7 +204,7 @@
         Some(Claim {
             start: self.start,
             incarnation: self.incarnation,
-            state: State::of(self.state)?,
+            state: MemberState::from_wire(self.state)?,
         })
     }
 }
@@ -238,62 +238,70 @@
 }
 
 /// Encodes a datagram.
-pub fn write(packet: &Packet, into: &mut Vec<u8>) {
-    envelope::write(MARK, VERSION, packet, into);
+pub fn encode(packet: &Packet, into: &mut Vec<u8>) {
+    envelope::encode(MARK, FORMAT_VERSION, packet, into);
 }
 
 /// Encodes a chunk of a stream.
-pub fn write_chunk(packet: &Packet, into: &mut Vec<u8>) {
-    envelope::write_packed(CHUNK_MARK, VERSION, envelope::SMALL, packet, into);
+pub fn encode_chunk(packet: &Packet, into: &mut Vec<u8>) {
+    envelope::encode_compressed(
+        CHUNK_MARK,
+        FORMAT_VERSION,
+        envelope::COMPACT_LEVEL,
+        packet,
+        into,
+    );
 }
 
 /// Length of the encoded datagram, header included.
-pub fn length(packet: &Packet) -> usize {
-    envelope::HEAD + packet.encoded_len()
+pub fn encoded_length(packet: &Packet) -> usize {
+    envelope::HEADER_LENGTH + packet.encoded_len()
 }
 
 fn bounded(record: &Record) -> bool {
     !record.name.is_empty()
-        && record.name.len() <= TEXT_MOST
-        && record.by.len() <= TEXT_MOST
-        && record.body.len() <= BODY_MOST
-        && State::of(record.state).is_some()
+        && record.name.len() <= MAX_TEXT_LENGTH
+        && record.accuser.len() <= MAX_TEXT_LENGTH
+        && record.body.len() <= MAX_BODY_LENGTH
+        && MemberState::from_wire(record.state).is_some()
 }
 
 /// Decodes a datagram or a chunk of this fleet, and checks that all of its parts are within bounds.
-pub fn read(bytes: &[u8], fleet: u64) -> Result<Packet, Dropped> {
-    let packet: Packet = envelope::read(MARK, CHUNK_MARK, VERSION, bytes)?;
+pub fn decode(bytes: &[u8], fleet: u64) -> Result<Packet, DropReason> {
+    let packet: Packet = envelope::decode(MARK, CHUNK_MARK, FORMAT_VERSION, bytes)?;
     if packet.fleet != fleet {
-        return Err(Dropped::Fleet);
+        return Err(DropReason::OtherFleet);
     }
-    let texts = !packet.from.is_empty()
-        && packet.from.len() <= TEXT_MOST
-        && packet.address.len() <= TEXT_MOST;
-    let records = match &packet.said {
-        Some(Said::Inventory(have)) => {
-            have.items.iter().all(bounded) && have.buckets.iter().all(|b| (*b as usize) < BUCKETS)
+    let texts = !packet.sender.is_empty()
+        && packet.sender.len() <= MAX_TEXT_LENGTH
+        && packet.address.len() <= MAX_TEXT_LENGTH;
+    let records = match &packet.payload {
+        Some(Payload::Inventory(have)) => {
+            have.items.iter().all(bounded)
+                && have.buckets.iter().all(|b| (*b as usize) < BUCKET_COUNT)
         }
-        Some(Said::Want(want)) => {
-            want.records.iter().all(bounded) && want.names.iter().all(|n| n.len() <= TEXT_MOST)
+        Some(Payload::RecordTransfer(want)) => {
+            want.records.iter().all(bounded)
+                && want.names.iter().all(|n| n.len() <= MAX_TEXT_LENGTH)
         }
-        Some(Said::PingRequest(ask)) => {
-            ask.target.len() <= TEXT_MOST && ask.address.len() <= TEXT_MOST
+        Some(Payload::PingRequest(ask)) => {
+            ask.target.len() <= MAX_TEXT_LENGTH && ask.address.len() <= MAX_TEXT_LENGTH
         }
-        Some(Said::BucketDigests(b)) => b.digests.len() == BUCKETS,
+        Some(Payload::BucketDigests(b)) => b.digests.len() == BUCKET_COUNT,
         _ => true,
     };
     if !texts || !records || !packet.records.iter().all(bounded) {
-        return Err(Dropped::Bounds);
+        return Err(DropReason::OutOfBounds);
     }
     Ok(packet)
 }
 
 /// Decodes a published body, if it is valid and within bounds.
-pub fn body(bytes: &[u8]) -> Option<Body> {
+pub fn decode_body(bytes: &[u8]) -> Option<Body> {
     let body = Body::decode(bytes).ok()?;
     let values: usize = body.values.iter().map(|v| v.bytes.len()).sum();
     let texts = [&body.address, &body.zone, &body.version]
         .iter()
-        .all(|text| text.len() <= TEXT_MOST);
-    (texts && values <= VALUES_MOST).then_some(body)
+        .all(|text| text.len() <= MAX_TEXT_LENGTH);
+    (texts && values <= MAX_VALUES_LENGTH).then_some(body)
 }
--- a/crates/proxy/src/front/fleet.rs
+++ b/crates/proxy/src/front/fleet.rs
@@ -5,7 +5,7 @@
 use super::Front;
 use crate::net::fronts::Fronts;
 use crate::net::Poll;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::view::Change;
 use meadowrill_routing::interface::Micros;
 use slog::{error, info, warn, Logger};
@@ -42,30 +42,32 @@
 
 fn tell(log: &Logger, change: Change) {
     match change {
-        Change::Member {
+        Change::MemberChanged {
             name,
             from,
             to,
             start,
             incarnation,
-            why,
-            by,
+            source: why,
+            accuser: by,
         } => {
-            let from = from.map_or("unknown", State::name);
-            info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => ?why, "by" => by,
+            let from = from.map_or("unknown", MemberState::name);
+            info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => why.name(), "by" => by,
                 "start" => start, "incarnation" => incarnation);
         }
-        Change::Values { name } => info!(log, "member says more of itself"; "who" => name),
+        Change::BodyReplaced { name } => info!(log, "member says more of itself"; "who" => name),
         Change::Forgotten { name } => info!(log, "member forgotten"; "who" => name),
-        Change::Refuted { by } => warn!(log, "was held to fail, spoke up"; "by" => by),
-        Change::WasAway { span } => warn!(log, "was away"; "us" => span),
+        Change::Refuted { accuser: by } => warn!(log, "was held to fail, spoke up"; "by" => by),
+        Change::ProcessPaused { duration: span } => warn!(log, "was away"; "us" => span),
         Change::Joined => info!(log, "joined the fleet"),
-        Change::Passed { start } => {
+        Change::StartAdvanced { start } => {
             warn!(log, "went past another start of its name"; "start" => start)
         }
-        Change::GaveWay { to } => {
+        Change::Withdrawn { other_address: to } => {
             error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => to);
         }
-        Change::Gone { confirmed } => info!(log, "left the fleet"; "confirmed" => confirmed),
+        Change::DepartureCompleted {
+            confirmations: confirmed,
+        } => info!(log, "left the fleet"; "confirmed" => confirmed),
     }
 }
--- a/crates/proxy/src/front/tests.rs
+++ b/crates/proxy/src/front/tests.rs
@@ -81,7 +81,8 @@
         let (cache, journal) = (Cache::start(ok(b"fine")), Journal::start());
         let json = config(&[("s-a", cache.address)], journal.address);
         let mut config = Config::read(&json.to_string(), |_| None).unwrap();
-        let mut fleet = meadowrill_membership::plan::Plan::new("127.0.0.1:0".parse().unwrap());
+        let mut fleet =
+            meadowrill_membership::settings::FleetSettings::new("127.0.0.1:0".parse().unwrap());
         fleet.fleet = "test".into();
         config.own.fleet = Some(fleet);
         config.own.events = Some(plan);
--- a/crates/proxy/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -2,7 +2,7 @@
 //! is counted.
 
 use super::{Key, Poll};
-use meadowrill_membership::wire::MOST;
+use meadowrill_membership::wire::MAX_DATAGRAM_LENGTH;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     }
 
     pub(crate) fn read(&mut self, mut received: impl FnMut(&[u8])) {
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LENGTH + 1];
         self.waits = true;
         for _ in 0..READ {
             match self.socket.recv_from(&mut bytes) {
--- a/crates/proxy/src/net/fronts.rs
+++ b/crates/proxy/src/net/fronts.rs
@@ -8,10 +8,10 @@
 use calloop::Readiness;
 use meadowrill_event_distribution::plan::{Identity, Plan as EventsPlan};
 use meadowrill_event_distribution::wire as events_wire;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::envelope;
-use meadowrill_membership::plan::Plan;
-use meadowrill_membership::view::{Act, Change, Me, Member, View};
+use meadowrill_membership::settings::FleetSettings;
+use meadowrill_membership::view::{Action, Change, Member, MemberIdentity, View};
 use meadowrill_membership::wire::Value;
 use meadowrill_replication::replica::{self, Peer, Replica};
 use meadowrill_replication::wire;
@@ -32,7 +32,7 @@
     pub datagrams: Datagrams,
     pub streams: Streams,
     view: View,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
     changes: Vec<Change>,
     /// What is shared beside who is there, where the settings tell of it, and what it wants done.
     pub replica: Option<Replica>,
@@ -49,7 +49,7 @@
 
 impl Fronts {
     pub(crate) fn listen(
-        plan: &Plan,
+        plan: &FleetSettings,
         shared: Option<&Shared>,
         name: &str,
         now: Micros,
@@ -64,7 +64,7 @@
             plan.listen = datagrams.address()?;
             plan.advertise = plan.listen;
         }
-        let me = Me {
+        let me = MemberIdentity {
             name: name.into(),
             version: env!("CARGO_PKG_VERSION").into(),
             start: now as u64,
@@ -134,7 +134,7 @@
         let subscription = self.subscription.iter().map(Subscription::next_wake);
         replica
             .chain(subscription)
-            .fold(self.view.next(), Micros::min)
+            .fold(self.view.next_timeout(), Micros::min)
     }
 
     pub(crate) fn read(&mut self, now: Micros, poll: &mut Poll) {
@@ -144,7 +144,7 @@
             (&mut self.view, &mut self.replica, &mut self.subscription);
         let (acts, shared) = (&mut self.acts, &mut self.shared);
         self.datagrams.read(
-            |bytes| match (subscription.as_mut(), envelope::mark(bytes)) {
+            |bytes| match (subscription.as_mut(), envelope::message_mark(bytes)) {
                 (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
                 _ => heard(view, replica, now, bytes, (acts, shared)),
             },
@@ -160,17 +160,17 @@
         let failed = self.streams.handle(number, ready, now, poll, heard);
         failed
             .into_iter()
-            .for_each(|to| self.view.unstreamed(now, to));
+            .for_each(|to| self.view.stream_failed(now, to));
         self.carry(now, poll);
     }
 
     pub(crate) fn tick(&mut self, now: Micros, poll: &mut Poll) {
-        if now >= self.view.next() {
-            self.view.tick(now, &mut self.acts);
+        if now >= self.view.next_timeout() {
+            self.view.handle_timeout(now, &mut self.acts);
             let failed = self.streams.tick(now, poll);
             failed
                 .into_iter()
-                .for_each(|to| self.view.unstreamed(now, to));
+                .for_each(|to| self.view.stream_failed(now, to));
         }
         if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next()) {
             replica.tick(now, &mut self.shared);
@@ -202,7 +202,7 @@
 
     /// True once those who need to know that it leaves do, or it waited long enough.
     pub(crate) fn left(&self) -> bool {
-        self.view.left() || self.view.gave_way()
+        self.view.has_left() || self.view.is_withdrawn()
     }
 
     pub(crate) fn changes(&mut self) -> Vec<Change> {
@@ -217,8 +217,8 @@
         let peer = |(name, m): (&str, &Member)| Peer {
             name: name.into(),
             start: m.claim.start,
-            here: m.claim.state.here(),
-            left: m.claim.state == State::Left,
+            here: m.claim.state.is_present(),
+            left: m.claim.state == MemberState::Left,
             zone: m.body.zone.clone(),
             round_trip: m.round_trip,
             shares: flags(m) & SHARES != 0,
@@ -226,30 +226,37 @@
         };
         let alone = self.alone && self.view.members().next().is_none();
         let peers = self.view.members().map(peer).collect();
-        replica.fleet(now, self.view.joined() || alone, peers, &mut self.shared);
+        replica.fleet(
+            now,
+            self.view.has_joined() || alone,
+            peers,
+            &mut self.shared,
+        );
     }
 
     pub(crate) fn carry(&mut self, now: Micros, poll: &mut Poll) {
         let mut changed = false;
         for act in self.acts.drain(..) {
             match act {
-                Act::Tell(change) => {
-                    if let (Change::WasAway { .. }, Some(replica)) = (&change, &mut self.replica) {
+                Action::Notify(change) => {
+                    if let (Change::ProcessPaused { .. }, Some(replica)) =
+                        (&change, &mut self.replica)
+                    {
                         replica.was_away(now, &mut self.shared);
                     }
                     self.changes.push(change);
                     changed = true;
                 }
-                Act::Stream { to, bytes } => {
+                Action::SendStream { to, bytes } => {
                     if !self.streams.send(to, &bytes, now, poll) {
-                        self.view.unstreamed(now, to);
+                        self.view.stream_failed(now, to);
                     }
                 }
-                Act::Send { to, bytes } => self.datagrams.send(to, &bytes),
+                Action::SendDatagram { to, bytes } => self.datagrams.send(to, &bytes),
             }
         }
-        if changed || self.worded != self.view.worded() {
-            self.worded = self.view.worded();
+        if changed || self.worded != self.view.body_updates() {
+            self.worded = self.view.body_updates();
             self.tell_fleet(now);
         }
         self.carry_shared(now, poll);
@@ -295,13 +302,16 @@
     replica: &mut Option<Replica>,
     now: Micros,
     bytes: &[u8],
-    (acts, shared): (&mut Vec<Act>, &mut Vec<replica::Act>),
+    (acts, shared): (&mut Vec<Action>, &mut Vec<replica::Act>),
 ) {
-    let about_shared = matches!(envelope::mark(bytes), Some(wire::MARK | wire::CHUNK_MARK));
+    let about_shared = matches!(
+        envelope::message_mark(bytes),
+        Some(wire::MARK | wire::CHUNK_MARK)
+    );
     match replica {
         Some(replica) if about_shared => replica.hear(now, bytes, shared),
         // Without one it is dropped there, and counted.
-        _ => view.hear(now, bytes, acts),
+        _ => view.receive(now, bytes, acts),
     }
 }
 
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -3,7 +3,7 @@
 
 use super::{Key, Link, Poll};
 use calloop::Readiness;
-use meadowrill_membership::wire::CHUNK_MOST;
+use meadowrill_membership::wire::MAX_CHUNK_LENGTH;
 use meadowrill_routing::interface::Micros;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -13,7 +13,7 @@
 const OUT: usize = 8;
 const IN: usize = 32;
 /// What may lie in one direction of a stream: a slow one holds no more, and the next piece for it is dropped.
-const RING: usize = 4 * CHUNK_MOST;
+const RING: usize = 4 * MAX_CHUNK_LENGTH;
 const HEAD: usize = 4;
 /// How long one may take to come up, to take what waits for it, and to be of no use.
 const COMING: Micros = 1_000_000;
@@ -244,7 +244,7 @@
             return Ok(None);
         };
         let length = u32::from_le_bytes(*head) as usize;
-        if length > CHUNK_MOST {
+        if length > MAX_CHUNK_LENGTH {
             return Err(ErrorKind::InvalidData.into());
         }
         Ok((bytes.len() >= HEAD + length).then_some(length))
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{read_settings, Faulty};
 use meadowrill_event_distribution::plan::Plan;
-use meadowrill_membership::plan::Plan as Fleet;
+use meadowrill_membership::settings::FleetSettings as Fleet;
 use meadowrill_routing::interface::Micros;
 use meadowrill_settings::{Relay, Settings};
 use std::path::{Path, PathBuf};
