--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -1,7 +1,7 @@
 //! What operators are told of the view of the fleet: a table, the same as JSON, and metrics.
 
 use crate::net::fronts::Fronts;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::view::{Member, View};
 use meadowrill_routing::interface::Micros;
 use prometheus_client::collector::Collector;
@@ -15,23 +15,28 @@
 /// How one stands, in the words of the operators' page: one known by name only is still joining.
 fn state(member: &Member) -> &'static str {
     match member.claim.state {
-        State::Alive if member.rev == 0 => "joining",
+        MemberState::Alive if member.revision == 0 => "joining",
         state => state.name(),
     }
 }
 
 fn own_state(view: &View) -> &'static str {
     match view.own().0.state {
-        _ if view.gave_way() => "gave-way",
-        State::Alive if !view.joined() => "joining",
+        _ if view.is_withdrawn() => "gave-way",
+        MemberState::Alive if !view.has_joined() => "joining",
         state => state.name(),
     }
 }
 
 fn by(member: &Member) -> String {
     match &member.suspicion {
-        Some(suspicion) => suspicion.by.iter().cloned().collect::<Vec<_>>().join(","),
-        None => member.by.clone(),
+        Some(suspicion) => suspicion
+            .accusers
+            .iter()
+            .cloned()
+            .collect::<Vec<_>>()
+            .join(","),
+        None => member.declared_dead_by.clone(),
     }
 }
 
@@ -46,8 +51,8 @@
         text,
         "digest {:016x}  here {}  settled {settled}  own health {}",
         view.digest(),
-        view.here(),
-        view.health()
+        view.present_count(),
+        view.health_score()
     );
     let head = [
         "who", "state", "since_s", "by", "rtt_ms", "zone", "weight", "version", "address", "start",
@@ -69,7 +74,7 @@
         rows.push([
             name.to_string(),
             state(member).into(),
-            ((now - member.since) / 1_000_000).to_string(),
+            ((now - member.state_since) / 1_000_000).to_string(),
             by(member),
             member
                 .round_trip
@@ -101,18 +106,18 @@
         .members()
         .map(|(name, m)| {
             json!({
-                "name": name, "state": state(m), "since_us": now - m.since, "by": by(m),
+                "name": name, "state": state(m), "since_us": now - m.state_since, "by": by(m),
                 "round_trip_us": m.round_trip, "zone": m.body.zone, "weight": m.body.weight,
                 "version": m.body.version, "address": m.body.address, "start": m.claim.start,
-                "incarnation": m.claim.incarnation, "rev": m.rev,
+                "incarnation": m.claim.incarnation, "rev": m.revision,
             })
         })
         .collect();
     let all = json!({
         "name": view.name(), "state": own_state(view), "start": own.start, "incarnation": own.incarnation,
         "zone": body.zone, "version": body.version, "address": body.address,
-        "digest": format!("{:016x}", view.digest()), "here": view.here(),
-        "settled_us": view.settled_since().map(|at| now - at), "health": view.health(), "members": members,
+        "digest": format!("{:016x}", view.digest()), "here": view.present_count(),
+        "settled_us": view.settled_since().map(|at| now - at), "health": view.health_score(), "members": members,
     });
     format!("{all}\n")
 }
@@ -131,7 +136,7 @@
 impl Seen {
     pub(crate) fn new(fronts: &Fronts) -> Seen {
         let (view, streams) = (fronts.view(), &fronts.streams);
-        let counts = &view.counts;
+        let counts = &view.counters;
         let one = |n: u64| vec![(Vec::new(), n)];
         let label = |key: &str, value: &str| vec![(key.to_string(), value.to_string())];
         let dropped = counts
@@ -140,7 +145,7 @@
             .map(|(why, n)| (label("why", why.name()), *n))
             .collect();
         let spent = counts
-            .spent
+            .bytes_sent_by_kind
             .iter()
             .map(|(what, n)| (label("for", what), *n))
             .collect();
@@ -152,7 +157,7 @@
                 (
                     "failures",
                     "Probes that nobody answered",
-                    one(counts.failures),
+                    one(counts.failed_probes),
                 ),
                 (
                     "suspicions",
@@ -164,10 +169,22 @@
                     "Times that this front spoke up for itself",
                     one(counts.refutations),
                 ),
-                ("deaths", "Deaths called by this front", one(counts.deaths)),
-                ("datagrams_heard", "Datagrams heard", one(counts.heard)),
-                ("bytes_heard", "Bytes heard", one(counts.heard_bytes)),
-                ("datagrams_sent", "Datagrams sent", one(counts.sent)),
+                (
+                    "deaths",
+                    "Deaths called by this front",
+                    one(counts.deaths_declared),
+                ),
+                (
+                    "datagrams_heard",
+                    "Datagrams heard",
+                    one(counts.messages_received),
+                ),
+                ("bytes_heard", "Bytes heard", one(counts.bytes_received)),
+                (
+                    "datagrams_sent",
+                    "Datagrams sent",
+                    one(counts.datagrams_sent),
+                ),
                 (
                     "bytes_sent",
                     "Bytes sent, by what they were sent for",
@@ -176,7 +193,7 @@
                 (
                     "held_back",
                     "Parts of an exchange that waited for bytes a second",
-                    one(counts.held_back),
+                    one(counts.deferred),
                 ),
                 (
                     "unsent",
@@ -186,7 +203,7 @@
                 (
                     "chunks_sent",
                     "Parts of an exchange sent over streams",
-                    one(counts.chunks),
+                    one(counts.chunks_sent),
                 ),
                 (
                     "streams_opened",
@@ -214,7 +231,7 @@
                 (
                     "health",
                     "How far this front doubts its own eyes",
-                    vec![(Vec::new(), f64::from(view.health()))],
+                    vec![(Vec::new(), f64::from(view.health_score()))],
                 ),
                 (
                     "settled_since_seconds",
--- a/crates/replication/src/replica/counts.rs
+++ b/crates/replication/src/replica/counts.rs
@@ -3,7 +3,7 @@
 use crate::kind::Kind;
 use crate::wire::MessageKind;
 use crate::Micros;
-use meadowrill_membership::envelope::Dropped;
+use meadowrill_membership::envelope::DropReason;
 use std::collections::BTreeMap;
 
 /// What one replica has sent, received and merged since its start.
@@ -20,7 +20,7 @@
     /// Bytes sent, by kind of message.
     pub spent: BTreeMap<MessageKind, u64>,
     /// Messages dropped, by the reason.
-    pub dropped: BTreeMap<Dropped, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
     /// Records merged from rumors, by the number of their kind.
     pub news: BTreeMap<u32, u64>,
     /// Records merged from comparisons and catching up, by the number of their kind.
--- a/crates/replication/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -7,7 +7,7 @@
 use crate::record::{entry, hash, Entry, Key};
 use crate::wire::{self, Body, Delta, Packet, Record};
 use crate::Micros;
-use meadowrill_membership::envelope::Dropped;
+use meadowrill_membership::envelope::DropReason;
 use std::collections::BTreeSet;
 
 /// Ages of records that are kept for the host to take.
@@ -34,11 +34,11 @@
         }
     }
 
-    fn read_packet(&self, bytes: &[u8]) -> Result<Packet, Dropped> {
+    fn read_packet(&self, bytes: &[u8]) -> Result<Packet, DropReason> {
         let packet = wire::read(bytes, self.plan.fleet)?;
         // Only fronts in the membership view are heard: a made-up one would have to pass there.
         if !self.peers.contains_key(&packet.from) {
-            return Err(Dropped::Dead);
+            return Err(DropReason::SenderDead);
         }
         Ok(packet)
     }
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::record::{entry, record, Key};
 use crate::wire::Record;
 use crate::Micros;
-use meadowrill_membership::envelope::{self, Dropped};
+use meadowrill_membership::envelope::{self, DropReason};
 use prost::Message;
 
 const MARK: [u8; 2] = *b"ms";
@@ -40,7 +40,7 @@
     /// Parts are missing or cut off.
     Torn,
     /// A part can't be read.
-    Damaged(Dropped),
+    Damaged(DropReason),
     /// It was written by a front of another fleet.
     Fleet,
     /// It was written in the future.
@@ -54,7 +54,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Refused::Torn => "torn",
-            Refused::Damaged(Dropped::Version) => "another version",
+            Refused::Damaged(DropReason::UnknownVersion) => "another version",
             Refused::Damaged(_) => "damaged",
             Refused::Fleet => "of another fleet",
             Refused::Future => "from the future",
@@ -81,7 +81,7 @@
             of,
             records,
         };
-        envelope::write_packed(MARK, VERSION, envelope::SMALL, &part, &mut bytes);
+        envelope::encode_compressed(MARK, VERSION, envelope::COMPACT_LEVEL, &part, &mut bytes);
         snapshot.extend((bytes.len() as u32).to_le_bytes());
         snapshot.extend(&bytes);
     }
@@ -124,7 +124,7 @@
             .ok_or(Refused::Torn)?;
         let length = u32::from_le_bytes(*length) as usize;
         let (part, after) = after.split_at_checked(length).ok_or(Refused::Torn)?;
-        parts.push(envelope::read(MARK, MARK, VERSION, part).map_err(Refused::Damaged)?);
+        parts.push(envelope::decode(MARK, MARK, VERSION, part).map_err(Refused::Damaged)?);
         rest = after;
     }
     Ok(parts)
--- a/crates/replication/src/wire.rs
+++ b/crates/replication/src/wire.rs
@@ -1,7 +1,7 @@
 //! The messages between fronts about what they share, in the envelope that the membership view uses as well
 //! (`members::envelope`): marked `mp` in a datagram, and `mq` when packed for a stream.
 
-use meadowrill_membership::envelope::{self, Dropped};
+use meadowrill_membership::envelope::{self, DropReason};
 use prost::Message;
 
 /// Marks a message in a datagram.
@@ -284,22 +284,22 @@
 
 /// Encodes a message for a datagram.
 pub fn write(packet: &Packet, into: &mut Vec<u8>) {
-    envelope::write(MARK, VERSION, packet, into);
+    envelope::encode(MARK, VERSION, packet, into);
 }
 
 /// Encodes and packs a message for a stream.
 pub fn write_chunk(packet: &Packet, into: &mut Vec<u8>) {
-    envelope::write_packed(CHUNK_MARK, VERSION, envelope::FAST, packet, into);
+    envelope::encode_compressed(CHUNK_MARK, VERSION, envelope::FAST_LEVEL, packet, into);
 }
 
 /// Decodes a message in either form, and checks that it is of this fleet.
-pub fn read(bytes: &[u8], fleet: u64) -> Result<Packet, Dropped> {
-    let packet: Packet = envelope::read(MARK, CHUNK_MARK, VERSION, bytes)?;
+pub fn read(bytes: &[u8], fleet: u64) -> Result<Packet, DropReason> {
+    let packet: Packet = envelope::decode(MARK, CHUNK_MARK, VERSION, bytes)?;
     if packet.fleet != fleet {
-        return Err(Dropped::Fleet);
+        return Err(DropReason::OtherFleet);
     }
     if packet.from.is_empty() || packet.from.len() > NAME_MOST {
-        return Err(Dropped::Bounds);
+        return Err(DropReason::OutOfBounds);
     }
     Ok(packet)
 }
--- a/crates/settings/src/events.rs
+++ b/crates/settings/src/events.rs
@@ -46,7 +46,7 @@
         .iter()
         .map(|relay| relay_address(relay, text))
         .collect::<Result<Vec<_>, _>>()?;
-    let usual = Plan::new(members.number(), relays);
+    let usual = Plan::new(members.fleet_id(), relays);
     let span = |key: &str, unit: Micros, usual: Micros| {
         node.count(key).map_or(usual, |n| n as Micros * unit)
     };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,7 +16,7 @@
 use ipnet::IpNet;
 use meadowrill_admission::config::{AdmissionConfig, ClientKey, QueueDiscipline, Tenant};
 use meadowrill_event_distribution::plan as distribution;
-use meadowrill_membership::plan::{self as fleet, Plan as Fleet};
+use meadowrill_membership::settings::{self as fleet, FleetSettings as Fleet};
 use meadowrill_replication::plan as replica;
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
@@ -230,8 +230,8 @@
     }
     if let Some(node) = root.node("fleet") {
         let plan = others(&node, text)?;
-        plan.check()
-            .map_err(|f: fleet::Faulty| fault(text, node.key(f.key), f.what))?;
+        plan.validate()
+            .map_err(|f: fleet::InvalidSetting| fault(text, node.key(f.key), f.message))?;
         if let Some(node) = node.node("replica") {
             let mut shared = shared(&node);
             let name = |key: &str| node.key(key);
@@ -240,12 +240,12 @@
                 .check()
                 .map_err(|f: replica::Faulty| fault(text, name(f.key), f.what))?;
             if shared.plan.ledger.is_some()
-                && plan.remember < shared.plan.purge_keep.min(60 * fleet::SEC)
+                && plan.departed_retention < shared.plan.purge_keep.min(60 * fleet::SECOND)
             {
                 let what = "is less than a minute, but a ledger is kept: a split could outlast it";
                 return Err(fault(text, "fleet.remember_s".into(), what.to_string()));
             }
-            shared.plan.fleet = plan.number();
+            shared.plan.fleet = plan.fleet_id();
             shared.plan.zone.clone_from(&plan.zone);
             settings.replica = Some(shared);
         }
@@ -314,17 +314,17 @@
     plan.fleet = fleet.text("name").unwrap_or(plan.fleet);
     plan.zone = fleet.text("zone").unwrap_or(plan.zone);
     plan.weight = fleet.count("weight").map_or(plan.weight, |n| n as u32);
-    plan.period = fleet
+    plan.probe_period = fleet
         .count("period_ms")
-        .map_or(plan.period, |n| n as i64 * 1000);
+        .map_or(plan.probe_period, |n| n as i64 * 1000);
     plan.observers = fleet.count("observers").unwrap_or(plan.observers);
-    plan.members_most = fleet.count("members_most").unwrap_or(plan.members_most);
-    plan.bytes_per_s = fleet
+    plan.max_members = fleet.count("members_most").unwrap_or(plan.max_members);
+    plan.bytes_per_second = fleet
         .count("bytes_per_s")
-        .map_or(plan.bytes_per_s, |n| n as u64);
-    plan.remember = fleet
+        .map_or(plan.bytes_per_second, |n| n as u64);
+    plan.departed_retention = fleet
         .count("remember_s")
-        .map_or(plan.remember, |n| n as i64 * fleet::SEC);
+        .map_or(plan.departed_retention, |n| n as i64 * fleet::SECOND);
     Ok(plan)
 }
 
@@ -451,7 +451,7 @@
         assert_eq!(plan.client_key, ClientKey::Field("desk".into()));
         let fleet = settings.fleet.unwrap();
         assert_eq!(
-            (fleet.period, fleet.contacts.len(), fleet.advertise),
+            (fleet.probe_period, fleet.contacts.len(), fleet.advertise),
             (500_000, 1, fleet.listen)
         );
         let shared = settings.replica.unwrap();
@@ -461,7 +461,7 @@
         );
         assert_eq!(
             (shared.plan.zone.as_str(), shared.plan.fleet),
-            ("east", fleet.number())
+            ("east", fleet.fleet_id())
         );
         let ledger = shared.plan.ledger.unwrap();
         let usual = replica::Ledger::default();
