--- a/crates/event-distribution/src/distributor/admission.rs
+++ b/crates/event-distribution/src/distributor/admission.rs
@@ -6,7 +6,7 @@
 use crate::output::Output;
 use crate::time::Micros;
 use crate::wire::{Body, Busy, Heartbeat};
-use meadowrill_membership::rings::hash;
+use meadowrill_membership::hash::stable_hash;
 use std::net::SocketAddr;
 
 /// Retry-After of those that are not served now is spread over this span, by their names.
@@ -45,7 +45,7 @@
         out: &mut Vec<Output>,
     ) {
         self.counters.busy += 1;
-        let spread = hash(&heartbeat.name, u64::from(heartbeat.request));
+        let spread = stable_hash(&heartbeat.name, u64::from(heartbeat.request));
         let retry_after_ms = (MIN_RETRY_AFTER_MS + spread % RETRY_AFTER_SPREAD_MS) as u32;
         let busy = Busy {
             request: heartbeat.request,
--- a/crates/event-distribution/src/subscriber/relay_selection.rs
+++ b/crates/event-distribution/src/subscriber/relay_selection.rs
@@ -8,7 +8,7 @@
 use crate::jitter::Jitter;
 use crate::settings::{DistributionSettings, Identity, RelayAddress};
 use crate::time::{Micros, SECOND};
-use meadowrill_membership::rings::hash;
+use meadowrill_membership::hash::stable_hash;
 use std::cmp::Reverse;
 
 /// Between two attempts to return to the preferred relay, drawn from this range.
@@ -164,7 +164,7 @@
         .cloned()
         .collect();
     relays.sort_by_cached_key(|relay| {
-        let weight = hash(&format!("{} {}", identity.name, relay.name), 0);
+        let weight = stable_hash(&format!("{} {}", identity.name, relay.name), 0);
         (
             role == Role::Relay && !relay.publishes,
             distance(relay, identity),
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -31,7 +31,7 @@
         body: Some(body),
     };
     let mut bytes = Vec::new();
-    envelope::write(MARK, VERSION, &packet, &mut bytes);
+    envelope::encode(MARK, VERSION, &packet, &mut bytes);
     bytes
 }
 
@@ -42,7 +42,7 @@
 /// The reason to drop it: another kind or version, garbled, of another fleet, or out of bounds.
 pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Body, RejectReason> {
     let packet: Packet =
-        envelope::read(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| RejectReason::Envelope)?;
+        envelope::decode(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| RejectReason::Envelope)?;
     if packet.fleet != fleet_number(fleet) {
         return Err(RejectReason::OtherFleet);
     }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -11,10 +11,10 @@
 use calloop::Readiness;
 use meadowrill_event_distribution::settings::{DistributionSettings as EventsPlan, Identity};
 use meadowrill_event_distribution::wire as events_wire;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::envelope;
-use meadowrill_membership::plan::Plan;
-use meadowrill_membership::view::{Act, Change, Me, Member, View};
+use meadowrill_membership::settings::FleetSettings;
+use meadowrill_membership::view::{Action, Change, Member, MemberIdentity, View};
 use meadowrill_membership::wire::Value;
 use meadowrill_replication::replica::{self, Peer, Replica};
 use meadowrill_replication::wire;
@@ -37,7 +37,7 @@
     pub datagrams: Datagrams,
     pub streams: Streams,
     view: View,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
     changes: Vec<Change>,
     /// The replica of the shared state, where the settings name one.
     pub replica: Option<Replica>,
@@ -55,7 +55,7 @@
 
 impl Peers {
     pub(crate) fn listen(
-        plan: &Plan,
+        plan: &FleetSettings,
         shared: Option<&ReplicaSettings>,
         name: &str,
         now: Micros,
@@ -70,7 +70,7 @@
             plan.listen = datagrams.address()?;
             plan.advertise = plan.listen;
         }
-        let me = Me {
+        let me = MemberIdentity {
             name: name.into(),
             version: env!("CARGO_PKG_VERSION").into(),
             start: now as u64,
@@ -140,7 +140,7 @@
         let subscription = self.subscription.iter().map(Subscription::next_wake);
         replica
             .chain(subscription)
-            .fold(self.view.next(), Micros::min)
+            .fold(self.view.next_timeout(), Micros::min)
     }
 
     /// Datagrams have come.
@@ -150,12 +150,12 @@
         let (view, replica, subscription) =
             (&mut self.view, &mut self.replica, &mut self.subscription);
         let (acts, replica_acts) = (&mut self.acts, &mut self.replica_acts);
-        self.datagrams.receive(
-            |bytes| match (subscription.as_mut(), envelope::mark(bytes)) {
+        self.datagrams.receive(|bytes| {
+            match (subscription.as_mut(), envelope::message_mark(bytes)) {
                 (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
                 _ => receive(view, replica, now, bytes, (acts, replica_acts)),
-            },
-        );
+            }
+        });
         self.dispatch(now, poll);
     }
 
@@ -175,17 +175,17 @@
             .handle_ready(number, ready, now, poll, received);
         failed
             .into_iter()
-            .for_each(|to| self.view.unstreamed(now, to));
+            .for_each(|to| self.view.stream_failed(now, to));
         self.dispatch(now, poll);
     }
 
     pub(crate) fn tick(&mut self, now: Micros, poll: &mut Poll) {
-        if now >= self.view.next() {
-            self.view.tick(now, &mut self.acts);
+        if now >= self.view.next_timeout() {
+            self.view.handle_timeout(now, &mut self.acts);
             let failed = self.streams.close_stale(now, poll);
             failed
                 .into_iter()
-                .for_each(|to| self.view.unstreamed(now, to));
+                .for_each(|to| self.view.stream_failed(now, to));
         }
         if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next()) {
             replica.tick(now, &mut self.replica_acts);
@@ -218,7 +218,7 @@
 
     /// Whether the other members know that it leaves, or it has waited long enough.
     pub(crate) fn has_left(&self) -> bool {
-        self.view.left() || self.view.gave_way()
+        self.view.has_left() || self.view.is_withdrawn()
     }
 
     /// Changes of the membership since the last call.
@@ -234,8 +234,8 @@
         let peer = |(name, m): (&str, &Member)| Peer {
             name: name.into(),
             start: m.claim.start,
-            here: m.claim.state.here(),
-            left: m.claim.state == State::Left,
+            here: m.claim.state.is_present(),
+            left: m.claim.state == MemberState::Left,
             zone: m.body.zone.clone(),
             round_trip: m.round_trip,
             shares: capabilities(m) & REPLICATES != 0,
@@ -245,7 +245,7 @@
         let peers = self.view.members().map(peer).collect();
         replica.fleet(
             now,
-            self.view.joined() || alone,
+            self.view.has_joined() || alone,
             peers,
             &mut self.replica_acts,
         );
@@ -256,23 +256,25 @@
         let mut changed = false;
         for act in self.acts.drain(..) {
             match act {
-                Act::Tell(change) => {
-                    if let (Change::WasAway { .. }, Some(replica)) = (&change, &mut self.replica) {
+                Action::Notify(change) => {
+                    if let (Change::ProcessPaused { .. }, Some(replica)) =
+                        (&change, &mut self.replica)
+                    {
                         replica.was_away(now, &mut self.replica_acts);
                     }
                     self.changes.push(change);
                     changed = true;
                 }
-                Act::Stream { to, bytes } => {
+                Action::SendStream { to, bytes } => {
                     if !self.streams.send(to, &bytes, now, poll) {
-                        self.view.unstreamed(now, to);
+                        self.view.stream_failed(now, to);
                     }
                 }
-                Act::Send { to, bytes } => self.datagrams.send(to, &bytes),
+                Action::SendDatagram { to, bytes } => self.datagrams.send(to, &bytes),
             }
         }
-        if changed || self.values_version != self.view.worded() {
-            self.values_version = self.view.worded();
+        if changed || self.values_version != self.view.body_updates() {
+            self.values_version = self.view.body_updates();
             self.update_replica_members(now);
         }
         self.dispatch_replica(now, poll);
@@ -322,13 +324,16 @@
     replica: &mut Option<Replica>,
     now: Micros,
     bytes: &[u8],
-    (acts, replica_acts): (&mut Vec<Act>, &mut Vec<replica::Act>),
+    (acts, replica_acts): (&mut Vec<Action>, &mut Vec<replica::Act>),
 ) {
-    let for_replica = matches!(envelope::mark(bytes), Some(wire::MARK | wire::CHUNK_MARK));
+    let for_replica = matches!(
+        envelope::message_mark(bytes),
+        Some(wire::MARK | wire::CHUNK_MARK)
+    );
     match replica {
         Some(replica) if for_replica => replica.hear(now, bytes, replica_acts),
         // Without a replica the view drops it, and counts that.
-        _ => view.hear(now, bytes, acts),
+        _ => view.receive(now, bytes, acts),
     }
 }
 
--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::collector::{label, unlabelled, Metric, MetricSnapshot};
 use crate::net::peers::Peers;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::view::{Member, View};
 use meadowrill_routing::interface::Micros;
 use serde_json::json;
@@ -13,23 +13,28 @@
 /// The state of a member, in the words of the operators' page: one known by name only is still joining.
 fn state(member: &Member) -> &'static str {
     match member.claim.state {
-        State::Alive if member.rev == 0 => "joining",
+        MemberState::Alive if member.revision == 0 => "joining",
         state => state.name(),
     }
 }
 
 fn own_state(view: &View) -> &'static str {
     match view.own().0.state {
-        _ if view.gave_way() => "gave-way",
-        State::Alive if !view.joined() => "joining",
+        _ if view.is_withdrawn() => "gave-way",
+        MemberState::Alive if !view.has_joined() => "joining",
         state => state.name(),
     }
 }
 
 fn by(member: &Member) -> String {
     match &member.suspicion {
-        Some(suspicion) => suspicion.by.iter().cloned().collect::<Vec<_>>().join(","),
-        None => member.by.clone(),
+        Some(suspicion) => suspicion
+            .accusers
+            .iter()
+            .cloned()
+            .collect::<Vec<_>>()
+            .join(","),
+        None => member.declared_dead_by.clone(),
     }
 }
 
@@ -44,8 +49,8 @@
         text,
         "digest {:016x}  here {}  settled {settled}  own health {}",
         view.digest(),
-        view.here(),
-        view.health()
+        view.present_count(),
+        view.health_score()
     );
     let head = [
         "who", "state", "since_s", "by", "rtt_ms", "zone", "weight", "version", "address", "start",
@@ -67,7 +72,7 @@
         rows.push([
             name.to_string(),
             state(member).into(),
-            ((now - member.since) / 1_000_000).to_string(),
+            ((now - member.state_since) / 1_000_000).to_string(),
             by(member),
             member
                 .round_trip
@@ -99,18 +104,18 @@
         .members()
         .map(|(name, m)| {
             json!({
-                "name": name, "state": state(m), "since_us": now - m.since, "by": by(m),
+                "name": name, "state": state(m), "since_us": now - m.state_since, "by": by(m),
                 "round_trip_us": m.round_trip, "zone": m.body.zone, "weight": m.body.weight,
                 "version": m.body.version, "address": m.body.address, "start": m.claim.start,
-                "incarnation": m.claim.incarnation, "rev": m.rev,
+                "incarnation": m.claim.incarnation, "rev": m.revision,
             })
         })
         .collect();
     let all = json!({
         "name": view.name(), "state": own_state(view), "start": own.start, "incarnation": own.incarnation,
         "zone": body.zone, "version": body.version, "address": body.address,
-        "digest": format!("{:016x}", view.digest()), "here": view.here(),
-        "settled_us": view.settled_since().map(|at| now - at), "health": view.health(), "members": members,
+        "digest": format!("{:016x}", view.digest()), "here": view.present_count(),
+        "settled_us": view.settled_since().map(|at| now - at), "health": view.health_score(), "members": members,
     });
     format!("{all}\n")
 }
@@ -126,10 +131,14 @@
 }
 
 fn membership_counters(peers: &Peers) -> Vec<Metric<u64>> {
-    let counts = &peers.view().counts;
+    let counts = &peers.view().counters;
     let counters = [
         ("probes", "Probes sent", counts.probes),
-        ("failures", "Probes that nobody answered", counts.failures),
+        (
+            "failures",
+            "Probes that nobody answered",
+            counts.failed_probes,
+        ),
         (
             "suspicions",
             "Suspicions by this front's own probes",
@@ -140,7 +149,11 @@
             "Times that this front spoke up for itself",
             counts.refutations,
         ),
-        ("deaths", "Deaths called by this front", counts.deaths),
+        (
+            "deaths",
+            "Deaths called by this front",
+            counts.deaths_declared,
+        ),
     ];
     counters
         .map(|(name, help, count)| (name, help, unlabelled(count)))
@@ -148,18 +161,22 @@
 }
 
 fn transport_counters(peers: &Peers) -> Vec<Metric<u64>> {
-    let (counts, streams) = (&peers.view().counts, &peers.streams);
+    let (counts, streams) = (&peers.view().counters, &peers.streams);
     let dropped = counts.dropped.iter();
     let dropped = dropped
         .map(|(why, n)| (label("why", why.name()), *n))
         .collect();
-    let spent = counts.spent.iter();
+    let spent = counts.bytes_sent_by_kind.iter();
     let spent = spent.map(|(what, n)| (label("for", what), *n)).collect();
     let one = |name, help, count| (name, help, unlabelled(count));
     vec![
-        one("datagrams_heard", "Datagrams heard", counts.heard),
-        one("bytes_heard", "Bytes heard", counts.heard_bytes),
-        one("datagrams_sent", "Datagrams sent", counts.sent),
+        one(
+            "datagrams_heard",
+            "Datagrams heard",
+            counts.messages_received,
+        ),
+        one("bytes_heard", "Bytes heard", counts.bytes_received),
+        one("datagrams_sent", "Datagrams sent", counts.datagrams_sent),
         (
             "bytes_sent",
             "Bytes sent, by what they were sent for",
@@ -168,7 +185,7 @@
         one(
             "held_back",
             "Parts of an exchange that waited for bytes a second",
-            counts.held_back,
+            counts.deferred,
         ),
         one(
             "unsent",
@@ -178,7 +195,7 @@
         one(
             "chunks_sent",
             "Parts of an exchange sent over streams",
-            counts.chunks,
+            counts.chunks_sent,
         ),
         one(
             "streams_opened",
@@ -212,7 +229,7 @@
         (
             "health",
             "How far this front doubts its own eyes",
-            unlabelled(f64::from(view.health())),
+            unlabelled(f64::from(view.health_score())),
         ),
         (
             "settled_since_seconds",
