--- /dev/null
+++ b/crates/replication/tests/recorded.rs
@@ -0,0 +1,210 @@
+//! Nothing that leaves a replica changes: drawn schedules over a handful of replicas, with every message and every other
+//! output compared byte for byte with a recording; and a snapshot and messages that were written by an earlier build.
+//!
+//! The recordings in `tests/recordings` were made before the crate was rewritten. Their form (`recorded/text.rs`) names
+//! no type of the code. `RECORD_TRACES=1 cargo test -p meadowrill-replication --test recorded` writes them anew.
+
+#[path = "recorded/random.rs"]
+mod random;
+#[path = "recorded/schedule.rs"]
+mod schedule;
+#[path = "recorded/text.rs"]
+mod text;
+
+use meadowrill_replication::map::{Map, Room};
+use meadowrill_replication::plan::{Ledger, Plan, Unwritten};
+use meadowrill_replication::{snapshot, wire, Micros, SEC};
+use schedule::{Schedule, Setup, FLEET, START};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+
+fn path(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "recordings", name]
+        .iter()
+        .collect()
+}
+
+/// Compares with a recording, or writes it where that is requested.
+fn assert_recorded(name: &str, bytes: &[u8]) {
+    if std::env::var_os("RECORD_TRACES").is_some() {
+        std::fs::write(path(name), bytes).expect("the recording can be written");
+        return;
+    }
+    let recorded = std::fs::read(path(name)).expect("the recording is there");
+    if recorded == bytes {
+        return;
+    }
+    let (recorded, bytes) = (
+        String::from_utf8_lossy(&recorded).into_owned(),
+        String::from_utf8_lossy(bytes).into_owned(),
+    );
+    for (number, (expected, found)) in recorded.lines().zip(bytes.lines()).enumerate() {
+        assert_eq!(expected, found, "{name}, line {}", number + 1);
+    }
+    panic!(
+        "{name}: {} lines recorded, {} found",
+        recorded.lines().count(),
+        bytes.lines().count()
+    );
+}
+
+fn plan(ledger: Option<Ledger>) -> Plan {
+    Plan {
+        fleet: FLEET,
+        zone: "zone-0".into(),
+        period: SEC / 5,
+        bytes_per_s: 6_000,
+        catch_up_bytes_per_s: 40_000,
+        entries: 60,
+        bytes: 30_000,
+        purge_keep: 12 * SEC,
+        machine_keep: 20 * SEC,
+        learned_keep: 6 * SEC,
+        ready_after: SEC,
+        ledger,
+    }
+}
+
+fn ledger() -> Ledger {
+    Ledger {
+        keep: 9 * SEC,
+        body_most: 600,
+        ..Ledger::default()
+    }
+}
+
+fn setup(seed: u64, ledger: Option<Ledger>) -> Setup {
+    Setup {
+        seed,
+        replicas: 5,
+        plan: plan(ledger),
+        loss_per_mille: 50,
+        duplicates_per_mille: 50,
+        without_ledger: None,
+        seconds: 30,
+    }
+}
+
+#[test]
+fn a_schedule_with_claims_that_are_rejected_without_a_quorum_is_as_recorded() {
+    let short = Setup {
+        seconds: 26,
+        ..setup(10, Some(ledger()))
+    };
+    let schedule = Schedule::new(short).play();
+    schedule.assert_covers(&[
+        "admit",
+        "answer",
+        "fail",
+        "reject",
+        "taken over",
+        "conflict",
+    ]);
+    assert_recorded("reject.txt", schedule.text().as_bytes());
+}
+
+#[test]
+fn a_schedule_with_claims_that_are_sent_without_a_quorum_is_as_recorded() {
+    let ledger = Ledger {
+        unwritten: Unwritten::Serve,
+        fronts_least: 3,
+        ..ledger()
+    };
+    let lossy = Setup {
+        seconds: 18,
+        loss_per_mille: 200,
+        duplicates_per_mille: 100,
+        replicas: 6,
+        without_ledger: Some(5),
+        ..setup(2, Some(ledger))
+    };
+    let schedule = Schedule::new(lossy).play();
+    schedule.assert_covers(&["admit", "answer", "fail"]);
+    assert_recorded("serve.txt", schedule.text().as_bytes());
+}
+
+#[test]
+fn a_schedule_without_a_ledger_and_with_room_for_all_records_is_as_recorded() {
+    let roomy = Setup {
+        seconds: 20,
+        plan: Plan {
+            entries: 5_000,
+            bytes: 1_000_000,
+            bytes_per_s: 100_000,
+            ..plan(None)
+        },
+        replicas: 4,
+        ..setup(3, None)
+    };
+    let schedule = Schedule::new(roomy).play();
+    schedule.assert_covers(&["purge", "machine", "learned", "caught up"]);
+    assert_recorded("no_ledger.txt", schedule.text().as_bytes());
+}
+
+const SNAPSHOT_AT: Micros = START + 30 * SEC;
+
+fn restored(bytes: &[u8]) -> (usize, Micros, Map) {
+    let mut map = Map::new(Room {
+        entries: 5_000,
+        bytes: 1_000_000,
+    });
+    let (records, age) =
+        snapshot::read(bytes, &mut map, FLEET, 60 * SEC, SNAPSHOT_AT + SEC).expect("can be read");
+    (records, age, map)
+}
+
+/// Written by a replica, read into an empty map, written again (without what does not outlive a restart) and read once
+/// more.
+#[test]
+fn a_snapshot_of_an_earlier_build_is_read_and_written_as_recorded() {
+    if std::env::var_os("RECORD_TRACES").is_some() {
+        let schedule = Schedule::new(setup(4, Some(ledger()))).play();
+        let written = schedule.snapshot(SNAPSHOT_AT);
+        std::fs::write(path("snapshot.bin"), written).expect("can be written");
+    }
+    let recorded = std::fs::read(path("snapshot.bin")).expect("the recording is there");
+    let (records, age, map) = restored(&recorded);
+    assert_eq!(age, SEC);
+    assert_recorded("snapshot.txt", text::of_map(&map).as_bytes());
+    assert_eq!(records, map.len());
+    let again = snapshot::write(&map, FLEET, SNAPSHOT_AT);
+    assert_recorded("snapshot-again.bin", &again);
+    assert_eq!(
+        text::of_map(&restored(&again).2),
+        text::of_map(&map),
+        "a second reading"
+    );
+    if std::env::var_os("RECORD_TRACES").is_none() {
+        let schedule = Schedule::new(setup(4, Some(ledger()))).play();
+        assert_eq!(schedule.snapshot(SNAPSHOT_AT), recorded);
+    }
+}
+
+/// One message of each type, in each form that was sent, as an earlier build wrote it.
+#[test]
+fn messages_of_an_earlier_build_are_read_and_written_alike() {
+    let mut sent: BTreeMap<String, Vec<u8>> = BTreeMap::new();
+    for seed in 5..8 {
+        let schedule = Schedule::new(setup(seed, Some(ledger()))).play();
+        for (name, bytes) in schedule.first_messages() {
+            sent.entry(name.clone()).or_insert_with(|| bytes.clone());
+        }
+    }
+    let lines: String = sent
+        .iter()
+        .map(|(name, bytes)| format!("{name} {}\n", text::hex(bytes)))
+        .collect();
+    assert_recorded("messages.txt", lines.as_bytes());
+    let datagrams = sent.keys().filter(|name| name.starts_with("datagram"));
+    assert_eq!(datagrams.count(), 10, "all types: {:?}", sent.keys());
+    for (name, bytes) in &sent {
+        let packet = wire::read(bytes, FLEET).expect("can be read");
+        let mut again = Vec::new();
+        if name.starts_with("stream") {
+            wire::write_chunk(&packet, &mut again);
+        } else {
+            wire::write(&packet, &mut again);
+        }
+        assert_eq!(text::hex(&again), text::hex(bytes), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/replication/tests/recorded/schedule.rs
@@ -0,0 +1,504 @@
+//! A drawn schedule over a handful of replicas: a network that loses, doubles and reorders, splits, restarts with and
+//! without a snapshot, writes of every type of record, keyed requests at several replicas and their ends.
+
+use super::random::Random;
+use super::text;
+use meadowrill_replication::kind::Kind;
+use meadowrill_replication::kinds::Machine;
+use meadowrill_replication::ledger::{End, Terms, Word};
+use meadowrill_replication::plan::Plan;
+use meadowrill_replication::replica::{sight_of_machine, Act, Peer, Replica};
+use meadowrill_replication::{Micros, SEC};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+
+pub(crate) const FLEET: u64 = 0x5ea1;
+pub(crate) const START: Micros = 1_700_000_000 * SEC;
+const KEYS: u64 = 16;
+const OBJECTS: u64 = 30;
+const ENDPOINTS: u64 = 6;
+/// States are written this often, and views of the membership are renewed.
+const STATE_EVERY: Micros = 5 * SEC;
+const VIEW_EVERY: Micros = 300_000;
+
+pub(crate) struct Setup {
+    pub(crate) seed: u64,
+    pub(crate) replicas: usize,
+    pub(crate) plan: Plan,
+    pub(crate) loss_per_mille: u64,
+    pub(crate) duplicates_per_mille: u64,
+    /// This replica is of a build that keeps no ledger.
+    pub(crate) without_ledger: Option<usize>,
+    pub(crate) seconds: i64,
+}
+
+struct Node {
+    replica: Option<Replica>,
+    start: u64,
+    saved: Option<Vec<u8>>,
+    left: bool,
+    /// Until when its process stands still.
+    stopped_until: Micros,
+    /// Keyed requests that have not ended; true once admitted.
+    requests: BTreeMap<u64, bool>,
+}
+
+struct Message {
+    arrives: Micros,
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+pub(crate) struct Schedule {
+    setup: Setup,
+    now: Micros,
+    random: Random,
+    nodes: Vec<Node>,
+    network: Vec<Message>,
+    /// Replicas from this one on are cut off from those before.
+    split: Option<usize>,
+    tokens: u64,
+    /// When the clients of keyed requests stop waiting.
+    deadlines: BTreeMap<u64, Micros>,
+    text: String,
+    seen: BTreeSet<String>,
+    messages: BTreeMap<String, Vec<u8>>,
+}
+
+fn name(index: usize) -> String {
+    format!("replica-{index}")
+}
+
+fn key(number: u64) -> Vec<u8> {
+    // Some are longer than goes into a name as it is.
+    let length = if number.is_multiple_of(5) { 120 } else { 8 };
+    format!("key-{number:0length$}").into_bytes()
+}
+
+impl Schedule {
+    pub(crate) fn new(setup: Setup) -> Schedule {
+        let nodes = (0..setup.replicas)
+            .map(|_| Node {
+                replica: None,
+                start: 0,
+                saved: None,
+                left: false,
+                stopped_until: 0,
+                requests: BTreeMap::new(),
+            })
+            .collect();
+        Schedule {
+            now: START,
+            random: Random::new(setup.seed),
+            nodes,
+            network: Vec::new(),
+            split: None,
+            tokens: 0,
+            deadlines: BTreeMap::new(),
+            text: String::new(),
+            seen: BTreeSet::new(),
+            messages: BTreeMap::new(),
+            setup,
+        }
+    }
+
+    pub(crate) fn text(&self) -> &str {
+        &self.text
+    }
+
+    /// The first message of each type and form.
+    pub(crate) fn first_messages(&self) -> &BTreeMap<String, Vec<u8>> {
+        &self.messages
+    }
+
+    /// A recording says little of what never happened.
+    pub(crate) fn assert_covers(&self, outputs: &[&str]) {
+        for output in outputs {
+            assert!(self.seen.contains(*output), "never: {output}");
+        }
+    }
+
+    /// The snapshot of the first replica that runs.
+    pub(crate) fn snapshot(&self, now: Micros) -> Vec<u8> {
+        let mut running = self.nodes.iter().filter_map(|node| node.replica.as_ref());
+        running.next().expect("one runs").snapshot(now)()
+    }
+
+    pub(crate) fn play(mut self) -> Schedule {
+        for index in 0..self.setup.replicas {
+            self.start(index);
+        }
+        let end = START + self.setup.seconds * SEC;
+        let (mut next_state, mut next_view) = (START + STATE_EVERY, START);
+        while self.now < end {
+            let pause = if self.random.per_mille(10) {
+                200_000
+            } else {
+                6_000
+            };
+            self.now += 1 + self.random.below(pause) as Micros;
+            self.deliver();
+            self.tick();
+            if self.now >= next_view {
+                next_view = self.now + VIEW_EVERY;
+                (0..self.setup.replicas).for_each(|index| self.renew_view(index));
+            }
+            self.draw_event();
+            if self.now >= next_state {
+                next_state = self.now + STATE_EVERY;
+                self.write_states();
+            }
+        }
+        self.write_states();
+        self
+    }
+
+    fn runs(&self, index: usize) -> bool {
+        self.nodes[index].replica.is_some() && self.now >= self.nodes[index].stopped_until
+    }
+
+    fn reaches(&self, one: usize, other: usize) -> bool {
+        self.split
+            .is_none_or(|split| (one >= split) == (other >= split))
+    }
+
+    /// One call into a replica, with everything that comes out of it in one line.
+    fn step<T: std::fmt::Debug>(
+        &mut self,
+        index: usize,
+        input: &str,
+        call: impl FnOnce(&mut Replica, Micros, &mut Vec<Act>) -> T,
+    ) {
+        let (now, mut acts) = (self.now, Vec::new());
+        let Some(replica) = &mut self.nodes[index].replica else {
+            return;
+        };
+        let returned = call(replica, now, &mut acts);
+        let outputs: Vec<String> = acts.iter().map(|act| text::of_action(act, FLEET)).collect();
+        let (at, returned) = (now - START, format!("{returned:?}"));
+        if !outputs.is_empty() || returned != "()" {
+            let outputs = outputs.join("; ");
+            let _ = writeln!(self.text, "{at} {index} {input} = {returned}: {outputs}");
+        }
+        for act in acts {
+            self.carry_out(index, act);
+        }
+    }
+
+    fn carry_out(&mut self, index: usize, act: Act) {
+        match act {
+            Act::Send { to, bytes } => self.post(index, "datagram", &to, bytes),
+            Act::Stream { to, bytes } => self.post(index, "stream", &to, bytes),
+            Act::Word(word) => self.note_decision(index, &word),
+            other => {
+                let text = text::of_action(&other, FLEET);
+                for output in ["purge", "machine", "learned", "caught up"] {
+                    if text.starts_with(output) {
+                        self.seen.insert(output.into());
+                    }
+                }
+            }
+        }
+    }
+
+    fn note_decision(&mut self, index: usize, word: &Word) {
+        let requests = &mut self.nodes[index].requests;
+        let output = match word {
+            Word::Go { token, until, .. } => {
+                requests.insert(*token, true);
+                if self.deadlines.get(token) > Some(until) {
+                    self.seen.insert("admit until the window ends".into());
+                }
+                "admit"
+            }
+            Word::Answer { token, .. } => {
+                requests.remove(token);
+                "answer"
+            }
+            Word::Fail { token } => {
+                requests.remove(token);
+                "fail"
+            }
+            Word::Refuse { token, .. } => {
+                requests.remove(token);
+                "reject"
+            }
+        };
+        self.seen.insert(output.into());
+    }
+
+    fn post(&mut self, from: usize, form: &str, to: &str, bytes: Vec<u8>) {
+        let label = text::of_message(&bytes, FLEET);
+        let label = label.split(' ').next().unwrap_or_default();
+        self.messages
+            .entry(format!("{form} {label}"))
+            .or_insert_with(|| bytes.clone());
+        let Some(to) = (0..self.setup.replicas).find(|index| name(*index) == to) else {
+            return;
+        };
+        let copies = if self.random.per_mille(self.setup.loss_per_mille) {
+            0
+        } else {
+            1 + u64::from(self.random.per_mille(self.setup.duplicates_per_mille))
+        };
+        for _ in 0..copies {
+            let late = if self.random.per_mille(30) {
+                300_000
+            } else {
+                4_000
+            };
+            let arrives = self.now + 200 + self.random.below(late) as Micros;
+            let bytes = bytes.clone();
+            self.network.push(Message {
+                arrives,
+                from,
+                to,
+                bytes,
+            });
+        }
+    }
+
+    fn deliver(&mut self) {
+        let now = self.now;
+        let (mut due, later) = std::mem::take(&mut self.network)
+            .into_iter()
+            .partition::<Vec<_>, _>(|message| message.arrives <= now);
+        self.network = later;
+        due.sort_by_key(|message| message.arrives);
+        for message in due {
+            if !self.reaches(message.from, message.to) || !self.runs(message.to) {
+                continue;
+            }
+            let (to, from, mut bytes) = (message.to, message.from, message.bytes);
+            if self.random.per_mille(3) {
+                let at = self.random.below(bytes.len() as u64) as usize;
+                bytes[at] ^= 1;
+            }
+            let input = format!("receive {from}");
+            self.step(to, &input, |replica, now, acts| {
+                replica.hear(now, &bytes, acts)
+            });
+        }
+    }
+
+    fn tick(&mut self) {
+        for index in 0..self.setup.replicas {
+            let due = |replica: &Replica| replica.next() <= self.now;
+            if self.runs(index) && self.nodes[index].replica.as_ref().is_some_and(due) {
+                self.step(index, "tick", |replica, now, acts| replica.tick(now, acts));
+            }
+        }
+    }
+
+    fn renew_view(&mut self, index: usize) {
+        if !self.runs(index) {
+            return;
+        }
+        let others = (0..self.setup.replicas).filter(|other| *other != index);
+        let peers: Vec<Peer> = others
+            .filter(|other| self.nodes[*other].start > 0)
+            .map(|other| Peer {
+                name: name(other),
+                start: self.nodes[other].start,
+                here: self.runs(other) && self.reaches(index, other),
+                left: self.nodes[other].left,
+                zone: format!("zone-{}", other % 2),
+                round_trip: (other % 3 > 0).then_some(other as f64 * 1000.0),
+                shares: true,
+                ledger: self.setup.plan.ledger.is_some()
+                    && self.setup.without_ledger != Some(other),
+            })
+            .collect();
+        self.step(index, "view", |replica, now, acts| {
+            replica.fleet(now, true, peers, acts)
+        });
+    }
+
+    fn start(&mut self, index: usize) {
+        let mut plan = self.setup.plan.clone();
+        plan.zone = format!("zone-{}", index % 2);
+        if self.setup.without_ledger == Some(index) {
+            plan.ledger = None;
+        }
+        let (start, seed) = (self.now as u64, self.setup.seed * 100 + index as u64);
+        let replica = Replica::new(plan, &name(index), start, self.now, seed);
+        let node = &mut self.nodes[index];
+        node.replica = Some(replica);
+        (node.start, node.left, node.stopped_until) = (start, false, 0);
+        node.requests.clear();
+        if let Some(saved) = node.saved.take() {
+            self.step(index, "restore", |replica, now, acts| {
+                let restored = replica.restore(now, &saved);
+                replica.recall(acts);
+                restored.map_err(|refused| refused.name())
+            });
+        }
+    }
+
+    fn draw_event(&mut self) {
+        let index = self.random.below(self.setup.replicas as u64) as usize;
+        match self.random.below(1000) {
+            0..=2 => self.stop_or_start(index),
+            3..=5 => self.stand_still(index),
+            6 => self.split = Some(1 + self.random.below(self.setup.replicas as u64 - 1) as usize),
+            7..=9 => self.split = None,
+            10..=19 if self.runs(index) => {
+                self.nodes[index].saved = self.nodes[index]
+                    .replica
+                    .as_ref()
+                    .map(|replica| replica.snapshot(self.now)());
+            }
+            20..=139 if self.runs(index) => self.write(index),
+            140..=239 if self.runs(index) => self.observe(index),
+            240..=349 if self.runs(index) => self.request(index),
+            350..=549 if self.runs(index) => self.end_request(index),
+            _ => {}
+        }
+    }
+
+    fn stop_or_start(&mut self, index: usize) {
+        if self.nodes[index].replica.is_none() {
+            return self.start(index);
+        }
+        let running = self.nodes.iter().filter(|node| node.replica.is_some());
+        if running.count() > 2 {
+            let node = &mut self.nodes[index];
+            (node.replica, node.left) = (None, self.random.per_mille(300));
+        }
+    }
+
+    fn stand_still(&mut self, index: usize) {
+        if !self.runs(index) {
+            return;
+        }
+        let until = self.now + self.random.below(900_000) as Micros;
+        self.nodes[index].stopped_until = until;
+        self.step(index, "was away", |replica, now, acts| {
+            replica.was_away(now, acts)
+        });
+    }
+
+    fn write(&mut self, index: usize) {
+        let (object, stamp) = (
+            self.random.below(OBJECTS),
+            self.now - self.random.below(2_000_000) as Micros,
+        );
+        if self.random.per_mille(600) {
+            let object = (object % 4 > 0).then_some(object);
+            let input = format!("purge {object:?} {stamp}");
+            return self.step(index, &input, |replica, now, _| {
+                replica.put_purge(now, object, 7, stamp)
+            });
+        }
+        let (number, phase) = (self.random.below(ENDPOINTS), self.random.below(3) as u8);
+        let machine = Machine {
+            address: format!("10.0.0.{number}:80"),
+            locality: "zone-1".into(),
+            flavor: "std".into(),
+            cell: number as u32,
+            size: 1.5,
+        };
+        let start = START + (object % 2) as Micros;
+        let input = format!("machine {number} {start} {phase}");
+        self.step(index, &input, |replica, now, _| {
+            replica.put_machine(now, &format!("s-{number}"), start, phase, &machine)
+        });
+    }
+
+    fn observe(&mut self, index: usize) {
+        let (object, size) = (self.random.below(OBJECTS), self.random.below(9));
+        let endpoint = format!("s-{}", object % ENDPOINTS);
+        match self.random.below(5) {
+            0 => self.step(index, "part", |replica, now, _| {
+                replica.saw_part(now, object, size as u32)
+            }),
+            1 | 2 => self.step(index, "attempt", |replica, _, _| {
+                let first_byte = (size > 2).then_some(size as Micros * 700);
+                replica.saw_end(&endpoint, size % 3 == 0, first_byte)
+            }),
+            3 => self.step(index, "usage", |replica, _, _| {
+                replica.used(&format!("tenant-{}", object % 3), size as f64)
+            }),
+            _ => self.step(index, "observation", |replica, now, _| {
+                let what = sight_of_machine(&endpoint);
+                replica.put_sight(now, Kind::Learned, &what, vec![0.5, size as f64, 1.0])
+            }),
+        }
+    }
+
+    fn request(&mut self, index: usize) {
+        self.tokens += 1;
+        let (token, number) = (self.tokens, self.random.below(KEYS));
+        let terms = Terms {
+            expires: self.now + 300_000 + self.random.below(2_000_000) as Micros,
+            budget: 100_000 + self.random.below(400_000) as Micros,
+            window: [0, SEC * 3 / 2, 4 * SEC][self.random.below(3) as usize],
+        };
+        self.deadlines.insert(token, terms.expires);
+        // Often at others as well, at the same time.
+        let replicas = self.setup.replicas;
+        let count = 1 + self.random.below(3) as usize;
+        for index in (index..index + count).map(|index| index % replicas) {
+            if self.runs(index) {
+                self.nodes[index].requests.insert(token, false);
+                let input = format!("request {token} key {number}");
+                self.step(index, &input, |replica, now, acts| {
+                    replica.ask(now, token, &key(number), terms, acts)
+                });
+            }
+        }
+    }
+
+    /// The oldest request of a replica ends, or its client leaves.
+    fn end_request(&mut self, index: usize) {
+        let Some((token, admitted)) = self.nodes[index].requests.pop_first() else {
+            return;
+        };
+        let drawn = self.random.below(10);
+        if !admitted && drawn < 8 {
+            self.nodes[index].requests.insert(token, admitted);
+            return;
+        }
+        if !admitted {
+            let input = format!("client of {token} left");
+            return self.step(index, &input, |replica, now, acts| {
+                replica.left(now, token, acts)
+            });
+        }
+        let (input, end) = match drawn {
+            0 | 1 => ("not run", End::NotRun),
+            2 | 3 => ("unknown", End::MayHaveRun),
+            _ => {
+                let body = vec![drawn as u8; self.random.below(700) as usize];
+                let current = drawn.is_multiple_of(2);
+                ("ran", End::Ran { current, body })
+            }
+        };
+        let input = format!("end of {token}: {input}");
+        self.step(index, &input, |replica, now, acts| {
+            replica.end(now, token, end, acts)
+        });
+    }
+
+    fn write_states(&mut self) {
+        let keys: Vec<Vec<u8>> = (0..KEYS).map(key).collect();
+        for index in 0..self.setup.replicas {
+            let Some(replica) = &mut self.nodes[index].replica else {
+                continue;
+            };
+            let ages = std::mem::take(&mut replica.counts.lags);
+            let state = text::of_state(replica, &keys, self.now);
+            if let Some(ledger) = replica.ledger() {
+                if ledger.counts.taken_over > 0 {
+                    self.seen.insert("taken over".into());
+                }
+                if ledger.counts.clashes > 0 {
+                    self.seen.insert("conflict".into());
+                }
+            }
+            let (at, ages) = (self.now - START, text::of_ages(&ages));
+            let _ = writeln!(self.text, "{at} {index} state, ages {ages}\n{state}");
+        }
+    }
+}
