--- a/crates/fault-injection/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -3,11 +3,11 @@
 //! view of the fleet is played by what each could reach lately.
 
 use crate::name;
-use meadowrill_replication::kinds::Kind;
-use meadowrill_replication::ledger::{End, Terms, Word};
+use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
 use meadowrill_replication::map::Map;
-use meadowrill_replication::plan::Plan;
-use meadowrill_replication::replica::{Act, Peer, Replica};
+use meadowrill_replication::record_type::RecordType;
+use meadowrill_replication::replica::{Action, Peer, Replica};
+use meadowrill_replication::settings::ReplicationSettings;
 use meadowrill_replication::{Micros, SEC};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -77,7 +77,7 @@
 
 pub struct Shared {
     pub now: Micros,
-    pub plan: Plan,
+    pub plan: ReplicationSettings,
     pub loss: f64,
     pub seen: Seen,
     nodes: Vec<Node>,
@@ -95,7 +95,7 @@
 }
 
 impl Shared {
-    pub fn new(many: usize, plan: Plan, seed: u64) -> Shared {
+    pub fn new(many: usize, plan: ReplicationSettings, seed: u64) -> Shared {
         let node = |_| Node {
             replica: None,
             start: 0,
@@ -201,7 +201,7 @@
         let Some(replica) = &self.nodes[n].replica else {
             return;
         };
-        let at = replica.next().max(self.now + 1);
+        let at = replica.next_wake().max(self.now + 1);
         if self.nodes[n].armed != at {
             self.nodes[n].armed = at;
             let start = self.nodes[n].start;
@@ -209,7 +209,7 @@
         }
     }
 
-    fn step(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros, &mut Vec<Act>)) {
+    fn step(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros, &mut Vec<Action>)) {
         let now = self.now;
         let mut acts = Vec::new();
         if let Some(replica) = &mut self.nodes[n].replica {
@@ -217,9 +217,9 @@
         }
         for act in acts {
             match act {
-                Act::Send { to, bytes } => self.post(n, &to, bytes, self.loss),
-                Act::Stream { to, bytes } => self.post(n, &to, bytes, 0.0),
-                Act::Word(word) => self.word(n, word),
+                Action::SendDatagram { to, bytes } => self.post(n, &to, bytes, self.loss),
+                Action::SendStream { to, bytes } => self.post(n, &to, bytes, 0.0),
+                Action::Decision(word) => self.word(n, word),
                 _ => {}
             }
         }
@@ -252,32 +252,32 @@
         self.tokens += 1;
         let (token, start) = (self.tokens, self.nodes[n].start);
         self.open.insert(token, Open { start, key });
-        let terms = Terms {
-            expires: self.now + PATIENCE,
-            budget: BUDGET,
-            window: WINDOW,
+        let terms = RequestTerms {
+            deadline: self.now + PATIENCE,
+            latency_budget: BUDGET,
+            dedup_window: WINDOW,
         };
         let name = key.to_be_bytes();
         let has = self.plan.ledger.is_some();
         if has {
             self.step(n, |replica, now, acts| {
-                replica.ask(now, token, &name, terms, acts);
+                replica.begin_request(now, token, &name, terms, acts);
             });
         } else {
             self.word(
                 n,
-                Word::Go {
+                Decision::Admit {
                     token,
-                    until: terms.expires,
-                    again: false,
+                    send_until: terms.deadline,
+                    earlier_may_have_run: false,
                 },
             );
         }
     }
 
-    fn word(&mut self, n: usize, word: Word) {
+    fn word(&mut self, n: usize, word: Decision) {
         match word {
-            Word::Go { token, .. } => {
+            Decision::Admit { token, .. } => {
                 let Some(open) = self.open.get(&token) else {
                     return self.seen.twice += 1;
                 };
@@ -285,9 +285,9 @@
                 let at = self.now + DELAY + self.rng.i64(0..JITTER);
                 self.at(at, Next::Run(n, start, token));
             }
-            Word::Answer { token, .. } => self.final_word(token, |seen| &mut seen.served),
-            Word::Fail { token } => self.final_word(token, |seen| &mut seen.failed),
-            Word::Refuse { token, .. } => self.final_word(token, |seen| &mut seen.refused),
+            Decision::Replay { token, .. } => self.final_word(token, |seen| &mut seen.served),
+            Decision::Fail { token } => self.final_word(token, |seen| &mut seen.failed),
+            Decision::Reject { token, .. } => self.final_word(token, |seen| &mut seen.refused),
         }
     }
 
@@ -331,14 +331,16 @@
             return self.at(at, Next::Ended(n, start, token, good));
         }
         let end = if good {
-            End::Ran {
+            RequestOutcome::Ran {
                 current: false,
                 body: vec![7; 20],
             }
         } else {
-            End::MayHaveRun
+            RequestOutcome::MayHaveRun
         };
-        self.step(n, |replica, now, acts| replica.end(now, token, end, acts));
+        self.step(n, |replica, now, acts| {
+            replica.finish_request(now, token, end, acts)
+        });
         self.final_word(token, |seen| {
             if good {
                 &mut seen.served
@@ -358,18 +360,18 @@
         }
         let peer = |(m, at): (&usize, &Micros)| Peer {
             name: name(*m),
-            start: self.nodes[*m].start,
-            here: now < *at + DEAD,
+            incarnation: self.nodes[*m].start,
+            alive: now < *at + DEAD,
             left: false,
             zone: format!("zone-{}", m % 2),
             round_trip: Some(1000.0),
-            shares: true,
-            ledger: self.plan.ledger.is_some(),
+            replicates: true,
+            votes: self.plan.ledger.is_some(),
         };
         let peers: Vec<Peer> = self.nodes[n].reached.iter().map(peer).collect();
         let joined = !peers.is_empty() || self.many() == 1;
         self.step(n, |replica, now, acts| {
-            replica.fleet(now, joined, peers, acts)
+            replica.update_membership(now, joined, peers, acts)
         });
     }
 
@@ -407,7 +409,9 @@
                 if self.now < self.nodes[n].paused {
                     return self.nodes[n].kept.push(bytes);
                 }
-                self.step(n, |replica, now, acts| replica.hear(now, &bytes, acts));
+                self.step(n, |replica, now, acts| {
+                    replica.receive_message(now, &bytes, acts)
+                });
             }
             Next::Look(n, start) => {
                 if self.nodes[n].start == start && self.runs(n) {
@@ -418,12 +422,16 @@
                 }
             }
             Next::Resume(n) => {
-                self.step(n, |replica, now, acts| replica.was_away(now, acts));
+                self.step(n, |replica, now, acts| {
+                    replica.resume_after_pause(now, acts)
+                });
                 self.nodes[n].armed = 0;
                 self.step(n, |replica, now, acts| replica.tick(now, acts));
                 let kept = std::mem::take(&mut self.nodes[n].kept);
                 for bytes in kept {
-                    self.step(n, |replica, now, acts| replica.hear(now, &bytes, acts));
+                    self.step(n, |replica, now, acts| {
+                        replica.receive_message(now, &bytes, acts)
+                    });
                 }
             }
             Next::Tick(n, start) => {
@@ -463,7 +471,7 @@
         self.nodes
             .iter()
             .filter_map(|n| n.replica.as_ref())
-            .all(|r| r.caught_up() && (r.ledger().is_none() || r.vouches()))
+            .all(|r| r.caught_up() && (r.ledger().is_none() || r.can_vote()))
     }
 
     pub fn maps(&self) -> impl Iterator<Item = &Map> {
@@ -476,30 +484,30 @@
 
 /// What the state says has to hold in one process, for broken builds: the first thing that does not.
 pub fn first_wrong(seeds: u64) -> Option<String> {
-    let plan = Plan {
-        ledger: Some(meadowrill_replication::plan::Ledger::default()),
-        ..Plan::default()
+    let plan = ReplicationSettings {
+        ledger: Some(meadowrill_replication::settings::LedgerSettings::default()),
+        ..ReplicationSettings::default()
     };
     for seed in 0..seeds {
-        let mut shared = Shared::new(12, Plan::default(), seed);
+        let mut shared = Shared::new(12, ReplicationSettings::default(), seed);
         shared.start_all();
         shared.run(5 * SEC);
         let stamp = shared.now;
         shared.say(3, |replica, now| {
-            replica.put_purge(now, Some(seed), 0, stamp)
+            replica.publish_purge(now, Some(seed), 0, stamp)
         });
         // The same object again, from another that has not heard yet: the latest stands at all.
         shared.say(7, |replica, now| {
-            replica.put_purge(now, Some(seed), 0, stamp - 5 * SEC)
+            replica.publish_purge(now, Some(seed), 0, stamp - 5 * SEC)
         });
         shared.run(SEC / 2);
         let latest = |m: &Map| {
-            m.of_kind(Kind::Purge)
+            m.of_type(RecordType::Purge)
                 .all(|(_, e)| e.rank.0 == stamp as u64)
         };
         if !shared
             .maps()
-            .all(|map| map.of_kind(Kind::Purge).count() == 1 && latest(map))
+            .all(|map| map.of_type(RecordType::Purge).count() == 1 && latest(map))
         {
             return Some(format!(
                 "seed {seed}: a purge is not known to all after half a second"
@@ -539,7 +547,7 @@
 }
 
 /// Keyed lookups whose clients come again at another front at once, after 1 s and after 6 s, while faults are drawn.
-pub fn effects(faults: Faults, plan: Plan, seed: u64) -> Shared {
+pub fn effects(faults: Faults, plan: ReplicationSettings, seed: u64) -> Shared {
     let mut shared = Shared::new(faults.many, plan, seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     shared.start_all();
--- a/crates/proxy/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -57,7 +57,7 @@
                     .as_mut()
                     .filter(|fronts| fronts.subscription.is_none())
                 {
-                    fronts.share(|replica, _| replica.put_purge(now, object, group, stamp));
+                    fronts.share(|replica, _| replica.publish_purge(now, object, group, stamp));
                 }
                 self.events.push(Event::Invalidated {
                     object,
--- a/crates/proxy/src/front/shared.rs
+++ b/crates/proxy/src/front/shared.rs
@@ -6,9 +6,10 @@
 use super::Front;
 use crate::frame;
 use crate::net::journal::Member;
-use meadowrill_replication::kinds;
-use meadowrill_replication::ledger::{End, Terms, Word};
-use meadowrill_replication::replica::{sight_of_machine, thing, Act, Thing, Told};
+use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
+use meadowrill_replication::records::{self, EndpointPhase};
+use meadowrill_replication::replica::{endpoint_subject, Action, LogEvent, Subject};
+use meadowrill_replication::snapshot::Restored;
 use meadowrill_routing::interface::*;
 use slog::{debug, info, warn};
 use std::fs::File;
@@ -29,14 +30,14 @@
             return;
         };
         let lags = fronts
-            .share(|replica, _| std::mem::take(&mut replica.counts.lags))
+            .share(|replica, _| std::mem::take(&mut replica.counts.record_ages))
             .unwrap_or_default();
         lags.into_iter()
             .for_each(|(kind, lag)| self.metrics.lagged(kind.name(), lag as f64 / 1e6));
         for act in fronts.take_acts() {
             match act {
-                Act::Word(word) => self.word(word, now),
-                Act::Purged {
+                Action::Decision(word) => self.word(word, now),
+                Action::Purge {
                     object,
                     group,
                     stamp,
@@ -47,16 +48,16 @@
                         age: now - stamp,
                     });
                 }
-                Act::Machine {
+                Action::UpdateEndpoint {
                     id,
-                    start,
+                    started_at,
                     phase,
-                    machine,
-                } => self.hearsay(&id, start, phase, &machine),
-                Act::Learned { what } => self.learned(&what),
-                Act::Tell(told) => self.tell_shared(told),
+                    endpoint,
+                } => self.hearsay(&id, started_at, phase, &endpoint),
+                Action::UseObservations { subject } => self.learned(&subject),
+                Action::Log(told) => self.tell_shared(told),
                 // These have gone to other fronts already.
-                Act::Send { .. } | Act::Stream { .. } => {}
+                Action::SendDatagram { .. } | Action::SendStream { .. } => {}
             }
         }
     }
@@ -78,14 +79,14 @@
         };
         let taken = fronts.share(|replica, acts| {
             let taken = replica.restore(now, &bytes);
-            replica.recall(acts);
+            replica.replay_updates(acts);
             taken
         });
         match taken {
-            Some(Ok((records, age))) => {
+            Some(Ok(Restored { records, age })) => {
                 info!(self.log, "snapshot taken in"; "records" => records, "age_us" => age);
             }
-            Some(Err(refused)) => warn!(self.log, "snapshot refused"; "why" => refused.name()),
+            Some(Err(refused)) => warn!(self.log, "snapshot refused"; "why" => refused.reason()),
             None => {}
         }
     }
@@ -128,26 +129,30 @@
         }))
     }
 
-    fn tell_shared(&mut self, told: Told) {
+    fn tell_shared(&mut self, told: LogEvent) {
         let log = &self.log;
         match told {
-            Told::Ready { caught_up, took } => {
-                info!(log, "ready"; "caught_up" => caught_up, "took_us" => took);
+            LogEvent::Ready { caught_up, elapsed } => {
+                info!(log, "ready"; "caught_up" => caught_up, "took_us" => elapsed);
                 (self.clients.ready, self.clients.caught_up) = (!self.ending, Some(caught_up));
             }
-            Told::CaughtUp { records, took } => {
-                info!(log, "caught up"; "records" => records, "took_us" => took);
+            LogEvent::CaughtUp { records, elapsed } => {
+                info!(log, "caught up"; "records" => records, "took_us" => elapsed);
                 let replica = self
                     .fronts
                     .as_ref()
                     .and_then(|fronts| fronts.replica.as_ref());
-                let all = replica.map(|replica| replica.learned()).unwrap_or_default();
+                let all = replica
+                    .map(|replica| replica.observed_subjects())
+                    .unwrap_or_default();
                 all.iter().for_each(|what| self.learned(what));
             }
-            Told::Donor { former, next } => {
+            LogEvent::DonorReplaced { former, next } => {
                 warn!(log, "nothing from a donor"; "who" => former, "next" => next)
             }
-            Told::Vouches { took } => info!(log, "vouches for effects"; "took_us" => took),
+            LogEvent::VotingStarted { elapsed } => {
+                info!(log, "vouches for effects"; "took_us" => elapsed)
+            }
         }
     }
 
@@ -157,17 +162,17 @@
             .fronts
             .as_ref()
             .and_then(|fronts| fronts.replica.as_ref());
-        let Some(opinion) = replica.and_then(|replica| replica.opinion(what)) else {
+        let Some(opinion) = replica.and_then(|replica| replica.shared_estimate(what)) else {
             return;
         };
-        match (thing(what), opinion.numbers.as_slice()) {
-            (Some(Thing::Object(object)), [highest, ..]) => {
+        match (Subject::decode(what), opinion.values.as_slice()) {
+            (Some(Subject::Object(object)), [highest, ..]) => {
                 self.events.push(Event::SharedLength {
                     object,
                     highest_part: *highest as u32,
                 });
             }
-            (Some(Thing::Machine(id)), [failing, first_byte, ..]) => {
+            (Some(Subject::Endpoint(id)), [failing, first_byte, ..]) => {
                 if let Some(peer) = self.machines.get(&id) {
                     let first_byte = (*first_byte >= 0.0).then_some(*first_byte as Micros);
                     self.events.push(Event::SharedEstimate {
@@ -182,7 +187,13 @@
     }
 
     /// A machine has come so far, as another front was told: it counts as told here as well.
-    fn hearsay(&mut self, id: &str, start: Micros, phase: u8, machine: &kinds::Machine) {
+    fn hearsay(
+        &mut self,
+        id: &str,
+        start: Micros,
+        phase: EndpointPhase,
+        machine: &records::EndpointInfo,
+    ) {
         let standing = standing(phase);
         let member = Member {
             id: id.to_string(),
@@ -207,7 +218,7 @@
         let Some(fronts) = &mut self.fronts else {
             return member;
         };
-        let machine = kinds::Machine {
+        let machine = records::EndpointInfo {
             address: member.address.map_or(String::new(), |at| at.to_string()),
             locality: member.locality.clone(),
             flavor: member.flavor.clone(),
@@ -215,14 +226,14 @@
             size: member.size,
         };
         let phase = match member.standing {
-            EndpointStatus::Ready => 0,
-            EndpointStatus::Draining => 1,
-            EndpointStatus::Removed => 2,
+            EndpointStatus::Ready => EndpointPhase::Ready,
+            EndpointStatus::Draining => EndpointPhase::Draining,
+            EndpointStatus::Removed => EndpointPhase::Removed,
         };
         fronts.share(|replica, _| {
-            replica.put_machine(now, &member.id, member.up_since, phase, &machine);
+            replica.publish_endpoint(now, &member.id, member.up_since, phase, &machine);
             if let Some((_, phase)) = replica
-                .standing(&member.id)
+                .endpoint_phase(&member.id)
                 .filter(|(s, _)| *s == member.up_since)
             {
                 member.standing = standing(phase);
@@ -238,8 +249,8 @@
         };
         let request = &taken.request;
         fronts.share(|replica, _| {
-            replica.saw_part(now, request.object, request.slice);
-            replica.used(request.tenant.as_deref().unwrap_or(""), request.size_kb);
+            replica.observe_part(now, request.object, request.slice);
+            replica.record_usage(request.tenant.as_deref().unwrap_or(""), request.size_kb);
         });
     }
 
@@ -255,16 +266,17 @@
             return false;
         };
         let key = [mark.as_bytes(), b" ", class.name.as_bytes()].concat();
-        let terms = Terms {
-            expires: taken.expires,
-            budget: class.admission.latency_budget,
-            window: class.window,
+        let terms = RequestTerms {
+            deadline: taken.expires,
+            latency_budget: class.admission.latency_budget,
+            dedup_window: class.window,
         };
         let Some(fronts) = &mut self.fronts else {
             return false;
         };
         let token = u64::from(lookup);
-        let asked = fronts.share(|replica, acts| replica.ask(now, token, &key, terms, acts));
+        let asked =
+            fronts.share(|replica, acts| replica.begin_request(now, token, &key, terms, acts));
         if asked != Some(true) {
             return false;
         }
@@ -273,12 +285,12 @@
         true
     }
 
-    fn word(&mut self, word: Word, now: Micros) {
+    fn word(&mut self, word: Decision, now: Micros) {
         let lookup = match &word {
-            Word::Go { token, .. }
-            | Word::Answer { token, .. }
-            | Word::Fail { token }
-            | Word::Refuse { token, .. } => *token as u32,
+            Decision::Admit { token, .. }
+            | Decision::Replay { token, .. }
+            | Decision::Fail { token }
+            | Decision::Reject { token, .. } => *token as u32,
         };
         let Some(taken) = self.lookups.get_mut(&lookup).filter(|t| t.owed) else {
             return;
@@ -286,18 +298,24 @@
         debug!(self.log, "ledger"; "lookup" => taken.request.txn.as_str(), "word" => ?word);
         taken.effect = Effect::None;
         match word {
-            Word::Go { until, again, .. } => {
-                taken.effect = Effect::Out { again };
-                taken.expires = taken.expires.min(until);
+            Decision::Admit {
+                send_until,
+                earlier_may_have_run,
+                ..
+            } => {
+                taken.effect = Effect::Out {
+                    again: earlier_may_have_run,
+                };
+                taken.expires = taken.expires.min(send_until);
                 self.decide(lookup);
             }
-            Word::Answer { current, body, .. } => {
+            Decision::Replay { current, body, .. } => {
                 let fields: &[(&str, &str)] = if current { &[("current", "1")] } else { &[] };
                 self.answer(lookup, (frame::SATISFIED, fields, &body), now);
             }
-            Word::Fail { .. } => self.answer(lookup, (frame::FAILED, &[], &[]), now),
-            Word::Refuse { come_back, .. } => {
-                self.nack(lookup, come_back.min(self.config.longest_away), now);
+            Decision::Fail { .. } => self.answer(lookup, (frame::FAILED, &[], &[]), now),
+            Decision::Reject { retry_after, .. } => {
+                self.nack(lookup, retry_after.min(self.config.longest_away), now);
             }
         }
     }
@@ -310,9 +328,9 @@
         let effect = std::mem::replace(&mut taken.effect, Effect::None);
         let token = u64::from(lookup);
         let end = match (ran, taken.may_have_run()) {
-            (Some((current, body)), _) => End::Ran { current, body },
-            (None, true) => End::MayHaveRun,
-            (None, false) => End::NotRun,
+            (Some((current, body)), _) => RequestOutcome::Ran { current, body },
+            (None, true) => RequestOutcome::MayHaveRun,
+            (None, false) => RequestOutcome::NotRun,
         };
         let Some(fronts) = &mut self.fronts else {
             return;
@@ -320,10 +338,10 @@
         match effect {
             Effect::None => return,
             Effect::Asking => {
-                fronts.share(|replica, acts| replica.left(now, token, acts));
+                fronts.share(|replica, acts| replica.cancel_request(now, token, acts));
             }
             Effect::Out { .. } => {
-                fronts.share(|replica, acts| replica.end(now, token, end, acts));
+                fronts.share(|replica, acts| replica.finish_request(now, token, end, acts));
             }
         }
         self.with_fronts(now, |fronts, poll| fronts.carry(now, poll));
@@ -344,26 +362,26 @@
             outcome.outcome,
             AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
         );
-        fronts.share(|replica, _| replica.saw_end(machine, failed, None));
+        fronts.share(|replica, _| replica.observe_attempt(machine, failed, None));
         if let (Some(source), Some(time)) = (source, outcome.first_byte) {
             let source = self.machines.name(source);
-            fronts.share(|replica, _| replica.saw_end(source, false, Some(time)));
+            fronts.share(|replica, _| replica.observe_attempt(source, false, Some(time)));
         }
     }
 
     /// What others make of a machine that has just come into the list.
     pub(super) fn recall_machine(&mut self, id: &str) {
         if self.shares() {
-            self.learned(&sight_of_machine(id));
+            self.learned(&endpoint_subject(id));
         }
     }
 }
 
-fn standing(phase: u8) -> EndpointStatus {
+fn standing(phase: EndpointPhase) -> EndpointStatus {
     match phase {
-        0 => EndpointStatus::Ready,
-        1 => EndpointStatus::Draining,
-        _ => EndpointStatus::Removed,
+        EndpointPhase::Ready => EndpointStatus::Ready,
+        EndpointPhase::Draining => EndpointStatus::Draining,
+        EndpointPhase::Removed => EndpointStatus::Removed,
     }
 }
 
--- a/crates/proxy/src/net/fronts.rs
+++ b/crates/proxy/src/net/fronts.rs
@@ -36,7 +36,7 @@
     changes: Vec<Change>,
     /// What is shared beside who is there, where the settings tell of it, and what it wants done.
     pub replica: Option<Replica>,
-    shared: Vec<replica::Act>,
+    shared: Vec<replica::Action>,
     /// Where the settings tell of relays.
     pub subscription: Option<Subscription>,
     /// What members have said of themselves, as far as it was handed on.
@@ -130,7 +130,7 @@
     }
 
     pub(crate) fn next(&self) -> Micros {
-        let replica = self.replica.iter().map(Replica::next);
+        let replica = self.replica.iter().map(Replica::next_wake);
         let subscription = self.subscription.iter().map(Subscription::next_wake);
         replica
             .chain(subscription)
@@ -172,7 +172,7 @@
                 .into_iter()
                 .for_each(|to| self.view.unstreamed(now, to));
         }
-        if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next()) {
+        if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next_wake()) {
             replica.tick(now, &mut self.shared);
         }
         if let Some(subscription) = &mut self.subscription {
@@ -184,14 +184,14 @@
     /// One step with what is shared, if anything is.
     pub(crate) fn share<T>(
         &mut self,
-        step: impl FnOnce(&mut Replica, &mut Vec<replica::Act>) -> T,
+        step: impl FnOnce(&mut Replica, &mut Vec<replica::Action>) -> T,
     ) -> Option<T> {
         let shared = &mut self.shared;
         self.replica.as_mut().map(|replica| step(replica, shared))
     }
 
     /// What is to be done about what is shared, but for what goes to other fronts.
-    pub(crate) fn take_acts(&mut self) -> Vec<replica::Act> {
+    pub(crate) fn take_acts(&mut self) -> Vec<replica::Action> {
         std::mem::take(&mut self.shared)
     }
 
@@ -216,17 +216,17 @@
         };
         let peer = |(name, m): (&str, &Member)| Peer {
             name: name.into(),
-            start: m.claim.start,
-            here: m.claim.state.here(),
+            incarnation: m.claim.start,
+            alive: m.claim.state.here(),
             left: m.claim.state == State::Left,
             zone: m.body.zone.clone(),
             round_trip: m.round_trip,
-            shares: flags(m) & SHARES != 0,
-            ledger: flags(m) & LEDGER != 0,
+            replicates: flags(m) & SHARES != 0,
+            votes: flags(m) & LEDGER != 0,
         };
         let alone = self.alone && self.view.members().next().is_none();
         let peers = self.view.members().map(peer).collect();
-        replica.fleet(now, self.view.joined() || alone, peers, &mut self.shared);
+        replica.update_membership(now, self.view.joined() || alone, peers, &mut self.shared);
     }
 
     pub(crate) fn carry(&mut self, now: Micros, poll: &mut Poll) {
@@ -235,7 +235,7 @@
             match act {
                 Act::Tell(change) => {
                     if let (Change::WasAway { .. }, Some(replica)) = (&change, &mut self.replica) {
-                        replica.was_away(now, &mut self.shared);
+                        replica.resume_after_pause(now, &mut self.shared);
                     }
                     self.changes.push(change);
                     changed = true;
@@ -260,8 +260,8 @@
         let mut rest = Vec::new();
         for act in self.shared.drain(..) {
             let (to, bytes, stream) = match act {
-                replica::Act::Send { to, bytes } => (to, bytes, false),
-                replica::Act::Stream { to, bytes } => (to, bytes, true),
+                replica::Action::SendDatagram { to, bytes } => (to, bytes, false),
+                replica::Action::SendStream { to, bytes } => (to, bytes, true),
                 other => {
                     rest.push(other);
                     continue;
@@ -295,11 +295,11 @@
     replica: &mut Option<Replica>,
     now: Micros,
     bytes: &[u8],
-    (acts, shared): (&mut Vec<Act>, &mut Vec<replica::Act>),
+    (acts, shared): (&mut Vec<Act>, &mut Vec<replica::Action>),
 ) {
     let about_shared = matches!(envelope::mark(bytes), Some(wire::MARK | wire::CHUNK_MARK));
     match replica {
-        Some(replica) if about_shared => replica.hear(now, bytes, shared),
+        Some(replica) if about_shared => replica.receive_message(now, bytes, shared),
         // Without one it is dropped there, and counted.
         _ => view.hear(now, bytes, acts),
     }
--- a/crates/proxy/src/report/shared.rs
+++ b/crates/proxy/src/report/shared.rs
@@ -1,9 +1,11 @@
 //! What operators are told of what the fronts share: by kind, entry by entry, one key's story, and metrics.
 
 use super::fleet::{Labels, Seen};
-use meadowrill_replication::kinds::{self, Kind, Tree};
-use meadowrill_replication::ledger::{stand, Ledger, Stand};
-use meadowrill_replication::map::{hash, Held};
+use meadowrill_replication::ledger::{key_status, KeyStatus, Ledger};
+use meadowrill_replication::map::StoredSize;
+use meadowrill_replication::record::record_hash;
+use meadowrill_replication::record_type::{RecordType, Tree};
+use meadowrill_replication::records;
 use meadowrill_replication::replica::Replica;
 use meadowrill_routing::interface::Micros;
 use serde_json::json;
@@ -11,7 +13,8 @@
 use std::fmt::Write;
 
 fn kind(number: u32) -> String {
-    Kind::of(number).map_or_else(|| format!("kind {number}"), |kind| kind.name().to_string())
+    RecordType::from_wire(number)
+        .map_or_else(|| format!("kind {number}"), |kind| kind.name().to_string())
 }
 
 /// What is held, by kind; and where what the journal service says and what others heard differ.
@@ -27,26 +30,29 @@
         map.len(),
         yes(replica.caught_up()),
         if replica.ledger().is_some() {
-            yes(replica.vouches())
+            yes(replica.can_vote())
         } else {
             "no ledger"
         },
-        replica.waiting_news(),
+        replica.queued_rumors(),
     );
     let _ = writeln!(
         text,
         "{:<10}{:>10}{:>12}{:>12}{:>12}{:>12}",
         "kind", "records", "bytes", "oldest_s", "as news", "repaired"
     );
-    for (number, held) in map.held().iter().filter(|(_, held)| held.entries > 0) {
+    for (number, held) in map.sizes().iter().filter(|(_, held)| held.entries > 0) {
         let until = map
             .iter()
-            .filter(|(key, _)| key.kind == *number)
-            .map(|(_, e)| e.until)
+            .filter(|(key, _)| key.record_type == *number)
+            .map(|(_, e)| e.expires_at)
             .min();
         let left = until.map_or(0, |until| (until - now) / 1_000_000);
         let count = |of: &BTreeMap<u32, u64>| of.get(number).copied().unwrap_or(0);
-        let (news, repaired) = (count(&counts.news), count(&counts.repaired));
+        let (news, repaired) = (
+            count(&counts.merged_from_rumors),
+            count(&counts.merged_by_repair),
+        );
         let _ = writeln!(
             text,
             "{:<10}{:>10}{:>12}{:>12}{news:>12}{repaired:>12}",
@@ -56,18 +62,18 @@
             format!("ends {left}")
         );
     }
-    for (key, entry) in map.of_kind(Kind::Machine) {
-        let Some((id, start, phase, _)) = kinds::read_machine(key, entry) else {
+    for (key, entry) in map.of_type(RecordType::Endpoint) {
+        let Some((id, start, phase, _)) = records::decode_endpoint(key, entry) else {
             continue;
         };
         let phases = ["ready", "draining", "gone"];
-        let said = replica.journal_said(&id);
+        let said = replica.reported_phase(&id);
         if said != Some((start, phase)) {
-            let journal = said.map_or("nothing", |(_, phase)| phases[usize::from(phase.min(2))]);
+            let journal = said.map_or("nothing", |(_, phase)| phases[phase as usize]);
             let _ = writeln!(
                 text,
                 "machine {id}: {} by hearsay, the journal service says {journal}",
-                phases[usize::from(phase)]
+                phases[phase as usize]
             );
         }
     }
@@ -77,7 +83,7 @@
 pub(crate) fn state_json(replica: &Replica) -> String {
     let map = replica.map();
     let kinds: serde_json::Map<String, serde_json::Value> = map
-        .held()
+        .sizes()
         .iter()
         .map(|(number, held)| {
             (
@@ -91,7 +97,7 @@
         .map(|tree| format!("{:016x}", map.root(tree)))
         .collect();
     json!({"digest": format!("{:016x}", map.digest()), "roots": roots, "records": map.len(),
-        "caught_up": replica.caught_up(), "vouches": replica.vouches(), "kinds": kinds})
+        "caught_up": replica.caught_up(), "vouches": replica.can_vote(), "kinds": kinds})
     .to_string()
         + "\n"
 }
@@ -105,9 +111,9 @@
         let _ = writeln!(
             text,
             "{} {name} {high}.{low} {} {:016x}",
-            kind(key.kind).replace(' ', "-"),
-            entry.until,
-            hash(key, entry)
+            kind(key.record_type).replace(' ', "-"),
+            entry.expires_at,
+            record_hash(key, entry)
         );
     }
     text
@@ -116,7 +122,7 @@
 /// One key's story: `MARK CLASS`, as the clients tell them.
 pub(crate) fn story(replica: &Replica, key: &str, now: Micros) -> String {
     let mut text = String::new();
-    for (ran, claim) in Ledger::story(replica.map(), key.as_bytes()) {
+    for (ran, claim) in Ledger::claim_history(replica.map(), key.as_bytes()) {
         let ago = |at: u64| (now - at as Micros) / 1000;
         let body = claim
             .body
@@ -129,17 +135,17 @@
             "{}: {} (since {}), first {} ms ago, its client's time ended {} ms ago, {body}",
             ran.name(),
             claim.holder,
-            claim.start,
-            ago(claim.first),
-            ago(claim.ends),
+            claim.incarnation,
+            ago(claim.first_sent_at),
+            ago(claim.deadline),
         );
     }
-    let prefix = kinds::effect_prefix(key.as_bytes());
-    let says = match stand(replica.map(), &prefix, None, replica.electors(), now) {
-        Stand::Free => "free: it may be asked for",
-        Stand::Open { .. } => "its outcome is waited for",
-        Stand::Lost { .. } => "it may have run: no more is known",
-        Stand::Done { .. } => "it ran",
+    let prefix = records::claim_prefix(key.as_bytes());
+    let says = match key_status(replica.map(), &prefix, None, replica.voters(), now) {
+        KeyStatus::Unclaimed => "free: it may be asked for",
+        KeyStatus::InProgress { .. } => "its outcome is waited for",
+        KeyStatus::OutcomeLost { .. } => "it may have run: no more is known",
+        KeyStatus::Completed { .. } => "it ran",
     };
     let _ = writeln!(text, "now: {says}");
     text
@@ -156,7 +162,7 @@
             .collect()
     };
     let spent = counts
-        .spent
+        .sent_bytes_by_type
         .iter()
         .map(|(what, n)| (label("for", what.name()), *n))
         .collect();
@@ -166,26 +172,26 @@
         .map(|(why, n)| (label("why", why.name()), *n))
         .collect();
     let differed = vec![
-        (label("stands", "others"), counts.won),
-        (label("stands", "own"), counts.lost),
+        (label("stands", "others"), counts.conflicts_replaced),
+        (label("stands", "own"), counts.conflicts_kept),
     ];
     let ledger = replica
         .ledger()
         .map(|ledger| ledger.counts.clone())
         .unwrap_or_default();
     let words = [
-        ("asked", ledger.asked),
+        ("asked", ledger.requests),
         ("granted", ledger.granted),
-        ("unwritten", ledger.unwritten),
+        ("unwritten", ledger.without_quorum),
         ("waited", ledger.waited),
-        ("answered", ledger.answered),
+        ("answered", ledger.replayed),
         ("failed", ledger.failed),
-        ("refused", ledger.refused),
-        ("taken_over", ledger.taken_over),
-        ("clashes", ledger.clashes),
+        ("refused", ledger.rejected),
+        ("taken_over", ledger.takeovers),
+        ("clashes", ledger.conflicts),
     ];
-    let held = |of: fn(&Held) -> usize| -> Vec<(Labels, f64)> {
-        map.held()
+    let held = |of: fn(&StoredSize) -> usize| -> Vec<(Labels, f64)> {
+        map.sizes()
             .iter()
             .map(|(k, held)| (label("kind", &kind(*k)), of(held) as f64))
             .collect()
@@ -193,11 +199,15 @@
     let flag = |flag: bool| vec![(Vec::new(), f64::from(u8::from(flag)))];
     Seen {
         counters: vec![
-            ("news", "Records taken in as news", by_kind(&counts.news)),
+            (
+                "news",
+                "Records taken in as news",
+                by_kind(&counts.merged_from_rumors),
+            ),
             (
                 "repairs",
                 "Records found missing by a comparison, or handed over",
-                by_kind(&counts.repaired),
+                by_kind(&counts.merged_by_repair),
             ),
             (
                 "differed",
@@ -210,11 +220,11 @@
                 "Bytes sent, by what they were sent for",
                 spent,
             ),
-            ("bytes_heard", "Bytes heard", one(counts.heard_bytes)),
+            ("bytes_heard", "Bytes heard", one(counts.received_bytes)),
             (
                 "held_back",
                 "Comparisons that waited for bytes a second",
-                one(counts.held_back),
+                one(counts.comparisons_delayed),
             ),
             ("dropped", "Messages dropped", dropped),
             (
@@ -243,12 +253,12 @@
             (
                 "vouches",
                 "1 while this front decides on effects",
-                flag(replica.vouches()),
+                flag(replica.can_vote()),
             ),
             (
                 "news_waiting",
                 "Records still to be told on",
-                vec![(Vec::new(), replica.waiting_news() as f64)],
+                vec![(Vec::new(), replica.queued_rumors() as f64)],
             ),
         ],
     }
--- a/crates/replication/src/ledger/owner.rs
+++ b/crates/replication/src/ledger/owner.rs
@@ -1,57 +1,53 @@
-//! The owner's side of a claim: whether this front grants it and holds it from then on.
+//! The owner's side of a claim: whether this proxy grants it and stores it from then on.
+//!
+//! Invariant: an owner grants no claim while it stores one that conflicts, and what it granted it never evicts.
 
-use super::claims::{claims, is_abandoned, shared_prefix};
-use super::{Electors, Ledger, StepInput, Verdict};
-use crate::kind::Kind;
-use crate::kinds::{self, Claim, Ran};
-use crate::map::Took;
+use super::claim_set::{claims_of_key, is_abandoned, shared_prefix};
+use super::{Ledger, StepInput, Vote, Voters};
+use crate::map::MergeOutcome;
 use crate::mutant;
-use crate::record::{entry, Key};
+use crate::record::{Entry, Key};
+use crate::record_type::RecordType;
+use crate::records::{self, Claim, ClaimState};
 use crate::wire::{ClaimRequest, Record};
 use std::collections::BTreeSet;
 
 impl Ledger {
-    /// The verdict on a requested claim, and the claims that conflict with it. What is granted is held from here on.
-    pub fn judge(
-        &mut self,
-        request: &ClaimRequest,
-        input: &mut StepInput,
-    ) -> (Verdict, Vec<Record>) {
-        let Some(record) = request
-            .claim
-            .as_ref()
-            .filter(|record| record.kind == Kind::Effect as u32)
-        else {
-            return (Verdict::Differs, Vec::new());
+    /// The vote on a requested claim, and the claims that conflict with it. What is granted is stored from here on.
+    pub fn vote(&mut self, request: &ClaimRequest, input: &mut StepInput) -> (Vote, Vec<Record>) {
+        let is_claim = |record: &&Record| record.record_type == RecordType::Claim as u32;
+        let Some(record) = request.claim.as_ref().filter(is_claim) else {
+            return (Vote::OwnersDiffer, Vec::new());
         };
-        let key = Key::of(record);
-        let owners = input.electors.owners(shared_prefix(&key), self.plan.copies);
+        let key = Key::from_wire(record);
+        let count = self.settings.owners_per_key;
+        let owners = input.voters.owners(shared_prefix(&key), count);
         if owners != request.owners && !mutant("any-owner") {
-            return (Verdict::Differs, Vec::new());
+            return (Vote::OwnersDiffer, Vec::new());
         }
-        if !self.vouches_among(&request.owners, input.electors) && !mutant("vouches-at-once") {
-            return (Verdict::NotYet, Vec::new());
+        if !self.can_vote_among(&request.owners, input.voters) && !mutant("vouches-at-once") {
+            return (Vote::NotReady, Vec::new());
         }
-        let Some((_, claim)) = kinds::read_effect(&entry(record)) else {
-            return (Verdict::Differs, Vec::new());
+        let Some((_, claim)) = records::decode_claim(&Entry::from_wire(record)) else {
+            return (Vote::OwnersDiffer, Vec::new());
         };
-        let conflicting = conflicting_claims(&key, &claim, request.take_over > 0, input);
+        let conflicting = conflicting_claims(&key, &claim, request.takeover_until > 0, input);
         if !conflicting.is_empty() && !mutant("grants-all") {
-            return (Verdict::Held, conflicting);
+            return (Vote::Conflict, conflicting);
         }
-        (hold(key, record, input), Vec::new())
+        (store_claim(key, record, input), Vec::new())
     }
 
-    /// Whether this front knows all that it may have granted before its start: it granted that together with one of the
+    /// Whether this proxy knows all that it may have granted before its start: it granted that together with one of the
     /// key's other owners, so it has compared with each of them.
-    fn vouches_among(&self, owners: &[String], electors: &Electors) -> bool {
-        let known = |owner: &String| *owner == self.name || electors.compared.contains(owner);
-        electors.joined && owners.iter().all(known)
+    fn can_vote_among(&self, owners: &[String], voters: &Voters) -> bool {
+        let is_known = |owner: &String| *owner == self.name || voters.compared_with.contains(owner);
+        voters.membership_agreed && owners.iter().all(is_known)
     }
 
-    /// The other owners of a claim's key: they are told at once when the claim ends.
-    pub fn owners(&self, claim: &Key, electors: &Electors) -> BTreeSet<String> {
-        let owners = electors.owners(shared_prefix(claim), self.plan.copies);
+    /// The other owners of a claim's key: they are notified at once when the claim ends.
+    pub fn other_owners(&self, claim: &Key, voters: &Voters) -> BTreeSet<String> {
+        let owners = voters.owners(shared_prefix(claim), self.settings.owners_per_key);
         owners
             .into_iter()
             .filter(|owner| *owner != self.name)
@@ -59,7 +55,7 @@
     }
 }
 
-/// The claims of the same key that stand in the way of this one.
+/// The claims of the same key that conflict with this one.
 fn conflicting_claims(
     key: &Key,
     claim: &Claim,
@@ -67,14 +63,16 @@
     input: &StepInput,
 ) -> Vec<Record> {
     let mut conflicting = Vec::new();
-    for (other_key, state, other) in claims(input.map, shared_prefix(key), Some(key)) {
-        // The origin drops repeats of the other's sends for as long as the requester will send.
-        let covered = takes_over && other.first >= claim.first;
+    for (other_key, state, other) in claims_of_key(input.map, shared_prefix(key), Some(key)) {
+        // The origin drops repeats of the other's attempts for as long as the requester will send.
+        let covered = takes_over && other.first_sent_at >= claim.first_sent_at;
         let conflicts = match state {
-            Ran::Not => false,
-            Ran::Done => true,
-            Ran::Lost => !covered,
-            Ran::Asked | Ran::May => !(covered && is_abandoned(&other, input.electors, input.now)),
+            ClaimState::NotRun => false,
+            ClaimState::Completed => true,
+            ClaimState::OutcomeLost => !covered,
+            ClaimState::Requested | ClaimState::MayHaveRun => {
+                !(covered && is_abandoned(&other, input.voters, input.now))
+            }
         };
         if conflicts {
             conflicting.extend(input.map.record(other_key));
@@ -83,13 +81,13 @@
     conflicting
 }
 
-/// Holds a claim, if there is room for it.
-fn hold(key: Key, record: &Record, input: &mut StepInput) -> Verdict {
-    if input.map.get(&key).is_none() && !input.map.room(Kind::Effect) {
-        return Verdict::Full;
+/// Stores a claim, if there is capacity for it.
+fn store_claim(key: Key, record: &Record, input: &mut StepInput) -> Vote {
+    if input.map.get(&key).is_none() && !input.map.has_capacity(RecordType::Claim) {
+        return Vote::Full;
     }
-    match input.map.merge(key, entry(record), input.now) {
-        Took::New(_) | Took::Known => Verdict::Granted,
-        Took::Refused => Verdict::Full,
+    match input.map.merge(key, Entry::from_wire(record), input.now) {
+        MergeOutcome::Merged { .. } | MergeOutcome::AlreadyKnown => Vote::Granted,
+        MergeOutcome::Rejected => Vote::Full,
     }
 }
--- a/crates/replication/src/ledger/quorum.rs
+++ b/crates/replication/src/ledger/quorum.rs
@@ -1,254 +1,263 @@
-//! The holder's side of a claim: it is requested from the owners of the key until a quorum grants it or time is up.
+//! The holder's side of a claim: votes are requested from the owners of the key until a quorum grants it or time is up.
+//!
+//! Invariants: a claim has a new number each time it is made, so that late votes on a former one count for nothing; a
+//! claim that is given up is recorded as not run before anything else happens to its request.
 
-use super::claims::Stand;
-use super::lookup::Phase;
-use super::{Ledger, OwnerRequest, StepInput, StepOutput, Verdict};
-use crate::kinds::{Claim, Ran};
+use super::claim_set::KeyStatus;
+use super::pending_request::{PendingRequest, Phase};
+use super::{Ledger, OwnerRequest, StepInput, StepOutput, Vote};
 use crate::mutant;
-use crate::plan::Unwritten;
-use crate::record::{entry, Key};
+use crate::record::{Entry, Key};
+use crate::records::{Claim, ClaimState};
+use crate::settings::WithoutQuorum;
 use crate::wire::{ClaimReply, ClaimRequest};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Owners that have not granted a claim are asked again after this fraction of the time that is left.
-const RETRY_FRACTION: Micros = 5;
+/// Owners that have not granted a claim are requested again after the time that is left, divided by this.
+const RETRY_DIVISOR: Micros = 5;
 /// But not sooner than this.
-const RETRY_LEAST: Micros = 10_000;
+const MIN_RETRY_INTERVAL: Micros = 10_000;
 /// Of two claims made at the same time each is made again after a random time up to this.
-const CONFLICT_DELAY: Micros = 15_000;
+const MAX_CONFLICT_BACKOFF: Micros = 15_000;
 
 impl Ledger {
-    /// Claims a key anew, and asks its owners for their grant.
+    /// Claims a key anew, and requests the votes of its owners. `takes_over`: when the first attempt of the claim that
+    /// this one takes over may have been sent.
     pub(super) fn request_claim(
         &mut self,
         token: u64,
-        first: Option<Micros>,
+        takes_over: Option<Micros>,
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        let Some(lookup) = self.pending.get_mut(&token) else {
+        let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
-        if matches!(lookup.phase, Phase::Waiting) {
-            lookup.write_until = (input.now + lookup.write_time).min(lookup.answer_by());
+        if matches!(request.phase, Phase::Waiting) {
+            let budget_end = input.now + request.quorum_budget;
+            request.quorum_deadline = budget_end.min(request.respond_by());
         }
-        if input.now >= lookup.write_until {
-            return self.fail_to_write(token, input, out);
+        if input.now >= request.quorum_deadline {
+            return self.give_up_quorum(token, input, out);
         }
-        self.number_claim(token, first, input);
-        if !self.hold_own_claim(token, input, out) {
-            return self.fail_to_write(token, input, out);
+        self.assign_claim(token, takes_over, input);
+        if !self.store_own_claim(token, input, out) {
+            return self.give_up_quorum(token, input, out);
         }
-        self.send_requests(token, input, out);
+        self.request_votes(token, input, out);
     }
 
-    /// Gives a lookup a new claim.
-    fn number_claim(&mut self, token: u64, first: Option<Micros>, input: &StepInput) {
-        let Some(lookup) = self.pending.get_mut(&token) else {
+    /// Gives a request a new claim.
+    fn assign_claim(&mut self, token: u64, takes_over: Option<Micros>, input: &StepInput) {
+        let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
-        self.last_number += 1;
-        self.tokens.remove(&lookup.claim_id.1);
-        lookup.claim_id = (self.holder, self.last_number);
-        lookup.takes_over = first;
-        lookup.owners = input.electors.owners(&lookup.prefix, self.plan.copies);
-        lookup.claim = Claim {
+        self.last_claim_number += 1;
+        self.tokens_by_claim.remove(&request.claim_id.1);
+        request.claim_id = (self.holder_id, self.last_claim_number);
+        request.takes_over = takes_over;
+        request.owners = input
+            .voters
+            .owners(&request.prefix, self.settings.owners_per_key);
+        request.claim = Claim {
             holder: self.name.clone(),
-            start: self.start,
-            first: first.unwrap_or(input.now) as u64,
-            ends: lookup.terms.expires as u64,
+            incarnation: self.incarnation,
+            first_sent_at: takes_over.unwrap_or(input.now) as u64,
+            deadline: request.terms.deadline as u64,
             body: None,
             current: false,
         };
     }
 
-    /// Holds a lookup's new claim in this front's own map; false where there is no room to remember it.
-    fn hold_own_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) -> bool {
-        let Some(lookup) = self.pending.get_mut(&token) else {
+    /// Stores a request's new claim in this proxy's own map; false where there is no capacity for it.
+    fn store_own_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) -> bool {
+        let Some(request) = self.pending.get_mut(&token) else {
             return false;
         };
-        let (key, entry) = lookup.record(Ran::Asked, input.now + self.plan.keep);
+        let expires_at = input.now + self.settings.claim_retention;
+        let (key, entry) = request.claim_record(ClaimState::Requested, expires_at);
         if !input.merge(&key, entry, out) {
-            lookup.claim_key = None;
+            request.claim_key = None;
             return false;
         }
-        lookup.claim_key = Some(key);
-        self.tokens.insert(lookup.claim_id.1, token);
-        let (verdicts, until) = (BTreeMap::new(), lookup.write_until);
-        lookup.phase = Phase::Requesting {
-            verdicts,
-            until,
+        request.claim_key = Some(key);
+        self.tokens_by_claim.insert(request.claim_id.1, token);
+        request.phase = Phase::Requesting {
+            votes: BTreeMap::new(),
+            deadline: request.quorum_deadline,
             retry_at: input.now,
         };
         true
     }
 
-    /// Asks the owners that have not granted the claim, this front itself among them where it is one.
-    fn send_requests(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get_mut(&token) else {
+    /// Requests the votes of the owners that have not granted the claim, this proxy itself among them where it is one.
+    fn request_votes(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
+        let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
+        let message = vote_request(request, input);
         let Phase::Requesting {
-            verdicts,
-            until,
+            votes,
+            deadline,
             retry_at,
-        } = &mut lookup.phase
+        } = &mut request.phase
         else {
             return;
         };
-        *retry_at = input.now + ((*until - input.now) / RETRY_FRACTION).max(RETRY_LEAST);
-        let request = ClaimRequest {
-            number: lookup.claim_id.1,
-            claim: lookup
-                .claim_key
-                .as_ref()
-                .and_then(|key| input.map.record(key)),
-            owners: lookup.owners.clone(),
-            take_over: lookup
-                .takes_over
-                .map_or(0, |first| (first + lookup.terms.window) as u64),
-        };
-        let granted = |owner: &String| verdicts.get(owner) == Some(&Verdict::Granted);
-        let open: Vec<String> = lookup
-            .owners
-            .iter()
-            .filter(|owner| !granted(owner))
-            .cloned()
-            .collect();
-        for owner in open {
+        *retry_at = input.now + ((*deadline - input.now) / RETRY_DIVISOR).max(MIN_RETRY_INTERVAL);
+        let mut remaining = request.owners.clone();
+        remaining.retain(|owner| votes.get(owner) != Some(&Vote::Granted));
+        for owner in remaining {
             if owner != self.name {
                 out.requests.push(OwnerRequest {
                     to: owner,
-                    request: request.clone(),
+                    request: message.clone(),
                 });
                 continue;
             }
-            let (verdict, _) = self.judge(&request, input);
-            self.note_verdict(token, &owner, verdict, input, out);
+            let (vote, _) = self.vote(&message, input);
+            self.record_vote(token, &owner, vote, input, out);
         }
     }
 
-    /// An owner has answered.
-    pub fn reply(
+    /// An owner has voted.
+    pub fn receive_vote(
         &mut self,
         from: &str,
         reply: ClaimReply,
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        for record in reply.claims {
-            input.merge(&Key::of(&record), entry(&record), out);
+        for record in reply.conflicting_claims {
+            input.merge(&Key::from_wire(&record), Entry::from_wire(&record), out);
         }
-        let token = self.tokens.get(&reply.number).copied();
-        if let (Some(token), Some(verdict)) = (token, Verdict::of(reply.verdict)) {
-            self.note_verdict(token, from, verdict, input, out);
+        let token = self.tokens_by_claim.get(&reply.number).copied();
+        if let (Some(token), Some(vote)) = (token, Vote::from_wire(reply.vote)) {
+            self.record_vote(token, from, vote, input, out);
         }
     }
 
-    fn note_verdict(
+    fn record_vote(
         &mut self,
         token: u64,
         from: &str,
-        verdict: Verdict,
+        vote: Vote,
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        let Some(lookup) = self.pending.get_mut(&token) else {
+        let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
-        let Phase::Requesting { verdicts, .. } = &mut lookup.phase else {
+        let Phase::Requesting { votes, .. } = &mut request.phase else {
             return;
         };
-        if !lookup.owners.iter().any(|owner| owner == from) {
+        if !request.owners.iter().any(|owner| owner == from) {
             return;
         }
-        // What was granted stays granted: the owner holds it.
-        if verdicts.get(from) != Some(&Verdict::Granted) {
-            verdicts.insert(from.into(), verdict);
+        // What was granted stays granted: the owner stores it.
+        if votes.get(from) != Some(&Vote::Granted) {
+            votes.insert(from.into(), vote);
         }
-        self.count_verdicts(token, input, out);
+        self.count_votes(token, input, out);
     }
 
-    /// Lets a lookup through once a quorum has granted its claim, and withdraws the claim once no quorum can.
-    fn count_verdicts(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get(&token) else {
+    /// Admits a request once a quorum has granted its claim, and withdraws the claim once no quorum can.
+    fn count_votes(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
+        let Some(request) = self.pending.get(&token) else {
             return;
         };
+        let owners = request.owners.len();
         let quorum = if mutant("one-copy") {
             1
         } else {
-            lookup.owners.len() / 2 + 1
+            owners / 2 + 1
         };
-        let enough_fronts = input.electors.all.len() >= self.plan.fronts_least;
-        if lookup.verdict_count(Verdict::Granted) >= quorum && enough_fronts {
+        let enough_voters = input.voters.members.len() >= self.settings.min_voters;
+        if request.vote_count(Vote::Granted) >= quorum && enough_voters {
             self.admit(token, input, out);
-        } else if matches!(lookup.stand(input), Stand::Done { .. }) {
-            // One owner's word is enough to know that it ran.
-            self.release(token, input, out);
-            self.consider(token, input, out);
-        } else if lookup.verdict_count(Verdict::Held) > lookup.owners.len() - quorum {
-            self.withdraw(token, input, out);
+        } else if matches!(request.key_status(input), KeyStatus::Completed { .. }) {
+            // One owner's record is enough to know that it ran.
+            self.release_claim(token, input, out);
+            self.consider_request(token, input, out);
+        } else if request.vote_count(Vote::Conflict) > owners - quorum {
+            self.withdraw_claim(token, input, out);
         }
     }
 
     /// Another claim conflicts at so many owners that this one can't be granted.
-    fn withdraw(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        self.release(token, input, out);
-        let Some(lookup) = self.pending.get_mut(&token) else {
+    fn withdraw_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
+        self.release_claim(token, input, out);
+        let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
-        if lookup.stand(input) != Stand::Free {
-            return self.consider(token, input, out);
+        if request.key_status(input) != KeyStatus::Unclaimed {
+            return self.consider_request(token, input, out);
         }
         // Both were made at the same time, and the other has been withdrawn too.
-        lookup.phase = Phase::Conflicted {
-            retry_at: input.now + self.rng.i64(1..CONFLICT_DELAY),
+        request.phase = Phase::Conflicted {
+            retry_at: input.now + self.rng.i64(1..MAX_CONFLICT_BACKOFF),
         };
-        self.counts.clashes += 1;
+        self.counts.conflicts += 1;
     }
 
-    /// Asks again. If the owners of the key have changed it is claimed anew: nothing was sent yet.
+    /// Requests the missing votes again. If the owners of the key have changed it is claimed anew: nothing was sent yet.
     pub(super) fn retry_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(lookup) = self.pending.get(&token) else {
+        let Some(request) = self.pending.get(&token) else {
             return;
         };
-        if input.electors.owners(&lookup.prefix, self.plan.copies) == lookup.owners {
-            return self.send_requests(token, input, out);
+        let count = self.settings.owners_per_key;
+        if input.voters.owners(&request.prefix, count) == request.owners {
+            return self.request_votes(token, input, out);
         }
-        self.release(token, input, out);
-        self.consider(token, input, out);
+        self.release_claim(token, input, out);
+        self.consider_request(token, input, out);
     }
 
     /// No quorum has granted the claim in time.
-    pub(super) fn fail_to_write(
+    pub(super) fn give_up_quorum(
         &mut self,
         token: u64,
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
-        self.counts.unwritten += 1;
-        match self.plan.unwritten {
-            // A claim that takes over is not sent on a guess: the other may have run.
-            Unwritten::Serve
-                if self
-                    .pending
-                    .get(&token)
-                    .is_some_and(|lookup| lookup.takes_over.is_none()) =>
-            {
-                self.admit(token, input, out);
-            }
-            _ => self.refuse(token, input, out),
+        self.counts.without_quorum += 1;
+        let request = self.pending.get(&token);
+        // A claim that takes over is not sent on a guess: the other may have run.
+        let is_first = request.is_some_and(|request| request.takes_over.is_none());
+        if self.settings.without_quorum == WithoutQuorum::Send && is_first {
+            self.admit(token, input, out);
+        } else {
+            self.reject(token, input, out);
         }
     }
 
     /// Ends a claim by which nothing was sent, nor will be.
-    pub(super) fn release(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let Some(mut lookup) = self.pending.remove(&token) else {
+    pub(super) fn release_claim(
+        &mut self,
+        token: u64,
+        input: &mut StepInput,
+        out: &mut StepOutput,
+    ) {
+        let Some(mut request) = self.pending.remove(&token) else {
             return;
         };
-        self.mark(&mut lookup, Ran::Not, input, out);
-        self.tokens.remove(&lookup.claim_id.1);
-        self.pending.insert(token, lookup);
+        self.update_own_claim(&mut request, ClaimState::NotRun, input, out);
+        self.tokens_by_claim.remove(&request.claim_id.1);
+        self.pending.insert(token, request);
+    }
+}
+
+/// The message that requests a vote on a request's claim.
+fn vote_request(request: &PendingRequest, input: &StepInput) -> ClaimRequest {
+    let takeover_until = |first_sent_at| (first_sent_at + request.terms.dedup_window) as u64;
+    ClaimRequest {
+        number: request.claim_id.1,
+        claim: request
+            .claim_key
+            .as_ref()
+            .and_then(|key| input.map.record(key)),
+        owners: request.owners.clone(),
+        takeover_until: request.takes_over.map_or(0, takeover_until),
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,23 +1,19 @@
-//! State that the fronts share, and how copies that differ converge: purges, the phases of caches, effects that may have
-//! run, observations, usage by tenant. A pure state machine: messages and events go in, messages and actions come out; it
-//! does no I/O, reads no clock and draws random numbers by a seed (docs/replication.md).
+//! State that the proxies share, and how replicas that differ converge: purges, the phases of endpoints, claims to effects
+//! that may have run, observations, usage by tenant. A pure state machine: messages and events go in, messages and
+//! actions come out; it does no I/O, reads no clock and draws random numbers by a seed (docs/replication.md).
 //!
-//! From the bottom up: `wire`, `kind` and `record` are plain types; `kinds` encodes the records of each kind; `map` holds
-//! and merges records; `snapshot`, `opinion` and `ledger` work on a map; `replica` joins all of it into one front's copy.
+//! From the bottom up: [`wire`] holds the messages; [`record_type`] and [`record`] are plain types; [`records`] encodes
+//! the records of each type; [`map`] stores and merges records; [`snapshot`], [`shared_estimate`] and [`ledger`] work on
+//! a map; [`replica`] joins all of it into one proxy's replica.
 
-#![allow(
-    clippy::missing_errors_doc,
-    reason = "not reached yet by the pass over names, sizes and docs"
-)]
-
-pub mod kind;
-pub mod kinds;
 pub mod ledger;
 pub mod map;
-pub mod opinion;
-pub mod plan;
 pub mod record;
+pub mod record_type;
+pub mod records;
 pub mod replica;
+pub mod settings;
+pub mod shared_estimate;
 pub mod snapshot;
 pub mod wire;
 
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -1,42 +1,54 @@
-//! The replicated map: records by kind and key, each with a rank. Of two records of one key the larger stands, by rank,
-//! then by bytes. So merging is commutative, associative and idempotent, and a build merges kinds that it does not know
-//! as well as those that it does. Digests over buckets tell where two maps differ.
+//! The replicated map: records by type and key, each with a rank. Of two records of one key the larger wins, by rank,
+//! then by bytes. So merging is commutative, associative and idempotent, and a build merges types that it does not know
+//! as well as those that it does.
+//!
+//! Invariants: `by_expiry`, `buckets` (see `buckets`) and `sizes` describe exactly the records in `entries`; no type
+//! exceeds the limits; claims are never evicted.
 
-use crate::kind::{Kind, Tree, TREES};
+mod buckets;
+
+pub use buckets::BUCKETS;
+
+use crate::mutant;
+use crate::record::{record_hash, to_wire, Entry, Key};
+use crate::record_type::{RecordType, Tree};
 use crate::wire::Record;
 use crate::Micros;
+use buckets::BucketIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
-use xxhash_rust::xxh3::Xxh3;
 
-pub use crate::record::{hash, record, Entry, Key};
-
-/// Buckets in the digest of one tree.
-pub const BUCKETS: usize = 256;
+/// Longest name of a record.
+pub const MAX_NAME_BYTES: usize = 128;
+/// Longest value of a record.
+pub const MAX_VALUE_BYTES: usize = 4096;
 
 /// What became of a record that was to be merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Took {
-    /// It stands now; true where it replaced another.
-    New(bool),
-    /// The same or a larger record is held.
-    Known,
-    /// It has expired, is too large, or there is no room for it.
-    Refused,
+pub enum MergeOutcome {
+    /// It is stored now.
+    Merged {
+        /// It took the place of a smaller record of its key.
+        replaced: bool,
+    },
+    /// The same or a larger record is stored.
+    AlreadyKnown,
+    /// It has expired, is too large, or there is no capacity for it.
+    Rejected,
 }
 
-/// Limits that hold for each kind by itself.
+/// Limits that hold for each record type by itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct MapLimits {
     /// Most records.
     pub entries: usize,
     /// Most bytes of names and values.
     pub bytes: usize,
 }
 
-/// What is held of one kind.
+/// How much is stored of one record type.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct StoredSize {
     /// Records.
     pub entries: usize,
     /// Bytes of their names and values.
@@ -47,171 +59,187 @@
 #[derive(Clone, Debug)]
 pub struct Map {
     entries: BTreeMap<Key, Entry>,
-    /// The order of expiry, which is also the order of eviction: the same on all fronts that hold the same.
+    /// The order of expiry, which is also the order of eviction: the same on all replicas that store the same.
     by_expiry: BTreeSet<(Micros, Key)>,
-    /// Keys by the hash of their record.
-    by_hash: BTreeMap<u64, Key>,
-    /// Tree, bucket and hash of each record.
-    buckets: BTreeSet<(usize, usize, u64)>,
-    digests: [[u64; BUCKETS]; TREES],
-    held: BTreeMap<u32, Held>,
-    limits: Room,
-    /// Records that were refused or evicted for want of room.
+    buckets: BucketIndex,
+    sizes: BTreeMap<u32, StoredSize>,
+    limits: MapLimits,
+    /// Records that were rejected or evicted for want of capacity.
     pub displaced: u64,
 }
 
-/// Longest name of a record, in bytes.
-pub const KEY_MOST: usize = 128;
-/// Longest value of a record, in bytes.
-pub const VALUE_MOST: usize = 4096;
-
 impl Map {
     /// An empty map.
-    pub fn new(limits: Room) -> Map {
+    pub fn new(limits: MapLimits) -> Map {
         Map {
             entries: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
-            by_hash: BTreeMap::new(),
-            buckets: BTreeSet::new(),
-            digests: [[0; BUCKETS]; TREES],
-            held: BTreeMap::new(),
+            buckets: BucketIndex::new(),
+            sizes: BTreeMap::new(),
             limits,
             displaced: 0,
         }
     }
 
-    /// What is held for a key.
+    /// The entry that is stored for a key.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// How many records are held.
+    /// How many records are stored.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether nothing is stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All records of a kind whose names begin with `prefix`, in order.
+    /// All records, in order.
+    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.entries.iter()
+    }
+
+    /// All records of a type whose names begin with `prefix`, in order.
     pub fn with_prefix<'a>(
         &'a self,
-        kind: Kind,
+        record_type: RecordType,
         prefix: &'a [u8],
     ) -> impl Iterator<Item = (&'a Key, &'a Entry)> {
-        let from = Key::new(kind, prefix);
+        let first = Key::new(record_type, prefix);
+        let matches =
+            move |key: &Key| key.record_type == record_type as u32 && key.name.starts_with(prefix);
         self.entries
-            .range(from..)
-            .take_while(move |(key, _)| key.kind == kind as u32 && key.name.starts_with(prefix))
+            .range(first..)
+            .take_while(move |(key, _)| matches(key))
     }
 
-    /// All records of a kind, in order.
-    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = (&Key, &Entry)> {
-        self.with_prefix(kind, &[])
+    /// All records of a type, in order.
+    pub fn of_type(&self, record_type: RecordType) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.with_prefix(record_type, &[])
     }
 
-    /// What is held, by the number of the kind.
-    pub fn held(&self) -> &BTreeMap<u32, Held> {
-        &self.held
+    /// The record of a key.
+    pub fn record(&self, key: &Key) -> Option<Record> {
+        self.entries.get(key).map(|entry| to_wire(key, entry))
     }
 
-    /// Whether one more record of this kind fits without evicting another.
-    pub fn room(&self, kind: Kind) -> bool {
-        let held = self.held.get(&(kind as u32)).copied().unwrap_or_default();
-        held.entries < self.limits.entries && held.bytes + KEY_MOST + VALUE_MOST < self.limits.bytes
+    /// The records of a tree that follow `after`, in the order of their keys.
+    pub fn records_after<'a>(
+        &'a self,
+        tree: Tree,
+        after: Option<&'a Key>,
+    ) -> impl Iterator<Item = Record> + 'a {
+        tree.type_ranges().iter().flat_map(move |(first, end)| {
+            let (first, end) = (first_key(*first), first_key(*end));
+            let start = match after {
+                Some(after) if *after >= first => Bound::Excluded(after.clone()),
+                _ => Bound::Included(first),
+            };
+            // A range that ends before it starts panics.
+            let is_empty = after.is_some_and(|after| *after >= end);
+            let range = (!is_empty).then(|| self.entries.range((start, Bound::Excluded(end))));
+            range
+                .into_iter()
+                .flatten()
+                .map(|(key, entry)| to_wire(key, entry))
+        })
     }
 
-    /// Merges a record: it is held from now on if it is larger than what was held for its key.
-    pub fn merge(&mut self, key: Key, entry: Entry, now: Micros) -> Took {
-        if entry.until <= now || key.name.len() > KEY_MOST || entry.value.len() > VALUE_MOST {
-            return Took::Refused;
+    /// How much is stored, by the number of the record type.
+    pub fn sizes(&self) -> &BTreeMap<u32, StoredSize> {
+        &self.sizes
+    }
+
+    fn size_of(&self, record_type: u32) -> StoredSize {
+        self.sizes.get(&record_type).copied().unwrap_or_default()
+    }
+
+    /// Whether one more record of this type fits, whatever its size, without evicting another.
+    pub fn has_capacity(&self, record_type: RecordType) -> bool {
+        let stored = self.size_of(record_type as u32);
+        stored.entries < self.limits.entries
+            && stored.bytes + MAX_NAME_BYTES + MAX_VALUE_BYTES < self.limits.bytes
+    }
+
+    /// Merges a record: it is stored from now on if it is larger than what was stored for its key.
+    pub fn merge(&mut self, key: Key, entry: Entry, now: Micros) -> MergeOutcome {
+        if entry.expires_at <= now
+            || key.name.len() > MAX_NAME_BYTES
+            || entry.value.len() > MAX_VALUE_BYTES
+        {
+            return MergeOutcome::Rejected;
         }
         let former = self.entries.get(&key);
-        let larger = former.is_none_or(|former| {
-            if crate::mutant("last-write-wins") {
-                *former != entry
-            } else {
-                entry > *former
-            }
-        });
-        if !larger {
-            return Took::Known;
+        if !former.is_none_or(|former| supersedes(&entry, former)) {
+            return MergeOutcome::AlreadyKnown;
         }
-        let was = former.is_some();
-        if !was && !self.make_room(&key, &entry) {
+        let replaced = former.is_some();
+        if !replaced && !self.evict_for(&key, &entry) {
             self.displaced += 1;
-            return Took::Refused;
+            return MergeOutcome::Rejected;
         }
         self.remove(&key);
         self.insert(key, entry);
-        Took::New(was)
+        MergeOutcome::Merged { replaced }
     }
 
     /// Evicts records that expire sooner than this one until it fits; false where it would be evicted first itself.
-    fn make_room(&mut self, key: &Key, entry: &Entry) -> bool {
-        let more = key.name.len() + entry.value.len();
+    fn evict_for(&mut self, key: &Key, entry: &Entry) -> bool {
+        let added = key.name.len() + entry.value.len();
         loop {
-            let held = self.held.get(&key.kind).copied().unwrap_or_default();
-            if held.entries < self.limits.entries && held.bytes + more <= self.limits.bytes {
+            let stored = self.size_of(key.record_type);
+            if stored.entries < self.limits.entries && stored.bytes + added <= self.limits.bytes {
                 return true;
             }
-            // Claims are never evicted: a request for one more is refused instead.
-            if Kind::of(key.kind) == Some(Kind::Effect) {
+            // A claim that is forgotten could be granted twice: a request for one more is rejected instead.
+            if RecordType::from_wire(key.record_type) == Some(RecordType::Claim) {
                 return false;
             }
-            let first = self
-                .by_expiry
-                .iter()
-                .find(|(_, k)| k.kind == key.kind)
-                .cloned();
-            let Some((until, first)) = first.filter(|(until, _)| *until < entry.until) else {
+            let Some(evicted) = self.first_to_expire(key.record_type, entry.expires_at) else {
                 return false;
             };
-            debug_assert!(until <= entry.until);
-            self.remove(&first);
+            self.remove(&evicted);
             self.displaced += 1;
         }
     }
 
-    /// Adds a record to the digest and the hashes of its bucket, or takes it out again.
-    fn toggle_in_bucket(&mut self, key: &Key, hash: u64) {
-        let (tree, bucket) = (Tree::of(key.kind) as usize, bucket_of(key));
-        self.digests[tree][bucket] ^= hash;
-        if !self.buckets.remove(&(tree, bucket, hash)) {
-            self.buckets.insert((tree, bucket, hash));
-        }
+    /// The record of a type that expires first, if that is before `expires_at`.
+    fn first_to_expire(&self, record_type: u32, expires_at: Micros) -> Option<Key> {
+        let mut of_type = self
+            .by_expiry
+            .iter()
+            .filter(|(_, key)| key.record_type == record_type);
+        let (first_expiry, key) = of_type.next()?;
+        (*first_expiry < expires_at).then(|| key.clone())
     }
 
     fn insert(&mut self, key: Key, entry: Entry) {
-        let hash = hash(&key, &entry);
-        self.toggle_in_bucket(&key, hash);
-        let held = self.held.entry(key.kind).or_default();
-        held.entries += 1;
-        held.bytes += key.name.len() + entry.value.len();
-        self.by_hash.insert(hash, key.clone());
-        self.by_expiry.insert((entry.until, key.clone()));
+        self.buckets.insert(&key, record_hash(&key, &entry));
+        let size = self.sizes.entry(key.record_type).or_default();
+        size.entries += 1;
+        size.bytes += key.name.len() + entry.value.len();
+        self.by_expiry.insert((entry.expires_at, key.clone()));
         self.entries.insert(key, entry);
     }
 
-    fn remove(&mut self, key: &Key) -> Option<Entry> {
-        let entry = self.entries.remove(key)?;
-        let hash = hash(key, &entry);
-        self.toggle_in_bucket(key, hash);
-        self.by_hash.remove(&hash);
-        self.by_expiry.remove(&(entry.until, key.clone()));
-        if let Some(held) = self.held.get_mut(&key.kind) {
-            held.entries -= 1;
-            held.bytes -= key.name.len() + entry.value.len();
+    fn remove(&mut self, key: &Key) {
+        let Some(entry) = self.entries.remove(key) else {
+            return;
+        };
+        self.buckets.remove(key, record_hash(key, &entry));
+        self.by_expiry.remove(&(entry.expires_at, key.clone()));
+        if let Some(size) = self.sizes.get_mut(&key.record_type) {
+            size.entries -= 1;
+            size.bytes -= key.name.len() + entry.value.len();
         }
-        Some(entry)
     }
 
-    /// Drops what has expired.
-    pub fn sweep(&mut self, now: Micros) {
-        while let Some((until, key)) = self.by_expiry.first().cloned() {
-            if until > now {
+    /// Removes what has expired.
+    pub fn remove_expired(&mut self, now: Micros) {
+        while let Some((expires_at, key)) = self.by_expiry.first().cloned() {
+            if expires_at > now {
                 return;
             }
             self.remove(&key);
@@ -219,101 +247,66 @@
     }
 
     /// When the next record expires.
-    pub fn next(&self) -> Option<Micros> {
-        self.by_expiry.first().map(|(until, _)| *until)
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 
     // Anti-entropy comparison.
 
     /// Digest of a whole tree.
     pub fn root(&self, tree: Tree) -> u64 {
-        let fold = |h: u64, b: &u64| (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
-        self.digests[tree as usize].iter().fold(7, fold)
+        self.buckets.root(tree)
     }
 
-    /// Digest of all trees: the same on all fronts that hold the same.
+    /// Digest of all trees: the same on all replicas that store the same.
     pub fn digest(&self) -> u64 {
         Tree::ALL
             .into_iter()
-            .fold(0, |h, tree| (h ^ self.root(tree)).rotate_left(21))
+            .fold(0, |digest, tree| (digest ^ self.root(tree)).rotate_left(21))
     }
 
     /// Digests of the buckets of a tree.
-    pub fn digests(&self, tree: Tree) -> Vec<u32> {
-        self.digests[tree as usize]
-            .iter()
-            .map(|b| (b ^ (b >> 32)) as u32)
-            .collect()
+    pub fn bucket_digests(&self, tree: Tree) -> Vec<u32> {
+        self.buckets.digests(tree)
     }
 
     /// Buckets whose digests differ from another map's.
-    pub fn differing(&self, tree: Tree, theirs: &[u32]) -> Vec<usize> {
-        let mine = self.digests(tree);
+    pub fn differing_buckets(&self, tree: Tree, theirs: &[u32]) -> Vec<usize> {
+        let own = self.bucket_digests(tree);
         (0..BUCKETS)
-            .filter(|bucket| theirs.get(*bucket) != mine.get(*bucket))
+            .filter(|bucket| theirs.get(*bucket) != own.get(*bucket))
             .collect()
     }
 
     /// Hashes of all records of a tree in one bucket.
-    pub fn hashes_in(&self, tree: Tree, bucket: usize) -> impl Iterator<Item = u64> + '_ {
-        let (tree, end) = (tree as usize, u64::MAX);
-        self.buckets
-            .range((tree, bucket, 0)..=(tree, bucket, end))
-            .map(|(.., hash)| *hash)
+    pub fn bucket_hashes(&self, tree: Tree, bucket: usize) -> impl Iterator<Item = u64> + '_ {
+        self.buckets.hashes(tree, bucket)
     }
 
-    /// Whether a record with this hash is held.
-    pub fn has(&self, hash: u64) -> bool {
-        self.by_hash.contains_key(&hash)
+    /// Whether a record with this hash is stored.
+    pub fn contains_hash(&self, hash: u64) -> bool {
+        self.buckets.key_of(hash).is_some()
     }
 
     /// The record with this hash.
-    pub fn by_hash(&self, hash: u64) -> Option<Record> {
-        self.by_hash.get(&hash).and_then(|key| self.record(key))
-    }
-
-    /// The record of a key.
-    pub fn record(&self, key: &Key) -> Option<Record> {
-        self.entries.get(key).map(|entry| record(key, entry))
-    }
-
-    /// The records of a tree that follow `after`, in the order of their keys.
-    pub fn from<'a>(
-        &'a self,
-        tree: Tree,
-        after: Option<&'a Key>,
-    ) -> impl Iterator<Item = Record> + 'a {
-        tree.kinds().iter().flat_map(move |(from, to)| {
-            let first = Key {
-                kind: *from,
-                name: Vec::new(),
-            };
-            let start = match after {
-                Some(after) if *after >= first => Bound::Excluded(after.clone()),
-                _ => Bound::Included(first),
-            };
-            let end = Key {
-                kind: *to,
-                name: Vec::new(),
-            };
-            let empty = after.is_some_and(|after| *after >= end);
-            let range = (!empty).then(|| self.entries.range((start, Bound::Excluded(end))));
-            range
-                .into_iter()
-                .flatten()
-                .map(|(key, entry)| record(key, entry))
-        })
+    pub fn record_by_hash(&self, hash: u64) -> Option<Record> {
+        self.buckets.key_of(hash).and_then(|key| self.record(key))
     }
+}
 
-    /// All records, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Entry)> {
-        self.entries.iter()
+/// Whether an entry takes the place of another of its key.
+fn supersedes(entry: &Entry, former: &Entry) -> bool {
+    if mutant("last-write-wins") {
+        entry != former
+    } else {
+        entry > former
     }
 }
 
-fn bucket_of(key: &Key) -> usize {
-    let mut hash = Xxh3::new();
-    hash.update(&key.kind.to_le_bytes());
-    hash.update(&key.name);
-    (hash.digest() % BUCKETS as u64) as usize
+/// The smallest key of a record type.
+fn first_key(record_type: u32) -> Key {
+    Key {
+        record_type,
+        name: Vec::new(),
+    }
 }
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,7 +1,9 @@
-//! The plain types of a replicated record: the key it is found by, the entry that is held for the key, and their form
-//! on the wire.
+//! A replicated record: the key it is found by, the entry that is stored for the key, and their form on the wire.
+//!
+//! Invariant: entries of one key are totally ordered, and merging keeps the larger, so merging is commutative,
+//! associative and idempotent.
 
-use crate::kind::Kind;
+use crate::record_type::RecordType;
 use crate::wire::Record;
 use crate::Micros;
 use xxhash_rust::xxh3::Xxh3;
@@ -9,70 +11,71 @@
 /// What a record is found by.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The kind's number on the wire.
-    pub kind: u32,
-    /// The name within its kind, encoded by `kinds`.
+    /// The record type's number on the wire.
+    pub record_type: u32,
+    /// The name within its type, encoded by `records`.
     pub name: Vec<u8>,
 }
 
 impl Key {
-    /// The key of a known kind.
-    pub fn new(kind: Kind, name: impl Into<Vec<u8>>) -> Key {
+    /// The key of a known record type.
+    pub fn new(record_type: RecordType, name: impl Into<Vec<u8>>) -> Key {
         Key {
-            kind: kind as u32,
+            record_type: record_type as u32,
             name: name.into(),
         }
     }
 
     /// The key of a record from the wire.
-    pub fn of(record: &Record) -> Key {
+    pub fn from_wire(record: &Record) -> Key {
         Key {
-            kind: record.kind,
+            record_type: record.record_type,
             name: record.name.clone(),
         }
     }
 }
 
-/// What is held for a key. Of two entries the larger stands, compared in the order of these fields.
+/// What is stored for a key. Entries are compared in the order of these fields; the larger wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
-    /// The rank that the record's kind gives it.
+    /// The version that the record's type gives it: compared first, part by part.
     pub rank: (u64, u64),
-    /// The value, encoded by `kinds`.
+    /// The value, encoded by `records`.
     pub value: Vec<u8>,
-    /// The expiry time, in Unix time: from then on the record is treated as if it had never been.
-    pub until: Micros,
+    /// Unix time from which the record is treated as if it had never been.
+    pub expires_at: Micros,
 }
 
-/// The entry of a record from the wire.
-pub fn entry(record: &Record) -> Entry {
-    let until = Micros::try_from(record.until).unwrap_or(Micros::MAX);
-    Entry {
-        rank: (record.high, record.low),
-        value: record.value.clone(),
-        until,
+impl Entry {
+    /// The entry of a record from the wire.
+    pub fn from_wire(record: &Record) -> Entry {
+        Entry {
+            rank: (record.rank_high, record.rank_low),
+            value: record.value.clone(),
+            expires_at: Micros::try_from(record.expires_at).unwrap_or(Micros::MAX),
+        }
     }
 }
 
 /// A key and its entry as a record for the wire.
-pub fn record(key: &Key, entry: &Entry) -> Record {
+pub fn to_wire(key: &Key, entry: &Entry) -> Record {
     Record {
-        kind: key.kind,
+        record_type: key.record_type,
         name: key.name.clone(),
-        high: entry.rank.0,
-        low: entry.rank.1,
+        rank_high: entry.rank.0,
+        rank_low: entry.rank.1,
         value: entry.value.clone(),
-        until: entry.until as u64,
+        expires_at: entry.expires_at as u64,
     }
 }
 
-/// Hash of a whole record; the same on every front that holds the same record.
-pub fn hash(key: &Key, entry: &Entry) -> u64 {
+/// Hash of a whole record; the same on every replica that stores the same record.
+pub fn record_hash(key: &Key, entry: &Entry) -> u64 {
     let mut hash = Xxh3::new();
-    hash.update(&key.kind.to_le_bytes());
+    hash.update(&key.record_type.to_le_bytes());
     hash.update(&(key.name.len() as u32).to_le_bytes());
     hash.update(&key.name);
-    for part in [entry.rank.0, entry.rank.1, entry.until as u64] {
+    for part in [entry.rank.0, entry.rank.1, entry.expires_at as u64] {
         hash.update(&part.to_le_bytes());
     }
     hash.update(&entry.value);
--- a/crates/replication/src/replica/anti_entropy.rs
+++ b/crates/replication/src/replica/anti_entropy.rs
@@ -1,74 +1,77 @@
-//! Anti-entropy: two fronts compare the roots of their trees, then digests of buckets, then hashes of records, and
+//! Anti-entropy: two proxies compare the roots of their trees, then digests of buckets, then hashes of records, and
 //! exchange the records that differ.
+//!
+//! Invariant: an exchange has no state; each answer follows from its message and the map alone, so that any message may
+//! be lost or come twice.
 
-use super::send::{encoded_size, STREAM_BYTES};
-use super::{Act, Replica};
-use crate::kind::Tree;
+use super::send::{encoded_size, MAX_STREAM_RECORD_BYTES};
+use super::{Action, Replica};
 use crate::map::BUCKETS;
+use crate::record_type::Tree;
 use crate::wire::{
     Body, BucketDigests, BucketHashes, Delta, Record, RecordRequest, Records, Roots,
 };
 use std::collections::BTreeSet;
 
 /// Hashes in one message.
-const HASHES_MOST: usize = 1500;
-/// Names of fronts in one message.
-const NAMES_MOST: usize = 256;
+const MAX_HASHES: usize = 1500;
+/// Names of voters in one message.
+const MAX_VOTERS: usize = 256;
 
 fn delta(records: Records) -> Body {
     Body::Delta(Delta {
         records: records.records,
-        gone: Vec::new(),
+        no_longer_stored: Vec::new(),
     })
 }
 
 impl Replica {
-    /// Once a period: compares with one other front, if the budget allows.
-    pub(super) fn start_comparison(&mut self, acts: &mut Vec<Act>) {
+    /// Once a period: compares with one other proxy, if the budget allows.
+    pub(super) fn start_comparison(&mut self, actions: &mut Vec<Action>) {
         if !self.has_budget() {
             return;
         }
         for peer in self.sample_peers(1) {
-            self.send_roots(&peer, acts);
+            self.send_roots(&peer, actions);
         }
     }
 
     fn has_budget(&mut self) -> bool {
         self.refill_budgets();
         let has_budget = self.budget.has_tokens();
-        self.counts.held_back += u64::from(!has_budget);
+        self.counts.comparisons_delayed += u64::from(!has_budget);
         has_budget
     }
 
-    /// Begins a comparison of all trees with another front.
-    pub(super) fn send_roots(&mut self, to: &str, acts: &mut Vec<Act>) {
+    /// Begins a comparison of all trees with another proxy.
+    pub(super) fn send_roots(&mut self, to: &str, actions: &mut Vec<Action>) {
         let roots = Tree::ALL
             .into_iter()
             .map(|tree| self.map.root(tree))
             .collect();
-        self.send(to, Body::Roots(Roots { roots }), acts);
+        self.send(to, Body::Roots(Roots { roots }), actions);
     }
 
     /// Answers with the digests of each tree that differs.
-    pub(super) fn receive_roots(&mut self, from: &str, roots: &[u64], acts: &mut Vec<Act>) {
+    pub(super) fn receive_roots(&mut self, from: &str, roots: &[u64], actions: &mut Vec<Action>) {
         for tree in Tree::ALL {
             let differs = roots
                 .get(tree as usize)
                 .is_none_or(|root| *root != self.map.root(tree));
             // A tree that is being copied from a donor is not compared: that would bring the same in more bytes.
             if differs && !self.is_catching_up(tree) && self.has_budget() {
-                self.send_bucket_digests(from, tree, acts);
+                self.send_bucket_digests(from, tree, actions);
             }
         }
     }
 
-    /// Begins a comparison of one tree with another front.
-    pub(super) fn send_bucket_digests(&mut self, to: &str, tree: Tree, acts: &mut Vec<Act>) {
+    /// Begins a comparison of one tree with another proxy.
+    pub(super) fn send_bucket_digests(&mut self, to: &str, tree: Tree, actions: &mut Vec<Action>) {
         let digests = BucketDigests {
             tree: tree as u32,
-            digests: self.map.digests(tree),
+            digests: self.map.bucket_digests(tree),
         };
-        self.send(to, Body::BucketDigests(digests), acts);
+        self.send(to, Body::BucketDigests(digests), actions);
     }
 
     /// Answers with the hashes in the buckets that differ.
@@ -76,18 +79,19 @@
         &mut self,
         from: &str,
         theirs: &BucketDigests,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(tree) = Tree::number(theirs.tree) else {
+        let Some(tree) = Tree::from_wire(theirs.tree) else {
             return;
         };
-        let differing = self.map.differing(tree, &theirs.digests);
+        let differing = self.map.differing_buckets(tree, &theirs.digests);
         let mut hashes = self.bucket_hashes(tree, differing);
-        if tree == Tree::Effects {
-            hashes.knows = self.electors.all.contains_key(from);
-            hashes.electors = self.electors.all.keys().take(NAMES_MOST).cloned().collect();
+        if tree == Tree::Claims {
+            let voters = &self.voters.members;
+            hashes.receiver_votes = voters.contains_key(from);
+            hashes.voters = voters.keys().take(MAX_VOTERS).cloned().collect();
         }
-        self.send(from, Body::BucketHashes(hashes), acts);
+        self.send(from, Body::BucketHashes(hashes), actions);
     }
 
     /// The hashes in these buckets, as many as fit into a message, beginning at a random bucket.
@@ -99,91 +103,83 @@
             ..BucketHashes::default()
         };
         for bucket in &differing {
-            let hashes: Vec<u64> = self.map.hashes_in(tree, *bucket).collect();
-            if message.hashes.len() + hashes.len() > HASHES_MOST && !message.buckets.is_empty() {
+            let hashes: Vec<u64> = self.map.bucket_hashes(tree, *bucket).collect();
+            if message.hashes.len() + hashes.len() > MAX_HASHES && !message.buckets.is_empty() {
                 break;
             }
             message.buckets.push(*bucket as u32);
             message.hashes.extend(hashes);
         }
-        message.all = message.buckets.len() == differing.len();
+        message.covers_all = message.buckets.len() == differing.len();
         message
     }
 
-    /// Sends what the other lacks, and requests what this front lacks.
+    /// Sends what the other lacks, and requests what this proxy lacks.
     pub(super) fn receive_bucket_hashes(
         &mut self,
         from: &str,
         theirs: BucketHashes,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(tree) = Tree::number(theirs.tree) else {
+        let Some(tree) = Tree::from_wire(theirs.tree) else {
             return;
         };
-        let held_there: BTreeSet<u64> = theirs.hashes.iter().copied().collect();
-        let missing: BTreeSet<u64> = held_there
-            .iter()
-            .copied()
-            .filter(|hash| !self.map.has(*hash))
-            .collect();
-        let lacking_there = self.records_beyond(tree, &theirs.buckets, &held_there);
-        self.send_records(from, &lacking_there, delta, acts);
-        if tree == Tree::Effects {
-            self.continue_vouching(from, theirs, &missing);
+        let stored_there: BTreeSet<u64> = theirs.hashes.iter().copied().collect();
+        let mut missing = stored_there.clone();
+        missing.retain(|hash| !self.map.contains_hash(*hash));
+        let missing_there = self.records_besides(tree, &theirs.buckets, &stored_there);
+        self.send_records(from, &missing_there, delta, actions);
+        if tree == Tree::Claims {
+            self.continue_comparison(from, theirs, &missing);
         }
         if !missing.is_empty() {
-            self.send(
-                from,
-                Body::RecordRequest(RecordRequest {
-                    hashes: missing.into_iter().collect(),
-                }),
-                acts,
-            );
+            let hashes = missing.into_iter().collect();
+            let request = RecordRequest { hashes };
+            self.send(from, Body::RecordRequest(request), actions);
         }
     }
 
-    /// This front's records in some buckets of a tree, but those with the given hashes.
-    fn records_beyond(&self, tree: Tree, buckets: &[u32], known: &BTreeSet<u64>) -> Vec<Record> {
+    /// This proxy's records in some buckets of a tree, but those with the given hashes.
+    fn records_besides(&self, tree: Tree, buckets: &[u32], known: &BTreeSet<u64>) -> Vec<Record> {
         let buckets = buckets
             .iter()
             .map(|bucket| *bucket as usize)
             .filter(|bucket| *bucket < BUCKETS);
-        let hashes = buckets.flat_map(|bucket| self.map.hashes_in(tree, bucket));
+        let hashes = buckets.flat_map(|bucket| self.map.bucket_hashes(tree, bucket));
         hashes
             .filter(|hash| !known.contains(hash))
-            .filter_map(|hash| self.map.by_hash(hash))
+            .filter_map(|hash| self.map.record_by_hash(hash))
             .collect()
     }
 
-    /// Sends the records that were requested, and the hashes of those that are no longer held.
+    /// Sends the records that were requested, and the hashes of those that are no longer stored.
     pub(super) fn receive_record_request(
         &mut self,
         from: &str,
         request: &RecordRequest,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
-        let (mut records, mut gone, mut size) = (Vec::new(), Vec::new(), 0);
+        let (mut records, mut no_longer_stored, mut size) = (Vec::new(), Vec::new(), 0);
         for hash in &request.hashes {
-            match self.map.by_hash(*hash) {
+            match self.map.record_by_hash(*hash) {
                 Some(record) => {
                     size += encoded_size(&record);
                     records.push(record);
                 }
-                None => gone.push(*hash),
+                None => no_longer_stored.push(*hash),
             }
-            if size > STREAM_BYTES {
-                self.send(
-                    from,
-                    delta(Records {
-                        records: std::mem::take(&mut records),
-                    }),
-                    acts,
-                );
+            if size > MAX_STREAM_RECORD_BYTES {
+                let records = std::mem::take(&mut records);
+                self.send(from, delta(Records { records }), actions);
                 size = 0;
             }
         }
-        if !records.is_empty() || !gone.is_empty() {
-            self.send(from, Body::Delta(Delta { records, gone }), acts);
+        if !records.is_empty() || !no_longer_stored.is_empty() {
+            let delta = Delta {
+                records,
+                no_longer_stored,
+            };
+            self.send(from, Body::Delta(delta), actions);
         }
     }
 }
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -1,32 +1,35 @@
 //! Catching up after a start: all records are copied from two donors side by side, tree by tree in the order of keys. A
 //! donor that fails or stalls is replaced, and its successor goes on from the last key received.
+//!
+//! Invariants: a tree is copied by one transfer at a time; the last key of a tree only advances; a tree that is done stays
+//! so, and once all are done the state is dropped.
 
 use super::receive::Origin;
-use super::{Act, Replica, Told, STALLED};
-use crate::kind::{Tree, TREES};
+use super::{Action, LogEvent, Replica, STALL_TIMEOUT};
 use crate::record::Key;
+use crate::record_type::{Tree, TREES};
 use crate::wire::{Body, CatchUpPage, CatchUpRequest};
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// The trees in the order in which each transfer takes them: the first copies the urgent kinds first, the second begins
+/// Transfers that run side by side.
+const TRANSFERS: usize = 2;
+/// The trees in the order in which each transfer takes them: the first copies the urgent records first, the second begins
 /// with those that can wait.
 const TREE_ORDERS: [[Tree; TREES]; TRANSFERS] = [
-    [Tree::Urgent, Tree::Effects, Tree::Rest],
-    [Tree::Rest, Tree::Effects, Tree::Urgent],
+    [Tree::Urgent, Tree::Claims, Tree::Background],
+    [Tree::Background, Tree::Claims, Tree::Urgent],
 ];
-/// Transfers that run side by side.
-const TRANSFERS: usize = 2;
 
 /// How far catching up has come.
 #[derive(Clone, Debug)]
-pub(super) struct CatchUpState {
-    began_at: Micros,
+pub(super) struct CatchUp {
+    started_at: Micros,
     transfers: [Transfer; TRANSFERS],
     /// By the number of the tree.
     progress: [TreeProgress; TREES],
     records: u64,
-    /// The host has been told that this front may report to be ready.
+    /// The host was notified that this proxy may report to be ready.
     ready_reported: bool,
 }
 
@@ -48,19 +51,19 @@
 
 impl Transfer {
     fn is_stalled(&self, now: Micros) -> bool {
-        self.tree.is_some() && now >= self.requested_at + STALLED
+        self.tree.is_some() && now >= self.requested_at + STALL_TIMEOUT
     }
 }
 
-impl CatchUpState {
-    pub(super) fn new(now: Micros) -> CatchUpState {
+impl CatchUp {
+    pub(super) fn new(now: Micros) -> CatchUp {
         let transfer = Transfer {
             donor: None,
             tree: None,
             requested_at: now,
         };
-        CatchUpState {
-            began_at: now,
+        CatchUp {
+            started_at: now,
             transfers: [transfer.clone(), transfer],
             progress: Default::default(),
             records: 0,
@@ -68,24 +71,34 @@
         }
     }
 
-    fn is_done(&self, tree: Tree) -> bool {
+    fn is_tree_done(&self, tree: Tree) -> bool {
         self.progress[tree as usize].done
     }
 
+    fn is_done(&self) -> bool {
+        Tree::ALL.into_iter().all(|tree| self.is_tree_done(tree))
+    }
+
+    /// There is nobody to copy from.
+    fn finish_all(&mut self) {
+        for progress in &mut self.progress {
+            progress.done = true;
+        }
+    }
+
     /// The next tree for a transfer: one that is not done, nor being copied by the other transfer.
     fn next_tree(&self, index: usize) -> Option<Tree> {
         let other = self.transfers[1 - index].tree;
         TREE_ORDERS[index]
             .into_iter()
-            .find(|tree| !self.is_done(*tree) && other != Some(*tree))
+            .find(|tree| !self.is_tree_done(*tree) && other != Some(*tree))
     }
 
     /// The transfer in which this donor copies this tree.
     fn transfer_of(&self, donor: &str, tree: Tree) -> Option<usize> {
-        let copies = |transfer: &Transfer| {
+        self.transfers.iter().position(|transfer| {
             transfer.donor.as_deref() == Some(donor) && transfer.tree == Some(tree)
-        };
-        self.transfers.iter().position(copies)
+        })
     }
 }
 
@@ -94,56 +107,51 @@
     pub(super) fn is_catching_up(&self, tree: Tree) -> bool {
         self.catch_up
             .as_ref()
-            .is_some_and(|state| !state.is_done(tree))
+            .is_some_and(|state| !state.is_tree_done(tree))
     }
 
     /// Reports what is complete, and requests records for transfers that have nothing to wait for.
-    pub(super) fn continue_catch_up(&mut self, acts: &mut Vec<Act>) {
+    pub(super) fn continue_catch_up(&mut self, actions: &mut Vec<Action>) {
         let Some(mut state) = self.catch_up.take() else {
             return;
         };
         if self.is_alone() {
-            state
-                .progress
-                .iter_mut()
-                .for_each(|progress| progress.done = true);
+            state.finish_all();
         }
-        self.report_ready(&mut state, acts);
-        if Tree::ALL.into_iter().all(|tree| state.is_done(tree)) {
-            let took = self.now - state.began_at;
-            acts.push(Act::Tell(Told::CaughtUp {
-                records: state.records,
-                took,
-            }));
+        self.report_ready(&mut state, actions);
+        if state.is_done() {
+            let elapsed = self.now - state.started_at;
+            let records = state.records;
+            actions.push(Action::Log(LogEvent::CaughtUp { records, elapsed }));
             return;
         }
         for index in 0..TRANSFERS {
-            self.continue_transfer(&mut state, index, acts);
+            self.continue_transfer(&mut state, index, actions);
         }
         self.catch_up = Some(state);
     }
 
-    /// This front is ready once the urgent kinds are complete, or after a time although they are not.
-    fn report_ready(&mut self, state: &mut CatchUpState, acts: &mut Vec<Act>) {
-        let took = self.now - state.began_at;
-        let caught_up = state.is_done(Tree::Urgent) && state.is_done(Tree::Effects);
-        if !state.ready_reported && (caught_up || took >= self.plan.ready_after) {
+    /// This proxy is ready once urgent records and claims are complete, or after a time although they are not.
+    fn report_ready(&mut self, state: &mut CatchUp, actions: &mut Vec<Action>) {
+        let elapsed = self.now - state.started_at;
+        let caught_up = state.is_tree_done(Tree::Urgent) && state.is_tree_done(Tree::Claims);
+        let is_due = caught_up || elapsed >= self.settings.ready_timeout;
+        if is_due && !state.ready_reported {
             state.ready_reported = true;
             self.ready = Some(caught_up);
-            acts.push(Act::Tell(Told::Ready { caught_up, took }));
+            actions.push(Action::Log(LogEvent::Ready { caught_up, elapsed }));
         }
     }
 
     /// Begins the next tree, or replaces the donor of the current one if it failed or stalled.
-    fn continue_transfer(&mut self, state: &mut CatchUpState, index: usize, acts: &mut Vec<Act>) {
-        let Transfer {
-            donor: former,
-            tree: current,
-            ..
-        } = state.transfers[index].clone();
-        let former_here = former.as_ref().is_some_and(|name| self.is_here(name));
-        let stalled = state.transfers[index].is_stalled(self.now);
-        if current.is_some() && former_here && !stalled {
+    fn continue_transfer(&mut self, state: &mut CatchUp, index: usize, actions: &mut Vec<Action>) {
+        let transfer = state.transfers[index].clone();
+        let is_failed = !transfer
+            .donor
+            .as_ref()
+            .is_some_and(|name| self.is_alive(name));
+        let is_stalled = transfer.is_stalled(self.now);
+        if transfer.tree.is_some() && !is_failed && !is_stalled {
             return;
         }
         let Some(donor) = self.choose_donor(state, index) else {
@@ -152,15 +160,13 @@
         let Some(tree) = state.next_tree(index) else {
             return;
         };
-        if let Some(former) = former.filter(|former| *former != donor && (stalled || !former_here))
-        {
-            acts.push(Act::Tell(Told::Donor {
-                former,
-                next: donor.clone(),
-            }));
+        let replaced = transfer.donor.filter(|former| *former != donor);
+        if let Some(former) = replaced.filter(|_| is_stalled || is_failed) {
+            let next = donor.clone();
+            actions.push(Action::Log(LogEvent::DonorReplaced { former, next }));
         }
         let after = state.progress[tree as usize].last_key.clone();
-        self.request_page(&donor, tree, after, acts);
+        self.request_page(&donor, tree, after, actions);
         state.transfers[index] = Transfer {
             donor: Some(donor),
             tree: Some(tree),
@@ -168,65 +174,84 @@
         };
     }
 
-    /// The nearest front that is neither the other transfer's donor nor has stalled; failing that the former donor, or
+    /// The nearest proxy that is neither the other transfer's donor nor has stalled; failing that the former donor, or
     /// the nearest of all.
-    fn choose_donor(&self, state: &CatchUpState, index: usize) -> Option<String> {
+    fn choose_donor(&self, state: &CatchUp, index: usize) -> Option<String> {
         let transfer = &state.transfers[index];
         let mut excluded: BTreeSet<String> =
             state.transfers[1 - index].donor.iter().cloned().collect();
         if transfer.is_stalled(self.now) {
             excluded.extend(transfer.donor.clone());
         }
-        let former = || transfer.donor.clone().filter(|name| self.is_here(name));
+        let former = || transfer.donor.clone().filter(|name| self.is_alive(name));
         self.nearest_peer(&excluded)
             .or_else(former)
             .or_else(|| self.nearest_peer(&BTreeSet::new()))
     }
 
-    fn request_page(&mut self, donor: &str, tree: Tree, after: Option<Key>, acts: &mut Vec<Act>) {
-        let first = after.is_none();
-        let Key { kind, name } = after.unwrap_or(Key {
-            kind: 0,
-            name: Vec::new(),
-        });
-        self.send(
-            donor,
-            Body::CatchUpRequest(CatchUpRequest {
-                tree: tree as u32,
-                first,
-                kind,
-                name,
-            }),
-            acts,
-        );
+    fn request_page(
+        &mut self,
+        donor: &str,
+        tree: Tree,
+        after: Option<Key>,
+        actions: &mut Vec<Action>,
+    ) {
+        let from_start = after.is_none();
+        let (record_type, name) = after.map_or((0, Vec::new()), |key| (key.record_type, key.name));
+        let request = CatchUpRequest {
+            tree: tree as u32,
+            from_start,
+            record_type,
+            name,
+        };
+        self.send(donor, Body::CatchUpRequest(request), actions);
     }
 
     /// A donor sent records.
-    pub(super) fn receive_page(&mut self, from: &str, page: CatchUpPage, acts: &mut Vec<Act>) {
-        let Some(tree) = Tree::number(page.tree) else {
+    pub(super) fn receive_page(
+        &mut self,
+        from: &str,
+        page: CatchUpPage,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(tree) = Tree::from_wire(page.tree) else {
             return;
         };
-        let (last_key, count) = (page.records.last().map(Key::of), page.records.len() as u64);
-        for record in page.records {
-            self.merge_received(record, Origin::Repair, acts);
+        for record in &page.records {
+            self.merge_received(record, Origin::Repair, actions);
         }
         let Some(mut state) = self.catch_up.take() else {
             return;
         };
         if let Some(index) = state.transfer_of(from, tree) {
-            state.records += count;
-            let progress = &mut state.progress[tree as usize];
-            progress.last_key = last_key.or(progress.last_key.take());
-            progress.done |= page.last;
-            let after = progress.last_key.clone();
-            state.transfers[index].requested_at = self.now;
-            if page.last {
-                state.transfers[index].tree = None;
-            } else {
-                self.request_page(from, tree, after, acts);
-            }
+            self.advance_transfer(&mut state, index, tree, &page, actions);
         }
         self.catch_up = Some(state);
-        self.continue_catch_up(acts);
+        self.continue_catch_up(actions);
+    }
+
+    /// Records what a page of a transfer brought, and requests the next one unless it was the last.
+    fn advance_transfer(
+        &mut self,
+        state: &mut CatchUp,
+        index: usize,
+        tree: Tree,
+        page: &CatchUpPage,
+        actions: &mut Vec<Action>,
+    ) {
+        state.records += page.records.len() as u64;
+        let progress = &mut state.progress[tree as usize];
+        if let Some(last) = page.records.last() {
+            progress.last_key = Some(Key::from_wire(last));
+        }
+        progress.done |= page.last;
+        let after = progress.last_key.clone();
+        let transfer = &mut state.transfers[index];
+        transfer.requested_at = self.now;
+        if page.last {
+            transfer.tree = None;
+        } else if let Some(donor) = &transfer.donor {
+            self.request_page(donor, tree, after, actions);
+        }
     }
 }
--- /dev/null
+++ b/crates/replication/src/replica/endpoints.rs
@@ -0,0 +1,56 @@
+//! Phases of endpoints: what the discovery service reported to this proxy, and what all proxies know together.
+
+use super::Replica;
+use crate::record::Key;
+use crate::record_type::RecordType;
+use crate::records::{self, EndpointInfo, EndpointPhase};
+use crate::Micros;
+use std::collections::BTreeMap;
+
+/// Start and phase of endpoints as the discovery service itself reported them.
+#[derive(Clone, Debug, Default)]
+pub(super) struct DiscoveryReports(BTreeMap<String, (Micros, EndpointPhase)>);
+
+impl DiscoveryReports {
+    fn record(&mut self, id: &str, started_at: Micros, phase: EndpointPhase, max_entries: usize) {
+        if self.0.len() < max_entries || self.0.contains_key(id) {
+            self.0.insert(id.to_string(), (started_at, phase));
+        }
+    }
+}
+
+impl Replica {
+    /// The discovery service reported the phase of an endpoint. True if it was not known.
+    pub fn publish_endpoint(
+        &mut self,
+        now: Micros,
+        id: &str,
+        started_at: Micros,
+        phase: EndpointPhase,
+        endpoint: &EndpointInfo,
+    ) -> bool {
+        self.discovery_reports
+            .record(id, started_at, phase, self.settings.max_entries);
+        // Rounded, so that proxies which learn of it at about the same time write the same record.
+        let retention = self.settings.endpoint_retention;
+        let expires_at = (now / retention + 2) * retention;
+        let (key, entry) = records::endpoint_record(id, started_at, phase, endpoint, expires_at);
+        let is_known = self
+            .map
+            .get(&key)
+            .is_some_and(|stored| stored.rank >= entry.rank && stored.expires_at >= expires_at);
+        !is_known && self.publish(now, key, entry)
+    }
+
+    /// Start and phase of an endpoint by all that is known.
+    pub fn endpoint_phase(&self, id: &str) -> Option<(Micros, EndpointPhase)> {
+        let entry = self.map.get(&Key::new(RecordType::Endpoint, id))?;
+        let (started_at, phase) = entry.rank;
+        Some((started_at as Micros, EndpointPhase::from_rank(phase)))
+    }
+
+    /// Start and phase of an endpoint by the discovery service alone.
+    pub fn reported_phase(&self, id: &str) -> Option<(Micros, EndpointPhase)> {
+        self.discovery_reports.0.get(id).copied()
+    }
+}
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,124 +1,141 @@
-//! One front's copy of the shared state, as a state machine: messages, local events and time go in, actions for the
+//! One proxy's replica of the shared state, as a state machine: messages, local events and time go in, actions for the
 //! host come out.
 //!
-//! Updates to urgent records (purges, machines, claims to effects) are disseminated as rumors when they happen. All
-//! kinds are compared with one other front each period, by digests of buckets, then hashes, then what is missing. A
-//! front that starts copies everything from the two nearest, urgent kinds first.
+//! Updates to urgent records (purges, endpoints, claims to effects) are disseminated as rumors when they happen. All
+//! records are compared with one other proxy each period (anti-entropy), by digests of buckets, then hashes, then what is
+//! missing. A proxy that starts copies everything from the two nearest, urgent records first.
+//!
+//! Invariants: time never goes back, whatever the host passes; records change by merging alone, so that replicas which
+//! exchanged their records store the same; every message sent is taken from a budget, and those that may wait are not
+//! sent while it is in debt.
 
-mod actions;
+mod action;
 mod anti_entropy;
 mod budget;
 mod catch_up;
-mod claims;
-mod counts;
+mod counters;
 mod donor;
-mod learned;
-mod machines;
+mod effects;
+mod endpoints;
+mod observations;
 mod peers;
-mod persistence;
 mod purges;
 mod receive;
+mod restart;
 mod rumors;
 mod send;
 mod subject;
 mod usage;
-mod vouching;
+mod voting;
 
-pub use actions::{Act, Told};
-pub use counts::Counts;
+pub use action::{Action, LogEvent};
+pub use counters::ReplicaCounters;
 pub use peers::Peer;
-pub use subject::{sight_of_machine, sight_of_object, thing, Thing};
+pub use subject::{endpoint_subject, object_subject, Subject};
 
-use crate::ledger::{Electors, Ledger};
-use crate::map::{Map, Room, Took};
-use crate::plan::Plan;
+use crate::ledger::{Ledger, Voters};
+use crate::map::{Map, MapLimits, MergeOutcome};
 use crate::record::{Entry, Key};
+use crate::settings::ReplicationSettings;
 use crate::Micros;
 use budget::TokenBucket;
-use catch_up::CatchUpState;
+use catch_up::CatchUp;
 use donor::Donor;
-use learned::Observations;
-use machines::JournalReports;
+use endpoints::DiscoveryReports;
+use observations::Observations;
 use peers::PeerState;
 use rumors::RumorQueue;
 use std::collections::BTreeMap;
 use usage::UsageMeter;
-use vouching::Vouching;
-
-/// What waits for others to go with it, or for budget, is looked at again after this long.
-const GATHER: Micros = 10_000;
-/// An exchange that brought nothing for this long is begun anew, with another front where there is one.
-const STALLED: Micros = 400_000;
-
-/// One front's copy of the shared state.
+use voting::Voting;
+
+/// Messages wait this long for others to go with them, and for budget.
+const BATCH_DELAY: Micros = 10_000;
+/// An exchange that brought nothing for this long is begun anew, with another proxy where there is one.
+const STALL_TIMEOUT: Micros = 400_000;
+/// Catching up is checked for stalls this often.
+const STALL_CHECK_INTERVAL: Micros = STALL_TIMEOUT / 4;
+/// Proxies that a process which was suspended compares with at once.
+const PEERS_AFTER_PAUSE: usize = 2;
+
+/// One proxy's replica of the shared state.
 pub struct Replica {
-    plan: Plan,
+    settings: ReplicationSettings,
     name: String,
-    start: u64,
+    incarnation: u64,
     now: Micros,
     next_period: Micros,
     rng: fastrand::Rng,
     map: Map,
     peers: BTreeMap<String, PeerState>,
-    electors: Electors,
+    voters: Voters,
     ledger: Option<Ledger>,
-    vouching: Vouching,
+    voting: Voting,
     rumors: RumorQueue,
-    catch_up: Option<CatchUpState>,
+    /// None once catching up is complete.
+    catch_up: Option<CatchUp>,
     donor: Donor,
     /// Whether it had caught up when it became ready; none until then.
     ready: Option<bool>,
     budget: TokenBucket,
     /// Encoded messages are built here.
     buffer: Vec<u8>,
-    journal_reports: JournalReports,
+    discovery_reports: DiscoveryReports,
     observations: Observations,
     usage: UsageMeter,
     /// Counters for metrics.
-    pub counts: Counts,
+    pub counts: ReplicaCounters,
 }
 
 impl Replica {
-    /// An empty copy for the front `name`, whose process started at `start`.
-    pub fn new(plan: Plan, name: &str, start: u64, now: Micros, seed: u64) -> Replica {
-        let mut rng = fastrand::Rng::with_seed(seed ^ start);
-        let ledger = plan
+    /// An empty replica of the proxy `name` in this incarnation.
+    pub fn new(
+        settings: ReplicationSettings,
+        name: &str,
+        incarnation: u64,
+        now: Micros,
+        seed: u64,
+    ) -> Replica {
+        let mut rng = fastrand::Rng::with_seed(seed ^ incarnation);
+        let ledger = settings
             .ledger
             .clone()
-            .map(|plan| Ledger::new(plan, name, start, rng.u64(..)));
-        let next_period = now + rng.i64(0..plan.period);
+            .map(|settings| Ledger::new(settings, name, incarnation, rng.u64(..)));
+        let next_period = now + rng.i64(0..settings.period);
+        let limits = MapLimits {
+            entries: settings.max_entries,
+            bytes: settings.max_bytes,
+        };
+        let voters = Voters {
+            members: [(name.to_string(), Some(incarnation))].into(),
+            ..Voters::default()
+        };
         Replica {
             name: name.into(),
-            start,
+            incarnation,
             now,
             next_period,
             rng,
-            map: Map::new(Room {
-                entries: plan.entries,
-                bytes: plan.bytes,
-            }),
+            map: Map::new(limits),
             peers: BTreeMap::new(),
-            electors: Electors {
-                all: [(name.to_string(), Some(start))].into(),
-                ..Electors::default()
-            },
+            voters,
             ledger,
-            vouching: Vouching::new(now),
+            voting: Voting::new(now),
             rumors: RumorQueue::default(),
-            catch_up: Some(CatchUpState::new(now)),
-            donor: Donor::new(plan.catch_up_bytes_per_s, now),
+            catch_up: Some(CatchUp::new(now)),
+            donor: Donor::new(settings.catch_up_bytes_per_second, now),
             ready: None,
-            budget: TokenBucket::for_messages(plan.bytes_per_s, now),
+            budget: TokenBucket::for_messages(settings.bytes_per_second, now),
             buffer: Vec::new(),
-            journal_reports: JournalReports::default(),
+            discovery_reports: DiscoveryReports::default(),
             observations: Observations::default(),
             usage: UsageMeter::default(),
-            counts: Counts::default(),
-            plan,
+            counts: ReplicaCounters::default(),
+            settings,
         }
     }
 
-    /// The records that are held.
+    /// The records that are stored.
     pub fn map(&self) -> &Map {
         &self.map
     }
@@ -128,17 +145,17 @@
         self.ledger.as_ref()
     }
 
-    /// Whether this front vouches for effects: it has compared its claims with all others that decide on them.
-    pub fn vouches(&self) -> bool {
-        self.vouching.vouches
+    /// Whether this proxy votes on claims: it has compared its claims with all other voters.
+    pub fn can_vote(&self) -> bool {
+        self.voting.can_vote()
     }
 
-    /// The fronts that decide on effects.
-    pub fn electors(&self) -> &Electors {
-        &self.electors
+    /// The proxies that vote on claims.
+    pub fn voters(&self) -> &Voters {
+        &self.voters
     }
 
-    /// None until this front may report that it is ready; then whether it had caught up by that time.
+    /// None until this proxy may report that it is ready; then whether it had caught up by that time.
     pub fn ready(&self) -> Option<bool> {
         self.ready
     }
@@ -149,59 +166,55 @@
     }
 
     /// How many updates wait to be disseminated.
-    pub fn waiting_news(&self) -> usize {
+    pub fn queued_rumors(&self) -> usize {
         self.rumors.len()
     }
 
     /// When [`Replica::tick`] is due next.
-    pub fn next(&self) -> Micros {
-        let mut next = self.next_period;
-        next = self.rumors.due().into_iter().fold(next, Micros::min);
-        next = self
-            .ledger
-            .as_ref()
-            .and_then(Ledger::next)
+    pub fn next_wake(&self) -> Micros {
+        let rumors = self.rumors.next_round_at();
+        let ledger = self.ledger.as_ref().and_then(Ledger::next_wake);
+        let donor = self.donor.has_requests().then_some(self.now + BATCH_DELAY);
+        let catch_up = self
+            .catch_up
+            .is_some()
+            .then_some(self.now + STALL_CHECK_INTERVAL);
+        [rumors, ledger, donor, catch_up]
             .into_iter()
-            .fold(next, Micros::min);
-        if self.donor.has_requests() {
-            next = next.min(self.now + GATHER);
-        }
-        if self.catch_up.is_some() {
-            next = next.min(self.now + STALLED / 4);
-        }
-        next
+            .flatten()
+            .fold(self.next_period, Micros::min)
     }
 
     /// Time has passed: does what is due.
-    pub fn tick(&mut self, now: Micros, acts: &mut Vec<Act>) {
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.advance(now);
         self.refill_budgets();
-        self.with_ledger(acts, |ledger, input, out| ledger.tick(input, out));
-        self.send_due_rumors(now, acts);
-        self.serve_catch_up_requests(acts);
-        self.continue_catch_up(acts);
+        self.with_ledger(actions, |ledger, input, out| ledger.tick(input, out));
+        self.send_due_rumors(now, actions);
+        self.serve_catch_up_requests(actions);
+        self.continue_catch_up(actions);
         if now >= self.next_period {
-            self.next_period = now + self.plan.period;
-            self.start_period(now, acts);
+            self.next_period = now + self.settings.period;
+            self.start_period(now, actions);
         }
     }
 
-    fn start_period(&mut self, now: Micros, acts: &mut Vec<Act>) {
-        self.map.sweep(now);
-        self.update_electors();
-        self.update_vouching(acts);
+    fn start_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.map.remove_expired(now);
+        self.update_voters();
+        self.update_voting(actions);
         self.publish_observations();
         self.publish_usage();
-        self.start_comparison(acts);
+        self.start_comparison(actions);
     }
 
-    /// This process was stopped or starved for a while, so what it holds may be stale.
-    pub fn was_away(&mut self, now: Micros, acts: &mut Vec<Act>) {
+    /// This process was suspended or starved for a while, so what it stores may be stale.
+    pub fn resume_after_pause(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.advance(now);
-        // It has forgotten no claim that it granted, so it goes on vouching; all else is compared at once.
+        // It has forgotten no claim that it granted, so it goes on voting; all else is compared at once.
         self.next_period = now;
-        for peer in self.sample_peers(2) {
-            self.send_roots(&peer, acts);
+        for peer in self.sample_peers(PEERS_AFTER_PAUSE) {
+            self.send_roots(&peer, actions);
         }
     }
 
@@ -214,13 +227,14 @@
         self.donor.refill(self.now);
     }
 
-    /// Merges a record of this front's own and disseminates it; false if it was known.
-    fn put(&mut self, now: Micros, key: Key, entry: Entry) -> bool {
+    /// Merges a record of this proxy's own and disseminates it; false if it was known.
+    fn publish(&mut self, now: Micros, key: Key, entry: Entry) -> bool {
         self.advance(now);
-        let new = matches!(self.map.merge(key.clone(), entry, now), Took::New(_));
-        if new {
+        let outcome = self.map.merge(key.clone(), entry, now);
+        let merged = matches!(outcome, MergeOutcome::Merged { .. });
+        if merged {
             self.queue_rumor(key);
         }
-        new
+        merged
     }
 }
--- a/crates/replication/src/replica/purges.rs
+++ b/crates/replication/src/replica/purges.rs
@@ -1,19 +1,20 @@
-//! Purges that the journal service reported to this front.
+//! Purges that the discovery service reported to this proxy.
 
 use super::Replica;
-use crate::kinds;
+use crate::records;
 use crate::Micros;
 
 impl Replica {
-    /// The journal service reported a purge. True if it was not known.
-    pub fn put_purge(
+    /// The discovery service reported a purge. True if it was not known.
+    pub fn publish_purge(
         &mut self,
         now: Micros,
         object: Option<u64>,
         group: u32,
         stamp: Micros,
     ) -> bool {
-        let (key, entry) = kinds::purge(object, group, stamp, self.plan.purge_keep);
-        self.put(now, key, entry)
+        let retention = self.settings.purge_retention;
+        let (key, entry) = records::purge_record(object, group, stamp, retention);
+        self.publish(now, key, entry)
     }
 }
--- a/crates/replication/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -1,19 +1,19 @@
 //! Receiving: messages are checked and dispatched, and the records in them merged.
 
-use super::{Act, Replica};
-use crate::kind::Kind;
-use crate::kinds::{self, Ran};
-use crate::map::Took;
-use crate::record::{entry, hash, Entry, Key};
+use super::{Action, Replica};
+use crate::map::MergeOutcome;
+use crate::record::{record_hash, Entry, Key};
+use crate::record_type::RecordType;
+use crate::records::{self, ClaimState};
 use crate::wire::{self, Body, Delta, Packet, Record};
 use crate::Micros;
 use meadowrill_membership::envelope::Dropped;
 use std::collections::BTreeSet;
 
-/// Ages of records that are kept for the host to take.
-const LAGS_MOST: usize = 256;
+/// Ages of records that are stored for the host to take.
+const MAX_RECORD_AGES: usize = 256;
 
-/// How a record reached this front.
+/// How a record reached this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// As a rumor: it is disseminated further.
@@ -23,146 +23,161 @@
 }
 
 impl Replica {
-    /// A message came from another front.
-    pub fn hear(&mut self, now: Micros, bytes: &[u8], acts: &mut Vec<Act>) {
+    /// A message came from another proxy.
+    pub fn receive_message(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
         self.advance(now);
-        self.counts.heard += 1;
-        self.counts.heard_bytes += bytes.len() as u64;
-        match self.read_packet(bytes) {
-            Ok(packet) => self.dispatch(packet, acts),
+        self.counts.received += 1;
+        self.counts.received_bytes += bytes.len() as u64;
+        match self.decode_packet(bytes) {
+            Ok(packet) => self.dispatch(packet, actions),
             Err(reason) => *self.counts.dropped.entry(reason).or_default() += 1,
         }
     }
 
-    fn read_packet(&self, bytes: &[u8]) -> Result<Packet, Dropped> {
-        let packet = wire::read(bytes, self.plan.fleet)?;
-        // Only fronts in the membership view are heard: a made-up one would have to pass there.
+    fn decode_packet(&self, bytes: &[u8]) -> Result<Packet, Dropped> {
+        let packet = wire::read(bytes, self.settings.fleet_id)?;
+        // Only proxies in the membership view are received from: a made-up one would have to pass there.
         if !self.peers.contains_key(&packet.from) {
             return Err(Dropped::Dead);
         }
         Ok(packet)
     }
 
-    fn dispatch(&mut self, packet: Packet, acts: &mut Vec<Act>) {
-        let from = packet.from;
+    fn dispatch(&mut self, packet: Packet, actions: &mut Vec<Action>) {
+        let from = packet.from.as_str();
         match packet.body {
-            Some(Body::Rumors(rumors)) => self.receive_rumors(rumors.records, acts),
-            Some(Body::Delta(delta)) => self.receive_delta(&from, delta, acts),
-            Some(Body::Roots(roots)) => self.receive_roots(&from, &roots.roots, acts),
+            Some(Body::Rumors(rumors)) => self.receive_rumors(rumors.records, actions),
+            Some(Body::Delta(delta)) => self.receive_delta(from, delta, actions),
+            Some(Body::Roots(roots)) => self.receive_roots(from, &roots.roots, actions),
             Some(Body::BucketDigests(digests)) => {
-                self.receive_bucket_digests(&from, &digests, acts)
+                self.receive_bucket_digests(from, &digests, actions);
             }
-            Some(Body::BucketHashes(hashes)) => self.receive_bucket_hashes(&from, hashes, acts),
+            Some(Body::BucketHashes(hashes)) => self.receive_bucket_hashes(from, hashes, actions),
             Some(Body::RecordRequest(request)) => {
-                self.receive_record_request(&from, &request, acts)
+                self.receive_record_request(from, &request, actions);
             }
             Some(Body::CatchUpRequest(request)) => {
-                self.receive_catch_up_request(from, request, acts)
+                self.receive_catch_up_request(from, request, actions);
             }
             Some(Body::CatchUpPage(page)) => {
-                self.receive_page(&from, page, acts);
-                self.update_waiting_lookups(acts);
+                self.receive_page(from, page, actions);
+                self.update_waiting_requests(actions);
+            }
+            Some(Body::ClaimRequest(request)) => {
+                self.receive_claim_request(from, &request, actions);
             }
-            Some(Body::ClaimRequest(request)) => self.receive_claim_request(&from, &request, acts),
             Some(Body::ClaimReply(reply)) => {
-                self.with_ledger(acts, |ledger, input, out| {
-                    ledger.reply(&from, reply, input, out)
+                self.with_ledger(actions, |ledger, input, out| {
+                    ledger.receive_vote(from, reply, input, out);
                 });
             }
             None => {}
         }
     }
 
-    fn receive_rumors(&mut self, records: Vec<Record>, acts: &mut Vec<Act>) {
+    fn receive_rumors(&mut self, records: Vec<Record>, actions: &mut Vec<Action>) {
         for record in records {
-            self.merge_received(record, Origin::Rumor, acts);
+            self.merge_received(&record, Origin::Rumor, actions);
         }
-        self.update_waiting_lookups(acts);
+        self.update_waiting_requests(actions);
     }
 
-    fn receive_delta(&mut self, from: &str, delta: Delta, acts: &mut Vec<Act>) {
-        let mut answered: BTreeSet<u64> = delta.gone.into_iter().collect();
+    fn receive_delta(&mut self, from: &str, delta: Delta, actions: &mut Vec<Action>) {
+        let mut answered: BTreeSet<u64> = delta.no_longer_stored.into_iter().collect();
         for record in delta.records {
-            answered.insert(hash(&Key::of(&record), &entry(&record)));
-            self.merge_received(record, Origin::Repair, acts);
+            let hash = record_hash(&Key::from_wire(&record), &Entry::from_wire(&record));
+            answered.insert(hash);
+            self.merge_received(&record, Origin::Repair, actions);
         }
-        self.complete_requests(from, &answered);
-        self.update_waiting_lookups(acts);
+        self.complete_record_requests(from, &answered);
+        self.update_waiting_requests(actions);
     }
 
-    /// Merges a record from another front.
-    pub(super) fn merge_received(&mut self, record: Record, origin: Origin, acts: &mut Vec<Act>) {
-        let (key, entry) = (Key::of(&record), entry(&record));
+    /// Merges a record from another proxy.
+    pub(super) fn merge_received(
+        &mut self,
+        record: &Record,
+        origin: Origin,
+        actions: &mut Vec<Action>,
+    ) {
+        let (key, entry) = (Key::from_wire(record), Entry::from_wire(record));
         match self.map.merge(key.clone(), entry.clone(), self.now) {
-            Took::New(replaced) => self.count_merged(key.kind, replaced, origin),
-            Took::Known => return self.count_known(&key, &entry),
-            Took::Refused => return,
+            MergeOutcome::Merged { replaced } => {
+                self.count_merged(key.record_type, replaced, origin);
+            }
+            MergeOutcome::AlreadyKnown => return self.count_known(&key, &entry),
+            MergeOutcome::Rejected => return,
         }
         if origin == Origin::Rumor {
             self.queue_rumor(key.clone());
         }
-        self.note_age(&key, &entry);
-        acts.extend(action_for(&key, &entry));
+        self.record_age(&key, &entry);
+        actions.extend(action_for(&key, &entry));
     }
 
-    fn count_merged(&mut self, kind: u32, replaced: bool, origin: Origin) {
-        self.counts.won += u64::from(replaced);
+    fn count_merged(&mut self, record_type: u32, replaced: bool, origin: Origin) {
+        self.counts.conflicts_replaced += u64::from(replaced);
         let count = match origin {
-            Origin::Rumor => &mut self.counts.news,
-            Origin::Repair => &mut self.counts.repaired,
+            Origin::Rumor => &mut self.counts.merged_from_rumors,
+            Origin::Repair => &mut self.counts.merged_by_repair,
         };
-        *count.entry(kind).or_default() += 1;
+        *count.entry(record_type).or_default() += 1;
     }
 
     fn count_known(&mut self, key: &Key, entry: &Entry) {
         // Claims that were only requested are replaced as a matter of course, by their holder.
-        let requested_claim = self.ledger.is_some() && entry.rank.0 == Ran::Asked as u64;
-        self.counts.lost += u64::from(!requested_claim && self.map.get(key) != Some(entry));
+        let is_requested_claim =
+            self.ledger.is_some() && entry.rank.0 == ClaimState::Requested as u64;
+        let differs = self.map.get(key) != Some(entry);
+        self.counts.conflicts_kept += u64::from(!is_requested_claim && differs);
     }
 
-    /// Notes how old a record is. What catching up brings is old without being late.
-    fn note_age(&mut self, key: &Key, entry: &Entry) {
-        if self.catch_up.is_none() && self.counts.lags.len() < LAGS_MOST {
-            let age = |(kind, written): (Kind, Micros)| (kind, (self.now - written).max(0));
-            self.counts.lags.extend(written_at(key, entry).map(age));
+    /// Records how old a record is. What catching up brings is old without being late.
+    fn record_age(&mut self, key: &Key, entry: &Entry) {
+        if self.catch_up.is_some() || self.counts.record_ages.len() >= MAX_RECORD_AGES {
+            return;
+        }
+        if let Some((record_type, written_at)) = written_at(key, entry) {
+            let age = (self.now - written_at).max(0);
+            self.counts.record_ages.push((record_type, age));
         }
     }
 }
 
-/// When a record was written, where its kind tells.
-fn written_at(key: &Key, entry: &Entry) -> Option<(Kind, Micros)> {
-    let kind = Kind::of(key.kind)?;
-    match kind {
-        Kind::Purge => Some((kind, entry.rank.0 as Micros)),
-        Kind::Learned | Kind::Usage => Some((kind, entry.rank.1 as Micros)),
-        Kind::Machine | Kind::Effect => None,
+/// When a record was written, where its type records that.
+fn written_at(key: &Key, entry: &Entry) -> Option<(RecordType, Micros)> {
+    let record_type = RecordType::from_wire(key.record_type)?;
+    match record_type {
+        RecordType::Purge => Some((record_type, entry.rank.0 as Micros)),
+        RecordType::Observation | RecordType::Usage => Some((record_type, entry.rank.1 as Micros)),
+        RecordType::Endpoint | RecordType::Claim => None,
     }
 }
 
 /// What the host is to do about a record that came from elsewhere.
-pub(super) fn action_for(key: &Key, entry: &Entry) -> Option<Act> {
-    match Kind::of(key.kind)? {
-        Kind::Purge => {
-            let (object, group, stamp) = kinds::read_purge(key, entry)?;
-            Some(Act::Purged {
+pub(super) fn action_for(key: &Key, entry: &Entry) -> Option<Action> {
+    match RecordType::from_wire(key.record_type)? {
+        RecordType::Purge => {
+            let (object, group, stamp) = records::decode_purge(key, entry)?;
+            Some(Action::Purge {
                 object,
                 group,
                 stamp,
             })
         }
-        Kind::Machine => {
-            let (id, start, phase, machine) = kinds::read_machine(key, entry)?;
-            Some(Act::Machine {
+        RecordType::Endpoint => {
+            let (id, started_at, phase, endpoint) = records::decode_endpoint(key, entry)?;
+            Some(Action::UpdateEndpoint {
                 id,
-                start,
+                started_at,
                 phase,
-                machine,
+                endpoint,
             })
         }
-        Kind::Learned => {
-            let (what, _) = kinds::read_sight(key, entry)?;
-            Some(Act::Learned { what })
+        RecordType::Observation => {
+            let (subject, _) = records::decode_observation(key, entry)?;
+            Some(Action::UseObservations { subject })
         }
-        Kind::Effect | Kind::Usage => None,
+        RecordType::Claim | RecordType::Usage => None,
     }
 }
--- a/crates/replication/src/replica/rumors.rs
+++ b/crates/replication/src/replica/rumors.rs
@@ -1,115 +1,130 @@
-//! Rumor dissemination: an update to an urgent record is sent to a few random fronts at a time, a bounded number of
+//! Rumor dissemination: an update to an urgent record is sent to a few random proxies at a time, a bounded number of
 //! times.
+//!
+//! Invariant: each queued key has rounds left, and stands in the queue once.
 
-use super::send::{encoded_size, STREAM_BYTES};
-use super::{Act, Replica, GATHER};
-use crate::kind::Tree;
+use super::send::{encoded_size, MAX_STREAM_RECORD_BYTES};
+use super::{Action, Replica, BATCH_DELAY};
 use crate::map::Map;
 use crate::mutant;
 use crate::record::Key;
+use crate::record_type::Tree;
 use crate::wire::{Body, Record};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fronts that each round goes to.
+/// Proxies that each round goes to.
 const FANOUT: usize = 3;
 /// Rounds that an update takes part in, for each doubling of the fleet's size.
 const ROUNDS_PER_DOUBLING: u32 = 1;
 /// Updates that wait; what is beyond is found by anti-entropy comparison.
-const WAITING_MOST: usize = 20_000;
+const MAX_QUEUED: usize = 20_000;
 
 /// Updates that wait to be sent, those sent less often first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RumorQueue {
-    waiting: VecDeque<Key>,
+    queue: VecDeque<Key>,
     /// How many more rounds each takes part in.
     rounds_left: BTreeMap<Key, u32>,
-    due: Option<Micros>,
+    next_round_at: Option<Micros>,
 }
 
 impl RumorQueue {
     /// How many updates wait.
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
     /// When the next round is due.
-    pub(super) fn due(&self) -> Option<Micros> {
-        self.due
+    pub(super) fn next_round_at(&self) -> Option<Micros> {
+        self.next_round_at
     }
 
-    fn add(&mut self, key: Key, rounds: u32, due: Micros) {
+    fn push(&mut self, key: Key, rounds: u32, send_at: Micros) {
         if self.rounds_left.insert(key.clone(), rounds).is_none() {
-            if self.waiting.len() >= WAITING_MOST {
+            if self.queue.len() >= MAX_QUEUED {
                 self.rounds_left.remove(&key);
                 return;
             }
-            self.waiting.push_back(key);
+            self.queue.push_back(key);
         }
-        self.due = Some(self.due.map_or(due, |former| former.min(due)));
+        let next = self
+            .next_round_at
+            .map_or(send_at, |former| former.min(send_at));
+        self.next_round_at = Some(next);
     }
 
     /// The records of one round, as many as fit.
-    fn next_round(&mut self, map: &Map) -> Vec<Record> {
+    fn take_round(&mut self, map: &Map) -> Vec<Record> {
         let (mut round, mut size, mut requeued) = (Vec::new(), 0, Vec::new());
-        while let Some(key) = self.waiting.pop_front() {
-            let Some(rounds_left) = self.rounds_left.get_mut(&key) else {
+        while let Some(key) = self.queue.pop_front() {
+            if !self.rounds_left.contains_key(&key) {
                 continue;
-            };
+            }
             let Some(record) = map.record(&key) else {
                 self.rounds_left.remove(&key);
                 continue;
             };
-            let more = encoded_size(&record);
-            if size + more > STREAM_BYTES && !round.is_empty() {
+            let added = encoded_size(&record);
+            if size + added > MAX_STREAM_RECORD_BYTES && !round.is_empty() {
                 requeued.push(key);
                 break;
             }
-            size += more;
+            size += added;
             round.push(record);
-            *rounds_left -= 1;
-            if *rounds_left == 0 {
-                self.rounds_left.remove(&key);
-            } else {
+            if self.finish_round(&key) {
                 requeued.push(key);
             }
         }
-        self.waiting.extend(requeued);
+        self.queue.extend(requeued);
         round
     }
+
+    /// An update has taken part in a round; whether it takes part in others.
+    fn finish_round(&mut self, key: &Key) -> bool {
+        let Some(rounds_left) = self.rounds_left.get_mut(key) else {
+            return false;
+        };
+        *rounds_left -= 1;
+        if *rounds_left == 0 {
+            self.rounds_left.remove(key);
+            return false;
+        }
+        true
+    }
 }
 
 impl Replica {
-    /// Queues an update for dissemination, if its kind is urgent.
+    /// Queues an update for dissemination, if its type is urgent.
     pub(super) fn queue_rumor(&mut self, key: Key) {
-        if !Tree::of(key.kind).pushed() || mutant("no-news") {
+        if !Tree::of_type(key.record_type).is_disseminated() || mutant("no-news") {
             return;
         }
-        let fleet = self.peers.len() + 1;
-        let doublings = usize::BITS - fleet.leading_zeros();
-        self.rumors
-            .add(key, ROUNDS_PER_DOUBLING * doublings, self.now + GATHER);
+        let fleet_size = self.peers.len() + 1;
+        let doublings = usize::BITS - fleet_size.leading_zeros();
+        let rounds = ROUNDS_PER_DOUBLING * doublings;
+        self.rumors.push(key, rounds, self.now + BATCH_DELAY);
     }
 
     /// Sends the next round once it is due.
-    pub(super) fn send_due_rumors(&mut self, now: Micros, acts: &mut Vec<Act>) {
-        if self.rumors.due.is_some_and(|due| now >= due) {
-            self.rumors.due = None;
-            self.send_rumors(acts);
+    pub(super) fn send_due_rumors(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.rumors.next_round_at.is_some_and(|due| now >= due) {
+            self.rumors.next_round_at = None;
+            self.send_rumors(actions);
         }
     }
 
-    fn send_rumors(&mut self, acts: &mut Vec<Act>) {
+    fn send_rumors(&mut self, actions: &mut Vec<Action>) {
         let receivers = self.sample_peers(FANOUT);
         if receivers.is_empty() {
             return;
         }
-        let records = self.rumors.next_round(&self.map);
+        let records = self.rumors.take_round(&self.map);
         for receiver in receivers {
-            self.send_records(&receiver, &records, Body::Rumors, acts);
+            self.send_records(&receiver, &records, Body::Rumors, actions);
         }
-        if !self.rumors.waiting.is_empty() {
-            self.rumors.due = Some(self.now + GATHER);
+        if self.rumors.len() > 0 {
+            self.rumors.next_round_at = Some(self.now + BATCH_DELAY);
         }
     }
 }
--- a/crates/replication/src/replica/send.rs
+++ b/crates/replication/src/replica/send.rs
@@ -1,17 +1,19 @@
 //! Sending: records are split over messages, and each message goes out as a datagram or over a stream.
 
-use super::{Act, Replica};
-use crate::wire::{self, Body, MessageKind, Packet, Record, Records};
+use super::{Action, Replica};
+use crate::wire::{self, Body, MessageType, Packet, Record, Records};
 use prost::Message;
 
-/// Room for the envelope around a message in a datagram.
+/// Bytes of the envelope around a message in a datagram.
 const ENVELOPE_BYTES: usize = 16;
-/// Bytes of records in one datagram; the rest is for the packet around them.
-const DATAGRAM_BYTES: usize = wire::DATAGRAM_MOST - 160;
+/// Bytes of the packet around the records in a datagram.
+const PACKET_BYTES: usize = 160;
+/// Bytes of records in one datagram.
+const MAX_DATAGRAM_RECORD_BYTES: usize = wire::MAX_DATAGRAM_BYTES - PACKET_BYTES;
 /// Bytes of records in one message that goes over a stream, before it is packed.
-pub(super) const STREAM_BYTES: usize = 12 * 1024;
+pub(super) const MAX_STREAM_RECORD_BYTES: usize = 12 * 1024;
 /// More bytes of records than fit into so many datagrams go over a stream.
-const DATAGRAMS_MOST: usize = 3;
+const MAX_DATAGRAMS: usize = 3;
 /// Tag and length in front of a record within a message.
 const FIELD_BYTES: usize = 4;
 
@@ -22,20 +24,20 @@
 
 /// Splits records over as many messages as it takes.
 fn split(records: &[Record]) -> Vec<Records> {
-    let whole: usize = records.iter().map(encoded_size).sum();
-    let most = if whole > DATAGRAMS_MOST * DATAGRAM_BYTES {
-        STREAM_BYTES
+    let total: usize = records.iter().map(encoded_size).sum();
+    let max_size = if total > MAX_DATAGRAMS * MAX_DATAGRAM_RECORD_BYTES {
+        MAX_STREAM_RECORD_BYTES
     } else {
-        DATAGRAM_BYTES
+        MAX_DATAGRAM_RECORD_BYTES
     };
     let (mut messages, mut message, mut size) = (Vec::new(), Records::default(), 0);
     for record in records {
-        let more = encoded_size(record);
-        if size + more > most && !message.records.is_empty() {
+        let added = encoded_size(record);
+        if size + added > max_size && !message.records.is_empty() {
             messages.push(std::mem::take(&mut message));
             size = 0;
         }
-        size += more;
+        size += added;
         message.records.push(record.clone());
     }
     if !message.records.is_empty() {
@@ -51,49 +53,52 @@
         to: &str,
         records: &[Record],
         body: impl Fn(Records) -> Body,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         for message in split(records) {
-            self.send(to, body(message), acts);
+            self.send(to, body(message), actions);
         }
     }
 
     /// Sends one message, over a stream where it does not fit into a datagram.
-    pub(super) fn send(&mut self, to: &str, body: Body, acts: &mut Vec<Act>) {
-        let kind = body.kind();
-        let (fleet, from, start) = (self.plan.fleet, self.name.clone(), self.start);
+    pub(super) fn send(&mut self, to: &str, body: Body, actions: &mut Vec<Action>) {
+        let message_type = body.message_type();
         let packet = Packet {
-            fleet,
-            from,
-            start,
+            fleet_id: self.settings.fleet_id,
+            from: self.name.clone(),
+            incarnation: self.incarnation,
             body: Some(body),
         };
-        let plain = packet.encoded_len();
-        let stream = plain > wire::DATAGRAM_MOST - ENVELOPE_BYTES;
-        if stream {
-            wire::write_chunk(&packet, &mut self.buffer);
-        } else {
+        let unpacked_size = packet.encoded_len();
+        let fits_datagram = unpacked_size <= wire::MAX_DATAGRAM_BYTES - ENVELOPE_BYTES;
+        if fits_datagram {
             wire::write(&packet, &mut self.buffer);
+        } else {
+            wire::write_chunk(&packet, &mut self.buffer);
         }
-        let bytes = self.buffer.clone();
-        self.account_for(kind, plain, bytes.len());
-        let to = to.to_string();
-        acts.push(if stream {
-            Act::Stream { to, bytes }
+        let (to, bytes) = (to.to_string(), self.buffer.clone());
+        self.account_for(message_type, unpacked_size, bytes.len());
+        actions.push(if fits_datagram {
+            Action::SendDatagram { to, bytes }
         } else {
-            Act::Send { to, bytes }
+            Action::SendStream { to, bytes }
         });
     }
 
-    fn account_for(&mut self, kind: MessageKind, plain: usize, packed: usize) {
+    fn account_for(&mut self, message_type: MessageType, unpacked_size: usize, sent_size: usize) {
+        let sent_bytes = sent_size as u64;
         self.counts.sent += 1;
-        self.counts.sent_bytes += packed as u64;
-        *self.counts.spent.entry(kind).or_default() += packed as u64;
-        if kind == MessageKind::CatchUpPage {
-            // Unpacked: it is the packing that lookups wait for.
-            self.donor.spend(plain);
+        self.counts.sent_bytes += sent_bytes;
+        *self
+            .counts
+            .sent_bytes_by_type
+            .entry(message_type)
+            .or_default() += sent_bytes;
+        if message_type == MessageType::CatchUpPage {
+            // Unpacked: it is the packing that requests wait for.
+            self.donor.spend(unpacked_size);
         } else {
-            self.budget.spend(packed);
+            self.budget.spend(sent_size);
         }
     }
 }
--- a/crates/replication/src/replica/subject.rs
+++ b/crates/replication/src/replica/subject.rs
@@ -1,37 +1,43 @@
-//! The subjects that fronts share observations of, and their encoding in the names of records.
+//! The subjects that proxies share observations of, and their encoding in the names of records.
 
 /// What an observation is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Thing {
-    /// An object, of which the highest part asked for is observed.
+pub enum Subject {
+    /// An object, of which the highest part requested is observed.
     Object(u64),
-    /// A machine, of which failures and the time to the first byte are observed.
-    Machine(String),
+    /// An endpoint, of which failures and the time to the first byte are observed.
+    Endpoint(String),
 }
 
-/// Encodings begin with a letter for the kind of subject.
+/// First byte of the encoding of an object.
 const OBJECT: u8 = b'l';
-const MACHINE: u8 = b'm';
+/// First byte of the encoding of an endpoint.
+const ENDPOINT: u8 = b'm';
 
 /// The encoding of an object.
-pub fn sight_of_object(object: u64) -> Vec<u8> {
+pub fn object_subject(object: u64) -> Vec<u8> {
     [&[OBJECT][..], &object.to_be_bytes()].concat()
 }
 
-/// The encoding of a machine.
-pub fn sight_of_machine(id: &str) -> Vec<u8> {
-    [&[MACHINE], id.as_bytes()].concat()
+/// The encoding of an endpoint.
+pub fn endpoint_subject(id: &str) -> Vec<u8> {
+    [&[ENDPOINT], id.as_bytes()].concat()
 }
 
-/// The subject with this encoding.
-pub fn thing(what: &[u8]) -> Option<Thing> {
-    let (letter, rest) = what.split_first()?;
-    match *letter {
-        OBJECT => rest
-            .try_into()
-            .ok()
-            .map(|object| Thing::Object(u64::from_be_bytes(object))),
-        MACHINE => String::from_utf8(rest.to_vec()).ok().map(Thing::Machine),
-        _ => None,
+impl Subject {
+    /// The subject with this encoding.
+    pub fn decode(bytes: &[u8]) -> Option<Subject> {
+        let (tag, name) = bytes.split_first()?;
+        match *tag {
+            OBJECT => {
+                let object = name.try_into().ok()?;
+                Some(Subject::Object(u64::from_be_bytes(object)))
+            }
+            ENDPOINT => {
+                let id = String::from_utf8(name.to_vec()).ok()?;
+                Some(Subject::Endpoint(id))
+            }
+            _ => None,
+        }
     }
 }
--- a/crates/replication/src/wire.rs
+++ b/crates/replication/src/wire.rs
@@ -1,5 +1,6 @@
-//! The messages between fronts about what they share, in the envelope that the membership view uses as well
-//! (`members::envelope`): marked `mp` in a datagram, and `mq` when packed for a stream.
+//! The messages between proxies about what they share, in the envelope that the membership view uses as well
+//! (`meadowrill_membership::envelope`): marked `mp` in a datagram, and `mq` when packed for a stream. On the wire fields
+//! are known by their tags alone; tags and types must not change.
 
 use meadowrill_membership::envelope::{self, Dropped};
 use prost::Message;
@@ -11,22 +12,22 @@
 /// The version of the format.
 pub const VERSION: u8 = 1;
 /// Largest datagram, with the headers of the lower layers.
-pub const DATAGRAM_MOST: usize = 1200;
-/// Longest name of a front.
-const NAME_MOST: usize = 64;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// Longest name of a proxy, in bytes.
+const MAX_SENDER_BYTES: usize = 64;
 
 /// One message with its sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
     /// Hash of the fleet's name.
     #[prost(fixed64, tag = "1")]
-    pub fleet: u64,
+    pub fleet_id: u64,
     /// The sender's name.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// When the sender's process started.
+    /// The sender's incarnation: when its process started.
     #[prost(uint64, tag = "3")]
-    pub start: u64,
+    pub incarnation: u64,
     /// The message itself.
     #[prost(oneof = "Body", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub body: Option<Body>,
@@ -59,17 +60,17 @@
     /// Catching up: the donor's answer.
     #[prost(message, tag = "11")]
     CatchUpPage(CatchUpPage),
-    /// Effects: asks an owner of a key to grant a claim to it.
+    /// Claims: requests an owner's vote on a claim to a key.
     #[prost(message, tag = "12")]
     ClaimRequest(ClaimRequest),
-    /// Effects: the owner's answer.
+    /// Claims: the owner's vote.
     #[prost(message, tag = "13")]
     ClaimReply(ClaimReply),
 }
 
-/// The kinds of message, in the order of their labels.
+/// The types of message, in the order of their labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum MessageKind {
+pub enum MessageType {
     /// [`ClaimRequest`].
     ClaimRequest,
     /// [`BucketDigests`].
@@ -92,38 +93,38 @@
     RecordRequest,
 }
 
-impl MessageKind {
+impl MessageType {
     /// The label in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            MessageKind::ClaimRequest => "ask",
-            MessageKind::BucketDigests => "buckets",
-            MessageKind::CatchUpRequest => "catch_up",
-            MessageKind::Delta => "delta",
-            MessageKind::BucketHashes => "items",
-            MessageKind::Rumors => "news",
-            MessageKind::CatchUpPage => "part",
-            MessageKind::ClaimReply => "reply",
-            MessageKind::Roots => "roots",
-            MessageKind::RecordRequest => "want",
+            MessageType::ClaimRequest => "ask",
+            MessageType::BucketDigests => "buckets",
+            MessageType::CatchUpRequest => "catch_up",
+            MessageType::Delta => "delta",
+            MessageType::BucketHashes => "items",
+            MessageType::Rumors => "news",
+            MessageType::CatchUpPage => "part",
+            MessageType::ClaimReply => "reply",
+            MessageType::Roots => "roots",
+            MessageType::RecordRequest => "want",
         }
     }
 }
 
 impl Body {
-    /// What kind of message this is.
-    pub fn kind(&self) -> MessageKind {
+    /// The type of this message.
+    pub fn message_type(&self) -> MessageType {
         match self {
-            Body::Rumors(_) => MessageKind::Rumors,
-            Body::Delta(_) => MessageKind::Delta,
-            Body::Roots(_) => MessageKind::Roots,
-            Body::BucketDigests(_) => MessageKind::BucketDigests,
-            Body::BucketHashes(_) => MessageKind::BucketHashes,
-            Body::RecordRequest(_) => MessageKind::RecordRequest,
-            Body::CatchUpRequest(_) => MessageKind::CatchUpRequest,
-            Body::CatchUpPage(_) => MessageKind::CatchUpPage,
-            Body::ClaimRequest(_) => MessageKind::ClaimRequest,
-            Body::ClaimReply(_) => MessageKind::ClaimReply,
+            Body::Rumors(_) => MessageType::Rumors,
+            Body::Delta(_) => MessageType::Delta,
+            Body::Roots(_) => MessageType::Roots,
+            Body::BucketDigests(_) => MessageType::BucketDigests,
+            Body::BucketHashes(_) => MessageType::BucketHashes,
+            Body::RecordRequest(_) => MessageType::RecordRequest,
+            Body::CatchUpRequest(_) => MessageType::CatchUpRequest,
+            Body::CatchUpPage(_) => MessageType::CatchUpPage,
+            Body::ClaimRequest(_) => MessageType::ClaimRequest,
+            Body::ClaimReply(_) => MessageType::ClaimReply,
         }
     }
 }
@@ -131,24 +132,24 @@
 /// A replicated record.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
-    /// The number of its kind.
+    /// The number of its record type.
     #[prost(uint32, tag = "1")]
-    pub kind: u32,
-    /// Its name within the kind.
+    pub record_type: u32,
+    /// Its name within the type.
     #[prost(bytes = "vec", tag = "2")]
     pub name: Vec<u8>,
-    /// The first part of its rank: of two records of one name the one with the larger rank stands.
+    /// The first part of its rank: of two records of one name the one with the larger rank wins.
     #[prost(uint64, tag = "3")]
-    pub high: u64,
+    pub rank_high: u64,
     /// The second part of its rank.
     #[prost(uint64, tag = "4")]
-    pub low: u64,
-    /// Its value, as its kind encodes it.
+    pub rank_low: u64,
+    /// Its value, as its type encodes it.
     #[prost(bytes = "vec", tag = "5")]
     pub value: Vec<u8>,
     /// When it expires, in Unix time in microseconds.
     #[prost(uint64, tag = "6")]
-    pub until: u64,
+    pub expires_at: u64,
 }
 
 /// Some records.
@@ -165,9 +166,9 @@
     /// The records.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<Record>,
-    /// Hashes of records that were requested and are no longer held.
+    /// Hashes of records that were requested and are no longer stored.
     #[prost(fixed64, repeated, tag = "2")]
-    pub gone: Vec<u64>,
+    pub no_longer_stored: Vec<u64>,
 }
 
 /// Digests of all trees.
@@ -201,15 +202,15 @@
     /// The hashes, of all these buckets together.
     #[prost(fixed64, repeated, tag = "3")]
     pub hashes: Vec<u64>,
-    /// The fronts that decide on effects, as the sender has them; for a receiver that has yet to vouch.
+    /// The proxies that vote on claims, as the sender has them; for a receiver that can't vote yet.
     #[prost(string, repeated, tag = "4")]
-    pub electors: Vec<String>,
+    pub voters: Vec<String>,
     /// These are all buckets that differ.
     #[prost(bool, tag = "5")]
-    pub all: bool,
-    /// The sender counts the receiver among those that decide on effects: from now on it agrees to nothing without it.
+    pub covers_all: bool,
+    /// The sender counts the receiver among the voters: from now on it accepts no quorum without regard to it.
     #[prost(bool, tag = "6")]
-    pub knows: bool,
+    pub receiver_votes: bool,
 }
 
 /// Requests records.
@@ -226,12 +227,12 @@
     /// The number of the tree.
     #[prost(uint32, tag = "1")]
     pub tree: u32,
-    /// From the first record on; the key says nothing then.
+    /// From the first record on; the key has no meaning then.
     #[prost(bool, tag = "2")]
-    pub first: bool,
-    /// The kind of the key.
+    pub from_start: bool,
+    /// The record type of the key.
     #[prost(uint32, tag = "3")]
-    pub kind: u32,
+    pub record_type: u32,
     /// The name of the key.
     #[prost(bytes = "vec", tag = "4")]
     pub name: Vec<u8>,
@@ -251,7 +252,7 @@
     pub last: bool,
 }
 
-/// Asks an owner of a key to grant a claim to its effect.
+/// Requests an owner's vote on a claim to the effect of a key.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRequest {
     /// The number of the request, which the reply repeats.
@@ -260,26 +261,26 @@
     /// The claim.
     #[prost(message, optional, tag = "2")]
     pub claim: Option<Record>,
-    /// The fronts that decide on this key, as the sender has them.
+    /// The owners of the key, as the sender has them.
     #[prost(string, repeated, tag = "3")]
     pub owners: Vec<String>,
     /// Another's claim may be taken over until then, as the origin drops repeats for that long; 0 for never.
     #[prost(uint64, tag = "4")]
-    pub take_over: u64,
+    pub takeover_until: u64,
 }
 
-/// An owner's answer to a request for a claim.
+/// An owner's vote on a claim.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimReply {
     /// The number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The number of the verdict.
+    /// The number of the vote.
     #[prost(uint32, tag = "2")]
-    pub verdict: u32,
+    pub vote: u32,
     /// The claims that conflict with it.
     #[prost(message, repeated, tag = "3")]
-    pub claims: Vec<Record>,
+    pub conflicting_claims: Vec<Record>,
 }
 
 /// Encodes a message for a datagram.
@@ -293,12 +294,16 @@
 }
 
 /// Decodes a message in either form, and checks that it is of this fleet.
-pub fn read(bytes: &[u8], fleet: u64) -> Result<Packet, Dropped> {
+///
+/// # Errors
+///
+/// The reason why the message is dropped: it can't be decoded, is of another fleet, or its sender's name is out of bounds.
+pub fn read(bytes: &[u8], fleet_id: u64) -> Result<Packet, Dropped> {
     let packet: Packet = envelope::read(MARK, CHUNK_MARK, VERSION, bytes)?;
-    if packet.fleet != fleet {
+    if packet.fleet_id != fleet_id {
         return Err(Dropped::Fleet);
     }
-    if packet.from.is_empty() || packet.from.len() > NAME_MOST {
+    if packet.from.is_empty() || packet.from.len() > MAX_SENDER_BYTES {
         return Err(Dropped::Bounds);
     }
     Ok(packet)
