--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 use meadowrill_admission::config::{AdmissionConfig, ClientKey, QueueDiscipline, Tenant};
 use meadowrill_event_distribution::plan as distribution;
 use meadowrill_membership::plan::{self as fleet, Plan as Fleet};
-use meadowrill_replication::plan as replica;
+use meadowrill_replication::settings as replica;
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
 use std::fmt;
@@ -56,7 +56,7 @@
 /// What is shared among the fronts, and where it is kept across starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replica {
-    pub plan: replica::Plan,
+    pub plan: replica::ReplicationSettings,
     pub snapshot: Option<String>,
     /// Seconds between two writings of it.
     pub snapshot_every: u64,
@@ -237,15 +237,15 @@
             let name = |key: &str| node.key(key);
             shared
                 .plan
-                .check()
-                .map_err(|f: replica::Faulty| fault(text, name(f.key), f.what))?;
+                .validate()
+                .map_err(|f: replica::InvalidSetting| fault(text, name(f.key), f.reason))?;
             if shared.plan.ledger.is_some()
-                && plan.remember < shared.plan.purge_keep.min(60 * fleet::SEC)
+                && plan.remember < shared.plan.purge_retention.min(60 * fleet::SEC)
             {
                 let what = "is less than a minute, but a ledger is kept: a split could outlast it";
                 return Err(fault(text, "fleet.remember_s".into(), what.to_string()));
             }
-            shared.plan.fleet = plan.number();
+            shared.plan.fleet_id = plan.number();
             shared.plan.zone.clone_from(&plan.zone);
             settings.replica = Some(shared);
         }
@@ -258,36 +258,38 @@
 }
 
 fn shared(node: &Node) -> Replica {
-    let mut plan = replica::Plan::default();
+    let mut plan = replica::ReplicationSettings::default();
     let ms = |key: &str, usual| node.count(key).map_or(usual, |n| n as i64 * 1000);
     let s = |node: &Node, key: &str, usual| {
         node.count(key)
-            .map_or(usual, |n| n as i64 * replica::SECOND)
+            .map_or(usual, |n| n as i64 * meadowrill_replication::SEC)
     };
     plan.period = ms("period_ms", plan.period);
-    plan.ready_after = ms("ready_after_ms", plan.ready_after);
-    plan.bytes_per_s = node
+    plan.ready_timeout = ms("ready_after_ms", plan.ready_timeout);
+    plan.bytes_per_second = node
         .count("bytes_per_s")
-        .map_or(plan.bytes_per_s, |n| n as u64);
-    plan.catch_up_bytes_per_s = node
+        .map_or(plan.bytes_per_second, |n| n as u64);
+    plan.catch_up_bytes_per_second = node
         .count("catch_up_bytes_per_s")
-        .map_or(plan.catch_up_bytes_per_s, |n| n as u64);
-    plan.entries = node.count("entries_most").unwrap_or(plan.entries);
-    plan.bytes = node.count("bytes_most").unwrap_or(plan.bytes);
-    plan.purge_keep = s(node, "purge_keep_s", plan.purge_keep);
-    plan.learned_keep = s(node, "learned_keep_s", plan.learned_keep);
+        .map_or(plan.catch_up_bytes_per_second, |n| n as u64);
+    plan.max_entries = node.count("entries_most").unwrap_or(plan.max_entries);
+    plan.max_bytes = node.count("bytes_most").unwrap_or(plan.max_bytes);
+    plan.purge_retention = s(node, "purge_keep_s", plan.purge_retention);
+    plan.observation_retention = s(node, "learned_keep_s", plan.observation_retention);
     plan.ledger = node.node("ledger").map(|node| {
-        let usual = replica::Ledger::default();
-        replica::Ledger {
-            copies: node.count("copies").unwrap_or(usual.copies),
-            write_part: node.number("write_part").unwrap_or(usual.write_part),
-            unwritten: match node.choice("unwritten") {
-                1 => replica::Unwritten::Serve,
-                _ => replica::Unwritten::Refuse,
+        let usual = replica::LedgerSettings::default();
+        replica::LedgerSettings {
+            owners_per_key: node.count("copies").unwrap_or(usual.owners_per_key),
+            quorum_budget_fraction: node
+                .number("write_part")
+                .unwrap_or(usual.quorum_budget_fraction),
+            without_quorum: match node.choice("unwritten") {
+                1 => replica::WithoutQuorum::Send,
+                _ => replica::WithoutQuorum::Reject,
             },
-            keep: s(&node, "keep_s", usual.keep),
-            fronts_least: node.count("fronts_least").unwrap_or(usual.fronts_least),
-            body_most: node.count("body_bytes").unwrap_or(usual.body_most),
+            claim_retention: s(&node, "keep_s", usual.claim_retention),
+            min_voters: node.count("fronts_least").unwrap_or(usual.min_voters),
+            max_body_bytes: node.count("body_bytes").unwrap_or(usual.max_body_bytes),
         }
     });
     let snapshot = node.text("snapshot").filter(|path| !path.is_empty());
@@ -456,22 +458,25 @@
         );
         let shared = settings.replica.unwrap();
         assert_eq!(
-            (shared.plan.bytes_per_s, shared.snapshot.as_deref()),
+            (shared.plan.bytes_per_second, shared.snapshot.as_deref()),
             (9000, Some("/tmp/shared"))
         );
         assert_eq!(
-            (shared.plan.zone.as_str(), shared.plan.fleet),
+            (shared.plan.zone.as_str(), shared.plan.fleet_id),
             ("east", fleet.number())
         );
         let ledger = shared.plan.ledger.unwrap();
-        let usual = replica::Ledger::default();
+        let usual = replica::LedgerSettings::default();
         assert_eq!(
-            (ledger.copies, ledger.unwritten),
-            (5, replica::Unwritten::Serve)
+            (ledger.owners_per_key, ledger.without_quorum),
+            (5, replica::WithoutQuorum::Send)
         );
         assert_eq!(
-            (ledger.keep, ledger.write_part),
-            (60 * replica::SECOND, usual.write_part)
+            (ledger.claim_retention, ledger.quorum_budget_fraction),
+            (
+                60 * meadowrill_replication::SEC,
+                usual.quorum_budget_fraction
+            )
         );
         assert_eq!(read("").unwrap(), Settings::default());
     }
--- a/fuzz/fuzz_targets/shared.rs
+++ b/fuzz/fuzz_targets/shared.rs
@@ -4,40 +4,40 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use meadowrill_replication::ledger::Terms;
-use meadowrill_replication::plan::{Ledger, Plan};
+use meadowrill_replication::ledger::RequestTerms;
+use meadowrill_replication::settings::{LedgerSettings, ReplicationSettings};
 use meadowrill_replication::replica::{Peer, Replica};
 use meadowrill_replication::SEC;
 
 const NOW: i64 = 1000 * SEC;
 
 fuzz_target!(|bytes: &[u8]| {
-    let plan = Plan {
-        entries: 100,
-        bytes: 100_000,
-        ledger: Some(Ledger::default()),
-        ..Plan::default()
+    let plan = ReplicationSettings {
+        max_entries: 100,
+        max_bytes: 100_000,
+        ledger: Some(LedgerSettings::default()),
+        ..ReplicationSettings::default()
     };
     let mut replica = Replica::new(plan, "front-1", 1, NOW, 1);
     let mut acts = Vec::new();
     let peer = |name: &str| Peer {
         name: name.into(),
-        start: 1,
-        here: true,
+        incarnation: 1,
+        alive: true,
         left: false,
         zone: String::new(),
         round_trip: None,
-        shares: true,
-        ledger: true,
+        replicates: true,
+        votes: true,
     };
-    replica.fleet(NOW, true, vec![peer("front-2"), peer("front-3")], &mut acts);
-    let terms = Terms {
-        expires: NOW + 2 * SEC,
-        budget: SEC,
-        window: SEC,
+    replica.update_membership(NOW, true, vec![peer("front-2"), peer("front-3")], &mut acts);
+    let terms = RequestTerms {
+        deadline: NOW + 2 * SEC,
+        latency_budget: SEC,
+        dedup_window: SEC,
     };
-    replica.ask(NOW, 1, b"mark", terms, &mut acts);
-    replica.hear(NOW, bytes, &mut acts);
+    replica.begin_request(NOW, 1, b"mark", terms, &mut acts);
+    replica.receive_message(NOW, bytes, &mut acts);
     if let Some((cut, rest)) = bytes.split_first() {
         for (at, part) in rest.chunks(usize::from(*cut).max(16)).enumerate() {
             let mut whole = if at % 2 == 0 {
@@ -47,7 +47,7 @@
             };
             whole.extend(crc32fast::hash(part).to_le_bytes());
             whole.extend(part);
-            replica.hear(NOW + at as i64, &whole, &mut acts);
+            replica.receive_message(NOW + at as i64, &whole, &mut acts);
         }
     }
     for step in 1..8 {
@@ -55,7 +55,7 @@
     }
     assert!(replica
         .map()
-        .held()
+        .sizes()
         .values()
         .all(|held| held.entries <= 100 && held.bytes <= 100_000));
 });
