--- a/crates/proxy/src/front/list.rs
+++ b/crates/proxy/src/front/list.rs
@@ -57,7 +57,9 @@
                     .as_mut()
                     .filter(|fronts| fronts.subscription.is_none())
                 {
-                    fronts.with_replica(|replica, _| replica.put_purge(now, object, group, stamp));
+                    fronts.with_replica(|replica, _| {
+                        replica.publish_purge(now, object, group, stamp)
+                    });
                 }
                 self.events.push(Event::Invalidated {
                     object,
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -42,7 +42,7 @@
     /// The replica of the shared state, where the settings name one.
     pub replica: Option<Replica>,
     /// Actions of the replica that were not carried out yet.
-    replica_acts: Vec<replica::Act>,
+    replica_acts: Vec<replica::Action>,
     /// Where the settings name relays.
     pub subscription: Option<Subscription>,
     /// Version of the members' values that the replica has been given.
@@ -136,7 +136,7 @@
     }
 
     pub(crate) fn next_wake(&self) -> Micros {
-        let replica = self.replica.iter().map(Replica::next);
+        let replica = self.replica.iter().map(Replica::next_wake);
         let subscription = self.subscription.iter().map(Subscription::next_wake);
         replica
             .chain(subscription)
@@ -187,7 +187,7 @@
                 .into_iter()
                 .for_each(|to| self.view.stream_failed(now, to));
         }
-        if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next()) {
+        if let Some(replica) = self.replica.as_mut().filter(|r| now >= r.next_wake()) {
             replica.tick(now, &mut self.replica_acts);
         }
         if let Some(subscription) = &mut self.subscription {
@@ -199,14 +199,14 @@
     /// One step with the replica of the shared state, if there is one.
     pub(crate) fn with_replica<T>(
         &mut self,
-        step: impl FnOnce(&mut Replica, &mut Vec<replica::Act>) -> T,
+        step: impl FnOnce(&mut Replica, &mut Vec<replica::Action>) -> T,
     ) -> Option<T> {
         let acts = &mut self.replica_acts;
         self.replica.as_mut().map(|replica| step(replica, acts))
     }
 
     /// Actions of the replica for the loop; what goes to other members has been sent.
-    pub(crate) fn take_replica_acts(&mut self) -> Vec<replica::Act> {
+    pub(crate) fn take_replica_acts(&mut self) -> Vec<replica::Action> {
         std::mem::take(&mut self.replica_acts)
     }
 
@@ -233,17 +233,17 @@
         };
         let peer = |(name, m): (&str, &Member)| Peer {
             name: name.into(),
-            start: m.claim.start,
-            here: m.claim.state.is_present(),
+            incarnation: m.claim.start,
+            alive: m.claim.state.is_present(),
             left: m.claim.state == MemberState::Left,
             zone: m.body.zone.clone(),
             round_trip: m.round_trip,
-            shares: capabilities(m) & REPLICATES != 0,
-            ledger: capabilities(m) & HAS_LEDGER != 0,
+            replicates: capabilities(m) & REPLICATES != 0,
+            votes: capabilities(m) & HAS_LEDGER != 0,
         };
         let alone = self.alone && self.view.members().next().is_none();
         let peers = self.view.members().map(peer).collect();
-        replica.fleet(
+        replica.update_membership(
             now,
             self.view.has_joined() || alone,
             peers,
@@ -260,7 +260,7 @@
                     if let (Change::ProcessPaused { .. }, Some(replica)) =
                         (&change, &mut self.replica)
                     {
-                        replica.was_away(now, &mut self.replica_acts);
+                        replica.resume_after_pause(now, &mut self.replica_acts);
                     }
                     self.changes.push(change);
                     changed = true;
@@ -285,8 +285,8 @@
         let mut rest = Vec::new();
         for act in self.replica_acts.drain(..) {
             let (to, bytes, stream) = match act {
-                replica::Act::Send { to, bytes } => (to, bytes, false),
-                replica::Act::Stream { to, bytes } => (to, bytes, true),
+                replica::Action::SendDatagram { to, bytes } => (to, bytes, false),
+                replica::Action::SendStream { to, bytes } => (to, bytes, true),
                 other => {
                     rest.push(other);
                     continue;
@@ -324,14 +324,14 @@
     replica: &mut Option<Replica>,
     now: Micros,
     bytes: &[u8],
-    (acts, replica_acts): (&mut Vec<Action>, &mut Vec<replica::Act>),
+    (acts, replica_acts): (&mut Vec<Action>, &mut Vec<replica::Action>),
 ) {
     let for_replica = matches!(
         envelope::message_mark(bytes),
         Some(wire::MARK | wire::CHUNK_MARK)
     );
     match replica {
-        Some(replica) if for_replica => replica.hear(now, bytes, replica_acts),
+        Some(replica) if for_replica => replica.receive_message(now, bytes, replica_acts),
         // Without a replica the view drops it, and counts that.
         _ => view.receive(now, bytes, acts),
     }
--- a/crates/proxy/src/report/replication.rs
+++ b/crates/proxy/src/report/replication.rs
@@ -1,9 +1,11 @@
 //! What operators are told of the replicated state: by kind, record by record, the history of one key, and metrics.
 
 use super::collector::{flag, label, unlabelled, Labels, Metric, MetricSnapshot};
-use meadowrill_replication::kinds::{self, Kind, Tree};
-use meadowrill_replication::ledger::{stand, Ledger, Stand};
-use meadowrill_replication::map::{hash, Held};
+use meadowrill_replication::ledger::{key_status, KeyStatus, Ledger};
+use meadowrill_replication::map::StoredSize;
+use meadowrill_replication::record::record_hash;
+use meadowrill_replication::record_type::{RecordType, Tree};
+use meadowrill_replication::records;
 use meadowrill_replication::replica::Replica;
 use meadowrill_routing::interface::Micros;
 use serde_json::json;
@@ -11,7 +13,8 @@
 use std::fmt::Write;
 
 fn kind(number: u32) -> String {
-    Kind::of(number).map_or_else(|| format!("kind {number}"), |kind| kind.name().to_string())
+    RecordType::from_wire(number)
+        .map_or_else(|| format!("kind {number}"), |kind| kind.name().to_string())
 }
 
 /// Phases of an endpoint, by their numbers in its record.
@@ -36,11 +39,11 @@
         replica.map().len(),
         yes(replica.caught_up()),
         if replica.ledger().is_some() {
-            yes(replica.vouches())
+            yes(replica.can_vote())
         } else {
             "no ledger"
         },
-        replica.waiting_news(),
+        replica.queued_rumors(),
     );
 }
 
@@ -51,15 +54,18 @@
         "{:<10}{:>10}{:>12}{:>12}{:>12}{:>12}",
         "kind", "records", "bytes", "oldest_s", "as news", "repaired"
     );
-    for (number, held) in map.held().iter().filter(|(_, held)| held.entries > 0) {
+    for (number, held) in map.sizes().iter().filter(|(_, held)| held.entries > 0) {
         let until = map
             .iter()
-            .filter(|(key, _)| key.kind == *number)
-            .map(|(_, entry)| entry.until)
+            .filter(|(key, _)| key.record_type == *number)
+            .map(|(_, entry)| entry.expires_at)
             .min();
         let left_seconds = until.map_or(0, |until| (until - now) / 1_000_000);
         let count = |of: &BTreeMap<u32, u64>| of.get(number).copied().unwrap_or(0);
-        let (news, repaired) = (count(&counts.news), count(&counts.repaired));
+        let (news, repaired) = (
+            count(&counts.merged_from_rumors),
+            count(&counts.merged_by_repair),
+        );
         let _ = writeln!(
             text,
             "{:<10}{:>10}{:>12}{:>12}{news:>12}{repaired:>12}",
@@ -72,17 +78,17 @@
 }
 
 fn push_conflicts(text: &mut String, replica: &Replica) {
-    for (key, entry) in replica.map().of_kind(Kind::Machine) {
-        let Some((id, start, phase, _)) = kinds::read_machine(key, entry) else {
+    for (key, entry) in replica.map().of_type(RecordType::Endpoint) {
+        let Some((id, start, phase, _)) = records::decode_endpoint(key, entry) else {
             continue;
         };
-        let listed = replica.journal_said(&id);
+        let listed = replica.reported_phase(&id);
         if listed != Some((start, phase)) {
-            let listed = listed.map_or("nothing", |(_, phase)| PHASES[usize::from(phase.min(2))]);
+            let listed = listed.map_or("nothing", |(_, phase)| PHASES[phase as usize]);
             let _ = writeln!(
                 text,
                 "machine {id}: {} by hearsay, the journal service says {listed}",
-                PHASES[usize::from(phase)]
+                PHASES[phase as usize]
             );
         }
     }
@@ -91,7 +97,7 @@
 pub(crate) fn summary_json(replica: &Replica) -> String {
     let map = replica.map();
     let kinds: serde_json::Map<String, serde_json::Value> = map
-        .held()
+        .sizes()
         .iter()
         .map(|(number, held)| {
             (
@@ -105,7 +111,7 @@
         .map(|tree| format!("{:016x}", map.root(tree)))
         .collect();
     json!({"digest": format!("{:016x}", map.digest()), "roots": roots, "records": map.len(),
-        "caught_up": replica.caught_up(), "vouches": replica.vouches(), "kinds": kinds})
+        "caught_up": replica.caught_up(), "vouches": replica.can_vote(), "kinds": kinds})
     .to_string()
         + "\n"
 }
@@ -119,9 +125,9 @@
         let _ = writeln!(
             text,
             "{} {name} {high}.{low} {} {:016x}",
-            kind(key.kind).replace(' ', "-"),
-            entry.until,
-            hash(key, entry)
+            kind(key.record_type).replace(' ', "-"),
+            entry.expires_at,
+            record_hash(key, entry)
         );
     }
     text
@@ -130,7 +136,7 @@
 /// The history of one key: `IDEMPOTENCY-KEY CLASS`, as clients send them.
 pub(crate) fn key_history(replica: &Replica, key: &str, now: Micros) -> String {
     let mut text = String::new();
-    for (ran, claim) in Ledger::story(replica.map(), key.as_bytes()) {
+    for (ran, claim) in Ledger::claim_history(replica.map(), key.as_bytes()) {
         let ago = |at: u64| (now - at as Micros) / 1000;
         let body = claim
             .body
@@ -143,17 +149,17 @@
             "{}: {} (since {}), first {} ms ago, its client's time ended {} ms ago, {body}",
             ran.name(),
             claim.holder,
-            claim.start,
-            ago(claim.first),
-            ago(claim.ends),
+            claim.incarnation,
+            ago(claim.first_sent_at),
+            ago(claim.deadline),
         );
     }
-    let prefix = kinds::effect_prefix(key.as_bytes());
-    let says = match stand(replica.map(), &prefix, None, replica.electors(), now) {
-        Stand::Free => "free: it may be asked for",
-        Stand::Open { .. } => "its outcome is waited for",
-        Stand::Lost { .. } => "it may have run: no more is known",
-        Stand::Done { .. } => "it ran",
+    let prefix = records::claim_prefix(key.as_bytes());
+    let says = match key_status(replica.map(), &prefix, None, replica.voters(), now) {
+        KeyStatus::Unclaimed => "free: it may be asked for",
+        KeyStatus::InProgress { .. } => "its outcome is waited for",
+        KeyStatus::OutcomeLost { .. } => "it may have run: no more is known",
+        KeyStatus::Completed { .. } => "it ran",
     };
     let _ = writeln!(text, "now: {says}");
     text
@@ -178,15 +184,19 @@
             .collect()
     };
     let conflicts = vec![
-        (label("stands", "others"), counts.won),
-        (label("stands", "own"), counts.lost),
+        (label("stands", "others"), counts.conflicts_replaced),
+        (label("stands", "own"), counts.conflicts_kept),
     ];
     vec![
-        ("news", "Records taken in as news", by_kind(&counts.news)),
+        (
+            "news",
+            "Records taken in as news",
+            by_kind(&counts.merged_from_rumors),
+        ),
         (
             "repairs",
             "Records found missing by a comparison, or handed over",
-            by_kind(&counts.repaired),
+            by_kind(&counts.merged_by_repair),
         ),
         (
             "differed",
@@ -198,7 +208,7 @@
 
 fn traffic_counters(replica: &Replica) -> Vec<Metric<u64>> {
     let counts = &replica.counts;
-    let spent = counts.spent.iter();
+    let spent = counts.sent_bytes_by_type.iter();
     let spent = spent
         .map(|(what, n)| (label("for", what.name()), *n))
         .collect();
@@ -214,11 +224,11 @@
             "Bytes sent, by what they were sent for",
             spent,
         ),
-        one("bytes_heard", "Bytes heard", counts.heard_bytes),
+        one("bytes_heard", "Bytes heard", counts.received_bytes),
         one(
             "held_back",
             "Comparisons that waited for bytes a second",
-            counts.held_back,
+            counts.comparisons_delayed,
         ),
         ("dropped", "Messages dropped", dropped),
         one(
@@ -233,15 +243,15 @@
     let counts = replica.ledger().map(|ledger| ledger.counts.clone());
     let counts = counts.unwrap_or_default();
     let outcomes = [
-        ("asked", counts.asked),
+        ("asked", counts.requests),
         ("granted", counts.granted),
-        ("unwritten", counts.unwritten),
+        ("unwritten", counts.without_quorum),
         ("waited", counts.waited),
-        ("answered", counts.answered),
+        ("answered", counts.replayed),
         ("failed", counts.failed),
-        ("refused", counts.refused),
-        ("taken_over", counts.taken_over),
-        ("clashes", counts.clashes),
+        ("refused", counts.rejected),
+        ("taken_over", counts.takeovers),
+        ("clashes", counts.conflicts),
     ];
     (
         "ledger",
@@ -251,8 +261,8 @@
 }
 
 fn gauges(replica: &Replica) -> Vec<Metric<f64>> {
-    let by_kind = |of: fn(&Held) -> usize| -> Vec<(Labels, f64)> {
-        let held = replica.map().held().iter();
+    let by_kind = |of: fn(&StoredSize) -> usize| -> Vec<(Labels, f64)> {
+        let held = replica.map().sizes().iter();
         held.map(|(number, held)| (label("kind", &kind(*number)), of(held) as f64))
             .collect()
     };
@@ -271,12 +281,12 @@
         (
             "vouches",
             "1 while this front decides on effects",
-            unlabelled(flag(replica.vouches())),
+            unlabelled(flag(replica.can_vote())),
         ),
         (
             "news_waiting",
             "Records still to be told on",
-            unlabelled(replica.waiting_news() as f64),
+            unlabelled(replica.queued_rumors() as f64),
         ),
     ]
 }
