--- /dev/null
+++ b/crates/event-distribution/tests/regressions/relay_selection.rs
@@ -0,0 +1,86 @@
+//! Which relay is followed after a failure.
+
+use crate::fixtures::*;
+use crate::simulation::{Network, START};
+use meadowrill_event_distribution::settings::{MILLISECOND, SECOND};
+use meadowrill_event_distribution::wire::{Batch, Body, Busy, LeaseGrant};
+
+/// The last one of three grants leases. Each time the preferred one is tried and does not answer, or is busy, the subscriber is
+/// back there before its lease is over.
+#[test]
+fn trying_the_preferred_relay_costs_no_lease() {
+    [false, true].into_iter().for_each(try_preferred_relay);
+}
+
+fn try_preferred_relay(is_busy: bool) {
+    let mut subscriber = subscriber_at(3, 5, 7);
+    let preferred = subscriber.status(START).relay;
+    let (mut now, mut second, mut lapses_before) = (START, None, 0);
+    while now < START + 120 * SECOND {
+        now += 10 * MILLISECOND;
+        let Some(heartbeat) = next_heartbeat(&mut subscriber, now) else {
+            continue;
+        };
+        let relay = subscriber.status(now).relay;
+        if relay == preferred && is_busy {
+            let busy = Busy {
+                request: heartbeat.request,
+                retry_after_ms: 900,
+                full: false,
+            };
+            deliver(&mut subscriber, now, Body::Busy(busy));
+        }
+        if relay == preferred || *second.get_or_insert(relay.clone()) == relay {
+            continue;
+        }
+        let grant = Some(LeaseGrant {
+            request: heartbeat.request,
+            lease_micros: 1_600_000,
+            hops: 1,
+        });
+        deliver(
+            &mut subscriber,
+            now,
+            Body::Batch(Batch {
+                epoch: 5,
+                first: 7,
+                head: 7,
+                grant,
+                ..Batch::default()
+            }),
+        );
+        if lapses_before == 0 {
+            lapses_before = subscriber.status(now).counters.expired_leases + 1;
+        }
+    }
+    let counters = subscriber.status(now).counters;
+    assert!(counters.relay_changes > 6, "{counters:?}");
+    assert_eq!(counters.expired_leases + 1, lapses_before);
+}
+
+/// Relays that have lost the publisher and follow one another return to it soon after it is back.
+#[test]
+fn relays_return_to_the_publisher() {
+    let mut network = Network::new(8, 2, 1);
+    network.run(3 * SECOND).unwrap();
+    network.kill(0);
+    network.run(25 * SECOND).unwrap();
+    network.start(0);
+    network.run(6 * SECOND).unwrap();
+    assert_eq!(network.first_behind(0), None);
+}
+
+/// Relays left the one that publishes while it began, followed each other in turns that grew longer, and came back to it late.
+#[test]
+fn a_full_restart_and_a_publisher_return_settle_within_seconds() {
+    for seed in 0..4 {
+        let mut network = Network::new(8, 24, seed);
+        network.run(6 * SECOND).unwrap();
+        network.settled().unwrap();
+        network.kill(0);
+        network.run(10 * SECOND).unwrap();
+        network.start(0);
+        network.run(6 * SECOND).unwrap();
+        network.settled().unwrap();
+    }
+}
