--- a/crates/event-distribution/tests/recorded.rs
+++ b/crates/event-distribution/tests/recorded.rs
@@ -284,7 +284,7 @@
     assert_recorded("events.txt", &read);
 }
 
-/// A front and a publisher with 2,500 purges.
+/// A subscriber and a publisher with 2,500 purges.
 fn front_and_publisher() -> (Subscriber, Publisher) {
     let relay = RelayAddress {
         name: "relay-0".into(),
@@ -324,7 +324,7 @@
     sent.collect()
 }
 
-/// All datagrams of a snapshot are written as recorded, and the recorded ones bring a front to the same state.
+/// All datagrams of a snapshot are written as recorded, and the recorded ones bring a subscriber to the same state.
 #[test]
 fn a_recorded_snapshot_is_written_and_read_alike() {
     let (mut front, mut publisher) = front_and_publisher();
