--- a/crates/event-distribution/tests/exploration/mod.rs
+++ b/crates/event-distribution/tests/exploration/mod.rs
@@ -1,6 +1,6 @@
-//! The crate's own publisher, relays and subscribers, explored whole to a depth: one publisher, two relays, two subscribers and
-//! coarse time. Between two steps of time a purge is published, or one member crashes, is paused or partitioned (once
-//! each), or what is sent to one in a step is lost or delayed (once each).
+//! The crate's own publisher, relays and subscribers, explored completely to a depth: one publisher, two relays, two
+//! subscribers and coarse time. Between two steps of time a purge is published, or one member crashes, is paused or
+//! partitioned (once each), or what is sent to one in a step is lost or delayed (once each).
 
 use meadowrill_event_distribution::event::{Event, LogPosition, Purge, PurgeKey};
 use meadowrill_event_distribution::output::Output;
--- a/crates/event-distribution/tests/simulation/mod.rs
+++ b/crates/event-distribution/tests/simulation/mod.rs
@@ -1,7 +1,10 @@
 //! A network of one publisher, relays and subscribers in one process, with loss, delay and faults drawn by a seed, and the
 //! checks that hold at every moment.
 
-#![allow(dead_code)]
+#![allow(
+    dead_code,
+    reason = "each test target that includes this module uses a part of it"
+)]
 
 pub(crate) mod checks;
 pub(crate) mod node;
