--- a/crates/replication/src/ledger/mod.rs
+++ b/crates/replication/src/ledger/mod.rs
@@ -13,8 +13,8 @@
 //! - An owner votes only if it takes the same proxies for the owners as the requester, so that no quorum rests on a stale
 //!   view of the membership.
 //!
-//! A request passes the phases of [`pending_request`]; [`request`] holds its begin, decision and end, [`quorum`] the
-//! holder's side of a claim, and [`owner`] the owner's.
+//! A request passes the phases of `pending_request`; `request` holds its begin, decision and end, `quorum` the holder's
+//! side of a claim, and `owner` the owner's.
 
 mod claim_set;
 mod messages;
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -2,8 +2,9 @@
 //! then by bytes. So merging is commutative, associative and idempotent, and a build merges types that it does not know
 //! as well as those that it does.
 //!
-//! Invariants: `by_expiry`, `buckets` (see `buckets`) and `sizes` describe exactly the records in `entries`; no type
-//! exceeds the limits; claims are never evicted.
+//! Invariants: `by_expiry`, `buckets` and `sizes` describe exactly the records in `entries`; no type has more records
+//! than its limit; claims are never evicted. A new record is admitted only within the limit of bytes; one that replaces
+//! another may exceed it by the difference.
 
 mod buckets;
 
@@ -23,6 +24,9 @@
 /// Longest value of a record.
 pub const MAX_VALUE_BYTES: usize = 4096;
 
+/// The roots of the trees are folded by exclusive or and this rotation.
+const DIGEST_ROTATION: u32 = 21;
+
 /// What became of a record that was to be merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
@@ -260,9 +264,9 @@
 
     /// Digest of all trees: the same on all replicas that store the same.
     pub fn digest(&self) -> u64 {
-        Tree::ALL
-            .into_iter()
-            .fold(0, |digest, tree| (digest ^ self.root(tree)).rotate_left(21))
+        Tree::ALL.into_iter().fold(0, |digest, tree| {
+            (digest ^ self.root(tree)).rotate_left(DIGEST_ROTATION)
+        })
     }
 
     /// Digests of the buckets of a tree.
