--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,12 +1,20 @@
-//! Claims about a member, and which of two supersedes the other. All fronts that receive the same claims, in whatever
-//! order and however often, end with the same one; tests/model.rs explores these rules by model checking.
+//! Claims about a member, and which of two supersedes the other.
+//!
+//! Invariants, explored by model checking in `tests/model.rs`:
+//! - claims are totally ordered by start, incarnation and state, so all proxies that receive the same claims, in whatever
+//!   order and however often, end with the same one;
+//! - only the member itself raises its incarnation or its start, so what it claims of itself wins in the end.
 
 /// The state of a member. Of two claims with the same incarnation the one with the later state supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
+    /// It answers probes, or nobody has found that it does not.
     Alive,
+    /// An observer's probe failed, and the member has not refuted that yet.
     Suspected,
+    /// It was suspected for too long.
     Dead,
+    /// It announced its departure.
     Left,
 }
 
@@ -33,7 +41,7 @@
         }
     }
 
-    /// Whether a member in this state counts as present.
+    /// Whether a member in this state is a part of the fleet: alive or suspected.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspected
     }
@@ -43,10 +51,12 @@
 /// former one of its name, and a refutation all that it refutes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
-    /// Tells processes of one name apart, and their order. It begins as a clock's time, but is never used as one.
+    /// Generation of the process: tells processes of one name apart, and their order. It begins as the time of a clock,
+    /// but is only ever compared.
     pub start: u64,
     /// Raised only by the member itself, to refute a claim.
     pub incarnation: u64,
+    /// What is claimed of that process.
     pub state: MemberState,
 }
 
@@ -75,14 +85,16 @@
 }
 
 /// The refutation of a claim about this member, if it is wrong. A member that has left refutes nothing.
-pub fn refute(own: Claim, heard: Claim) -> Option<Claim> {
-    if crate::mutant("no-refutation") || own.state == MemberState::Left || heard.start != own.start
+pub fn refute(own: Claim, received: Claim) -> Option<Claim> {
+    if crate::mutant("no-refutation")
+        || own.state == MemberState::Left
+        || received.start != own.start
     {
         return None;
     }
-    let wrong = heard.state != MemberState::Alive && heard.incarnation >= own.incarnation;
-    wrong.then(|| Claim {
-        incarnation: heard.incarnation.saturating_add(1),
+    let is_wrong = received.state != MemberState::Alive && received.incarnation >= own.incarnation;
+    is_wrong.then(|| Claim {
+        incarnation: received.incarnation.saturating_add(1),
         ..own
     })
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,34 +1,46 @@
-//! The envelope of every message between fronts: a mark of two letters for its kind, a version, a checksum (CRC-32, as in
-//! IEEE 802.3), and a protobuf message, plain in a datagram and compressed (DEFLATE, RFC 1951) in a chunk of a stream.
+//! The envelope of every message between proxies: a mark of two letters for its kind, a version, a checksum (CRC-32, as
+//! in IEEE 802.3), and a protobuf message, plain in a datagram and compressed (DEFLATE, RFC 1951) in a chunk of a stream.
+//!
+//! Invariant: a message is decoded only behind a matching mark, version and checksum, and decompressed only up to a
+//! bound.
 
 use prost::Message;
+use std::fmt;
 
-/// Length of the header: mark, version and checksum.
+/// Bytes of the header: mark, version and checksum.
 pub const HEADER_LENGTH: usize = 7;
-/// Length of a chunk at most, as it is sent and after decompression: a longer one is dropped unread.
+const CHECKSUM_LENGTH: usize = 4;
+/// Most bytes of a chunk as it is sent: hosts drop a longer one unread.
 pub const MAX_CHUNK_LENGTH: usize = 64 * 1024;
+/// Most bytes of a chunk after decompression.
 const MAX_DECOMPRESSED_LENGTH: usize = 256 * 1024;
 /// Compression level for messages that a small send budget limits.
 pub const COMPACT_LEVEL: u8 = 6;
 /// Compression level for messages that the event loop waits for.
 pub const FAST_LEVEL: u8 = 1;
 
-/// Why a message was dropped.
+/// Why a message or a record was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
+    /// It is shorter than a header.
     TooShort,
+    /// It has the mark of no message that is expected here.
     UnknownMark,
+    /// It is of another version of the format.
     UnknownVersion,
+    /// Its checksum does not match.
     WrongChecksum,
+    /// It cannot be decompressed or decoded.
     Malformed,
+    /// It is of another fleet.
     OtherFleet,
     /// A part of it is too long or out of range.
     OutOfBounds,
-    /// There is no room for another member.
+    /// There is no capacity for another member.
     ViewFull,
-    /// It is from a member that is held to be dead.
+    /// It is from a member that is considered dead or forgotten.
     SenderDead,
-    /// It is from another process of this front's name.
+    /// It is from another process of this proxy's name.
     NameConflict,
 }
 
@@ -64,12 +76,31 @@
     }
 }
 
+impl fmt::Display for DropReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            DropReason::TooShort => "shorter than a header",
+            DropReason::UnknownMark => "unknown mark",
+            DropReason::UnknownVersion => "unknown version",
+            DropReason::WrongChecksum => "wrong checksum",
+            DropReason::Malformed => "malformed message",
+            DropReason::OtherFleet => "of another fleet",
+            DropReason::OutOfBounds => "out of bounds",
+            DropReason::ViewFull => "no capacity for another member",
+            DropReason::SenderDead => "sender is considered dead",
+            DropReason::NameConflict => "sender has this proxy's name",
+        })
+    }
+}
+
+impl std::error::Error for DropReason {}
+
 /// Encodes a plain message.
 pub fn encode(mark: [u8; 2], version: u8, message: &impl Message, into: &mut Vec<u8>) {
-    head(mark, version, into);
+    begin(mark, version, into);
     // A vector grows as it needs to.
     let _ = message.encode(into);
-    seal(into);
+    write_checksum(into);
 }
 
 /// Encodes a compressed message.
@@ -80,24 +111,23 @@
     message: &impl Message,
     into: &mut Vec<u8>,
 ) {
-    head(mark, version, into);
-    into.extend(miniz_oxide::deflate::compress_to_vec(
-        &message.encode_to_vec(),
-        level,
-    ));
-    seal(into);
+    begin(mark, version, into);
+    let plain = message.encode_to_vec();
+    into.extend(miniz_oxide::deflate::compress_to_vec(&plain, level));
+    write_checksum(into);
 }
 
-fn head(mark: [u8; 2], version: u8, into: &mut Vec<u8>) {
+/// Clears the buffer, and writes a header without its checksum.
+fn begin(mark: [u8; 2], version: u8, into: &mut Vec<u8>) {
     into.clear();
     into.extend(mark);
     into.push(version);
-    into.extend([0; 4]);
+    into.extend([0; CHECKSUM_LENGTH]);
 }
 
-fn seal(into: &mut [u8]) {
-    let sum = crc32fast::hash(&into[HEADER_LENGTH..]).to_le_bytes();
-    into[HEADER_LENGTH - 4..HEADER_LENGTH].copy_from_slice(&sum);
+fn write_checksum(into: &mut [u8]) {
+    let checksum = crc32fast::hash(&into[HEADER_LENGTH..]).to_le_bytes();
+    into[HEADER_LENGTH - CHECKSUM_LENGTH..HEADER_LENGTH].copy_from_slice(&checksum);
 }
 
 /// The mark of an encoded message.
@@ -105,28 +135,34 @@
     bytes.first_chunk::<2>().copied()
 }
 
-/// Decodes a message, plain or compressed.
+/// Decodes a message, plain or compressed, by its mark.
+///
+/// # Errors
+/// The reason to drop the message: its header is wrong, or what follows cannot be decoded.
 pub fn decode<M: Message + Default>(
-    plain: [u8; 2],
-    packed: [u8; 2],
+    plain_mark: [u8; 2],
+    compressed_mark: [u8; 2],
     version: u8,
     bytes: &[u8],
 ) -> Result<M, DropReason> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEADER_LENGTH>() else {
+    let Some((header, rest)) = bytes.split_first_chunk::<HEADER_LENGTH>() else {
         return Err(DropReason::TooShort);
     };
-    let chunk = head[..2] == packed;
-    if head[..2] != plain && !chunk {
+    let is_compressed = header[..2] == compressed_mark;
+    if header[..2] != plain_mark && !is_compressed {
         return Err(DropReason::UnknownMark);
     }
-    if head[2] != version {
+    if header[2] != version {
         return Err(DropReason::UnknownVersion);
     }
-    if head[3..] != crc32fast::hash(rest).to_le_bytes() {
+    if header[3..] != crc32fast::hash(rest).to_le_bytes() {
         return Err(DropReason::WrongChecksum);
     }
-    let unpacked = chunk
-        .then(|| miniz_oxide::inflate::decompress_to_vec_with_limit(rest, MAX_DECOMPRESSED_LENGTH));
-    let unpacked = unpacked.transpose().map_err(|_| DropReason::Malformed)?;
-    M::decode(unpacked.as_deref().unwrap_or(rest)).map_err(|_| DropReason::Malformed)
+    if is_compressed {
+        let limit = MAX_DECOMPRESSED_LENGTH;
+        let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(rest, limit);
+        let plain = plain.map_err(|_| DropReason::Malformed)?;
+        return M::decode(plain.as_slice()).map_err(|_| DropReason::Malformed);
+    }
+    M::decode(rest).map_err(|_| DropReason::Malformed)
 }
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,4 +1,7 @@
-//! Local health (Lifeguard): how far this front can trust its own observations, and whether its process was paused.
+//! Local health (Lifeguard): how far this proxy can trust its own observations, and whether its process was paused.
+//!
+//! Invariant: the score is within 0 and [`MAX_SCORE`]. It rises while probes fail in ways that point to this proxy itself,
+//! and falls with each response; timeouts grow with it, so an observer that is slow or cut off accuses fewer others.
 
 use crate::Micros;
 
@@ -9,7 +12,7 @@
 /// A timer that fires later than this part of a period shows that the process was paused or starved.
 const MAX_TIMER_DELAY: f64 = 0.4;
 
-/// The local health score of one front: 0 is healthy.
+/// The local health score of one proxy: 0 is healthy.
 #[derive(Clone, Debug)]
 pub struct Health {
     score: u32,
@@ -23,13 +26,13 @@
         Health { score: 0, enabled }
     }
 
-    /// A probe reached neither its target nor a helper: probably this front itself is cut off.
+    /// A probe reached neither its target nor a helper: probably this proxy itself is cut off.
     pub fn record_isolation(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// A target or a helper answered in time.
-    pub fn record_answer(&mut self) {
+    /// A target or a helper responded in time.
+    pub fn record_response(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,13 @@
-//! The membership protocol of the fleet of fronts: which are present, suspected, dead or gone (docs/fleet.md). Datagrams
-//! and the time in, datagrams and changes out; no I/O, no clock, and randomness by seed.
-
-#![allow(
-    missing_docs,
-    clippy::missing_errors_doc,
-    reason = "not reached yet by the pass over names, sizes and docs"
-)]
+//! The membership protocol of a fleet of proxies: which are alive, suspected, dead or have left (docs/fleet.md).
+//!
+//! SWIM (Das, Gupta, Motivala, 2002) with the health awareness of Lifeguard (Dadgar, Phillips, Currey, 2017), the fixed
+//! observers of Rapid (Suresh et al., 2018) and anti-entropy by digests. Datagrams and the time go in, datagrams and
+//! changes come out: no I/O, no clock, and randomness by a seed.
+//!
+//! - [`view`]: the state machine that a host drives;
+//! - [`claim`], [`rings`], [`rumors`], [`digest`], [`health`]: the rules it is made of, each by itself;
+//! - [`wire`], [`envelope`]: the messages and their encoding;
+//! - [`settings`]: what can be set, and its bounds.
 
 pub mod claim;
 pub mod digest;
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,6 +1,8 @@
-//! Observer rings: which members probe which (Rapid, 2018). On each ring members are ordered by a hash of their names,
-//! and each observes its successor. Fronts with the same view agree on all observers, each member has as many of them
-//! as there are rings, and one that joins or leaves changes only its neighbours.
+//! Observer rings: which members probe which (Rapid, 2018).
+//!
+//! On each ring members are ordered by a hash of their names, and each observes its successor. Invariants: proxies with
+//! the same view agree on all observers; each member has as many observers as there are rings, as far as there are other
+//! members; one that joins or leaves changes only its neighbours.
 
 use crate::hash::stable_hash;
 use std::collections::BTreeSet;
@@ -19,7 +21,7 @@
 }
 
 impl Rings {
-    /// So many empty rings.
+    /// `count` empty rings.
     pub fn new(count: usize) -> Rings {
         Rings {
             rings: vec![BTreeSet::new(); count],
@@ -40,14 +42,14 @@
         }
     }
 
-    /// Whom a member observes: each name once, never its own. Beyond an unhealthy member the next ones are observed as
+    /// The members that a member observes: each name once, never its own. Beyond an unhealthy member the next ones are observed as
     /// well, so that no member is left without observers when most die at once.
     pub fn observed_by(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observed = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
             let position = (stable_hash(name, number), name.to_string());
             let after = ring.range((Bound::Excluded(&position), Bound::Unbounded));
-            walk(
+            collect_neighbours(
                 after.chain(ring.range(..&position)),
                 &is_unhealthy,
                 &mut observed,
@@ -56,7 +58,7 @@
         observed
     }
 
-    /// Who observes a member, by the same rule.
+    /// The observers of a member, by the same rule.
     pub fn observers_of(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observers = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
@@ -65,14 +67,14 @@
             let after = ring
                 .range((Bound::Excluded(&position), Bound::Unbounded))
                 .rev();
-            walk(before.chain(after), &is_unhealthy, &mut observers);
+            collect_neighbours(before.chain(after), &is_unhealthy, &mut observers);
         }
         observers
     }
 }
 
 /// Collects the first member of a ring, and those beyond each unhealthy one.
-fn walk<'a>(
+fn collect_neighbours<'a>(
     ring: impl Iterator<Item = &'a (u64, String)>,
     is_unhealthy: impl Fn(&str) -> bool,
     found: &mut Vec<&'a str>,
--- a/crates/membership/src/rumors.rs
+++ b/crates/membership/src/rumors.rs
@@ -1,4 +1,7 @@
-//! The rumors that this front still has to transmit: newest first, each a bounded number of times.
+//! Gossip: the rumors that this proxy still has to transmit, newest first, each a bounded number of times.
+//!
+//! Invariants: there is at most one rumor about each member; the queue and the index by name hold the same rumors; each
+//! queued rumor has at least one transmission left.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +27,7 @@
 
 impl Rumors {
     /// Queues a rumor about a member, in place of an earlier one about it. `members` is the fleet's size without this
-    /// front.
+    /// proxy.
     pub fn insert(&mut self, name: &str, members: usize) {
         self.remove(name);
         self.last_number += 1;
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -1,5 +1,7 @@
-//! The send budget: a token bucket of bytes. Probes and their answers are sent whatever is left of it; rumors and
-//! anti-entropy exchanges wait for it.
+//! The send budget: a token bucket of bytes.
+//!
+//! Probes and their responses are sent whatever is left of it; rumors and anti-entropy exchanges wait for it. Invariant:
+//! what is available lies within the capacity, as credit or as debt.
 
 use super::View;
 use crate::settings::SECOND;
@@ -55,8 +57,8 @@
         self.available >= wire::MAX_DATAGRAM_LENGTH as f64
     }
 
-    /// The debt is at most the capacity: what the simultaneous start of a thousand fronts costs a contact would
-    /// otherwise keep it silent for a minute, and nobody could tell them of each other.
+    /// The debt is at most the capacity: the simultaneous start of many proxies would otherwise silence a contact just
+    /// when they need it to learn of each other.
     fn charge(&mut self, bytes: usize) {
         self.available = (self.available - bytes as f64).max(-self.capacity());
     }
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -1,26 +1,29 @@
-//! Leaving: a front announces its departure to random members until enough of them have confirmed it.
+//! Departure: a proxy announces that it leaves to random members until enough of them have confirmed it.
+//!
+//! Invariants: from its first announcement on this proxy claims to have left; each member counts once among the
+//! confirmations; the departure completes once, with enough confirmations or at its deadline.
 
 use super::member::PublishedBody;
-use super::merge::Report;
-use super::peers::{Peer, Recipient};
+use super::merge::ClaimReport;
+use super::recipients::{Peer, Recipient};
 use super::{Action, Change, ClaimSource, View};
 use crate::claim::{Claim, MemberState};
 use crate::wire::{Body, Payload, SequenceNumber};
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Confirmations after which a front is gone.
+/// Confirmations after which a departure is complete.
 const NEEDED_CONFIRMATIONS: usize = 3;
-/// How long it waits for them, in periods.
+/// Longest wait for them, in probe periods.
 const MAX_WAIT_PERIODS: Micros = 2;
-/// How many members are told at once.
+/// Members that one announcement goes to.
 const ANNOUNCEMENT_FANOUT: usize = 8;
-/// The part of a period between two announcements, as a divisor.
-const ANNOUNCEMENT_DIVISOR: Micros = 10;
-/// Announcements all carry this sequence number: confirmations are told apart by their senders.
+/// Announcements in each probe period.
+const ANNOUNCEMENTS_PER_PERIOD: Micros = 10;
+/// The sequence number of all announcements: confirmations differ by their senders.
 const ANNOUNCEMENT_SEQUENCE: u64 = 0;
 
-/// This front's own departure.
+/// This proxy's own departure.
 #[derive(Clone, Debug)]
 pub(super) struct Departure {
     deadline: Micros,
@@ -37,42 +40,47 @@
 
 impl View {
     /// Begins to leave the fleet. [`View::left`] tells when that is done.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now;
-        if self.departure.is_some() || self.gave_way {
+        if self.departure.is_some() || self.withdrawn {
             return;
         }
         self.toggle_own_digest();
         self.own.claim = self.own.claim.with_state(MemberState::Left);
-        let deadline = now + MAX_WAIT_PERIODS * self.plan.probe_period;
+        let deadline = now + MAX_WAIT_PERIODS * self.settings.probe_period;
         let departure = Departure {
             deadline,
             next_announcement_at: now,
             confirmed: BTreeSet::new(),
         };
         self.departure = Some(departure);
-        self.announce_departure(out);
+        self.announce_departure(actions);
     }
 
-    /// Tells random members, or reports the end where the departure is complete.
-    pub(super) fn announce_departure(&mut self, out: &mut Vec<Action>) {
+    /// Sends the announcement to random members, or reports that the departure is complete.
+    pub(super) fn announce_departure(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(departure) = &mut self.departure else {
             return;
         };
         if departure.is_complete(now) {
             departure.next_announcement_at = Micros::MAX;
-            out.push(Action::Notify(Change::DepartureCompleted {
+            actions.push(Action::Notify(Change::DepartureCompleted {
                 confirmations: departure.confirmed.len(),
             }));
             return;
         }
-        departure.next_announcement_at = now + self.plan.probe_period / ANNOUNCEMENT_DIVISOR;
+        departure.next_announcement_at =
+            now + self.settings.probe_period / ANNOUNCEMENTS_PER_PERIOD;
         for peer in self.unconfirmed_peers() {
             let announcement = SequenceNumber {
                 sequence: ANNOUNCEMENT_SEQUENCE,
             };
-            self.send(peer.recipient(), Some(Payload::Leaving(announcement)), out);
+            self.send(
+                peer.recipient(),
+                Some(Payload::Leaving(announcement)),
+                actions,
+            );
         }
     }
 
@@ -91,14 +99,14 @@
         }
     }
 
-    /// Another front leaves.
+    /// Another proxy leaves.
     pub(super) fn receive_departure(
         &mut self,
         sender: Recipient,
         claim: Claim,
         address: String,
         sequence: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let body = Body {
             address,
@@ -110,19 +118,19 @@
         };
         // Where there is no room for another member there is nothing to forget either.
         let _ = self.learn(
-            Report {
+            ClaimReport {
                 name: sender.name,
                 claim,
-                by: "",
-                why: ClaimSource::MemberItself,
+                accuser: "",
+                source: ClaimSource::MemberItself,
             },
             published,
-            out,
+            actions,
         );
         self.send(
             sender,
             Some(Payload::Confirmed(SequenceNumber { sequence })),
-            out,
+            actions,
         );
     }
 }
--- a/crates/membership/src/view/event.rs
+++ b/crates/membership/src/view/event.rs
@@ -1,4 +1,4 @@
-//! What a view is given and gives: its identity, the actions for its host, the changes it reports, its counters.
+//! What a view is given and gives: its identity, the actions for its host, the changes that it reports, its counters.
 
 use crate::claim::MemberState;
 use crate::wire::DropReason;
@@ -6,10 +6,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The identity of this front.
+/// The identity of this proxy.
 #[derive(Clone, Debug)]
 pub struct MemberIdentity {
+    /// Its name, unique in the fleet.
     pub name: String,
+    /// The version of the program, shown to operators.
     pub version: String,
     /// When the process started, by its own clock: only compared with other starts of the same name.
     pub start: u64,
@@ -19,11 +21,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
-    SendDatagram { to: SocketAddr, bytes: Vec<u8> },
+    SendDatagram {
+        /// Where it goes.
+        to: SocketAddr,
+        /// The encoded message.
+        bytes: Vec<u8>,
+    },
     /// Send over a stream, as it may be longer than a datagram. The host reports failures by
-    /// [`View::unstreamed`](super::View::unstreamed).
-    SendStream { to: SocketAddr, bytes: Vec<u8> },
-    /// Report a change to the log and to other modules.
+    /// [`View::stream_failed`](super::View::stream_failed).
+    SendStream {
+        /// Where it goes.
+        to: SocketAddr,
+        /// The encoded message.
+        bytes: Vec<u8>,
+    },
+    /// Notify the log and other modules of a change.
     Notify(Change),
 }
 
@@ -32,47 +44,75 @@
 pub enum Change {
     /// A member appeared, or its state or its process changed.
     MemberChanged {
+        /// Its name.
         name: String,
+        /// Its former state; none where it was not known.
         from: Option<MemberState>,
+        /// Its state now.
         to: MemberState,
+        /// The start of its process.
         start: u64,
+        /// Its incarnation.
         incarnation: u64,
+        /// How this proxy learned of it.
         source: ClaimSource,
+        /// Who claims it; empty where nobody accuses the member.
         accuser: String,
     },
     /// A member replaced its published body.
-    BodyReplaced { name: String },
+    BodyReplaced {
+        /// Its name.
+        name: String,
+    },
     /// A member that was dead or had left was removed from the view.
-    Forgotten { name: String },
-    /// This front was claimed to fail, and refuted that.
-    Refuted { accuser: String },
-    /// This process was paused or starved for so long: what it knew of others may be old.
-    ProcessPaused { duration: Micros },
-    /// This front's view agreed with that of another front for the first time.
+    Forgotten {
+        /// Its name.
+        name: String,
+    },
+    /// This proxy was claimed to fail, and refuted that.
+    Refuted {
+        /// Who claimed it.
+        accuser: String,
+    },
+    /// This process was paused or starved: what it knew of others may be outdated.
+    ProcessPaused {
+        /// For how long.
+        duration: Micros,
+    },
+    /// This proxy's view agreed with that of another proxy for the first time.
     Joined,
-    /// Another process of this front's name started later or as late: this front took a later start than that one.
-    StartAdvanced { start: u64 },
-    /// The other process of this front's name is alive: this front withdraws from the fleet.
-    Withdrawn { other_address: String },
-    /// This front has announced its departure, and so many members have confirmed that.
-    DepartureCompleted { confirmations: usize },
+    /// Another process of this proxy's name started later or as late: this proxy took a later start than that one.
+    StartAdvanced {
+        /// The start that was superseded.
+        start: u64,
+    },
+    /// The other process of this proxy's name is alive: this proxy withdraws from the fleet.
+    Withdrawn {
+        /// Where the other process receives messages.
+        other_address: String,
+    },
+    /// This proxy has left the fleet.
+    DepartureCompleted {
+        /// How many members have confirmed it.
+        confirmations: usize,
+    },
 }
 
-/// The source of a change of a member.
+/// How this proxy learned of a change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimSource {
-    /// The member itself.
+    /// From the member itself.
     MemberItself,
-    /// This front's own probes.
+    /// By this proxy's own probes.
     OwnProbe,
-    /// A rumor from another front.
+    /// By a rumor from another proxy.
     Rumor,
-    /// An anti-entropy exchange: others have known it for a while.
+    /// By an anti-entropy exchange: others have known it for a while.
     AntiEntropy,
 }
 
 impl ClaimSource {
-    /// Its name in logs.
+    /// Its name in logs, as operators know it.
     pub fn name(self) -> &'static str {
         match self {
             ClaimSource::MemberItself => "Said",
@@ -88,13 +128,13 @@
 pub struct Counters {
     /// Probes sent.
     pub probes: u64,
-    /// Probes without any answer.
+    /// Probes without any response.
     pub failed_probes: u64,
-    /// Suspicions that this front's own probes raised or confirmed.
+    /// Suspicions that this proxy's own probes raised or confirmed.
     pub suspicions: u64,
-    /// Claims about this front that it refuted.
+    /// Claims about this proxy that it refuted.
     pub refutations: u64,
-    /// Members that this front declared dead.
+    /// Members that this proxy declared dead.
     pub deaths_declared: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
--- a/crates/membership/src/view/inventory.rs
+++ b/crates/membership/src/view/inventory.rs
@@ -1,7 +1,10 @@
-//! Inventories: lists of what a front knows in the buckets whose digests differ, without published bodies.
+//! Inventories: the records of the buckets whose digests differ, without published bodies.
+//!
+//! Invariant: an inventory names a bucket as complete only where it lists all that this proxy knows of it, so the other
+//! can tell which members this proxy lacks.
 
-use super::peers::Recipient;
-use super::transfer::{DATAGRAM_ROOM, STREAM_CHUNK, STREAM_THRESHOLD};
+use super::recipients::Recipient;
+use super::transfer::{DATAGRAM_CAPACITY, STREAM_CHUNK, STREAM_THRESHOLD};
 use super::{Action, ClaimSource, Member, View};
 use crate::claim::{Claim, MemberState};
 use crate::digest::bucket;
@@ -34,33 +37,33 @@
     }
 }
 
-/// The outcome of a comparison with another front's inventory.
+/// The outcome of a comparison with another proxy's inventory.
 #[derive(Default)]
 struct Difference {
-    /// Names of members of which the other front has a newer record.
+    /// Names of members of which the other proxy has a newer record.
     wanted: Vec<String>,
-    /// Names of members of which this front has a newer record.
+    /// Names of members of which this proxy has a newer record.
     newer: Vec<String>,
 }
 
 impl View {
-    /// Another front's bucket digests: replies with an inventory of the buckets that differ.
+    /// Another proxy's bucket digests: replies with an inventory of the buckets that differ.
     pub(super) fn receive_bucket_digests(
         &mut self,
         sender: Recipient,
         digests: &[u32],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let differing = self.differing_buckets(digests);
         if differing.is_empty() {
-            return self.mark_joined(out);
+            return self.mark_joined(actions);
         }
         let buckets = self.bucket_items(&differing);
         let length: usize = buckets.iter().map(BucketItems::encoded_length).sum();
         if length > STREAM_THRESHOLD && self.can_stream(sender.address) {
-            self.stream_inventory(sender, buckets, out);
+            self.stream_inventory(sender, buckets, actions);
         } else {
-            self.send_inventory(sender, buckets, out);
+            self.send_inventory(sender, buckets, actions);
         }
     }
 
@@ -74,7 +77,7 @@
             .collect()
     }
 
-    /// What this front knows in these buckets, in their order.
+    /// What this proxy knows in these buckets, in their order.
     fn bucket_items(&self, buckets: &[usize]) -> Vec<BucketItems> {
         let mut items: BTreeMap<usize, Vec<Record>> =
             buckets.iter().map(|bucket| (*bucket, Vec::new())).collect();
@@ -98,7 +101,7 @@
         &mut self,
         to: Recipient,
         buckets: Vec<BucketItems>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let mut inventory = Inventory::default();
         let mut length = 0;
@@ -110,34 +113,39 @@
             bucket.append_to(&mut inventory);
         }
         if self.may_send_deferrable() {
-            self.send_chunk(to.address, Payload::Inventory(inventory), out);
+            self.send_chunk(to.address, Payload::Inventory(inventory), actions);
         }
     }
 
     /// Sends as many buckets in each datagram as fit, as far as the budget allows.
-    fn send_inventory(&mut self, to: Recipient, buckets: Vec<BucketItems>, out: &mut Vec<Action>) {
+    fn send_inventory(
+        &mut self,
+        to: Recipient,
+        buckets: Vec<BucketItems>,
+        actions: &mut Vec<Action>,
+    ) {
         let mut inventory = Inventory::default();
         for bucket in buckets {
             let length = bucket.encoded_length();
             let total = prost::Message::encoded_len(&inventory) + length + BUCKET_OVERHEAD;
-            if total > DATAGRAM_ROOM && !inventory.items.is_empty() {
+            if total > DATAGRAM_CAPACITY && !inventory.items.is_empty() {
                 if !self.may_send_deferrable() {
                     return;
                 }
                 self.send(
                     to,
                     Some(Payload::Inventory(std::mem::take(&mut inventory))),
-                    out,
+                    actions,
                 );
             }
-            if length <= DATAGRAM_ROOM {
+            if length <= DATAGRAM_CAPACITY {
                 bucket.append_to(&mut inventory);
-            } else if !self.send_bucket_in_parts(to, &bucket, out) {
+            } else if !self.send_bucket_in_parts(to, &bucket, actions) {
                 return;
             }
         }
         if !inventory.buckets.is_empty() {
-            self.send(to, Some(Payload::Inventory(inventory)), out);
+            self.send(to, Some(Payload::Inventory(inventory)), actions);
         }
     }
 
@@ -147,7 +155,7 @@
         &mut self,
         to: Recipient,
         bucket: &BucketItems,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         for items in bucket.items.chunks(ITEMS_PER_DATAGRAM) {
             if !self.may_send_deferrable() {
@@ -157,18 +165,18 @@
                 buckets: Vec::new(),
                 items: items.to_vec(),
             };
-            self.send(to, Some(Payload::Inventory(part)), out);
+            self.send(to, Some(Payload::Inventory(part)), actions);
         }
         true
     }
 
-    /// Another front's inventory: takes in its claims, requests records that are newer there, and sends those that are
+    /// Another proxy's inventory: takes in its claims, requests records that are newer there, and sends those that are
     /// newer here.
     pub(super) fn receive_inventory(
         &mut self,
         sender: Recipient,
         inventory: Inventory,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let listed: BTreeSet<String> = inventory
             .items
@@ -179,9 +187,9 @@
         for item in inventory.items {
             let Some(claim) = item.claim() else { continue };
             if item.name == self.own.name {
-                self.compare_own_item(item, claim, &mut difference, out);
+                self.compare_own_item(item, claim, &mut difference, actions);
             } else {
-                self.compare_item(item, claim, &mut difference, out);
+                self.compare_item(item, claim, &mut difference, actions);
             }
         }
         let complete: BTreeSet<usize> = inventory
@@ -192,8 +200,8 @@
         difference
             .newer
             .extend(self.missing_names(&complete, &listed));
-        if self.request_records(sender, difference.wanted, out) {
-            self.send_records(sender, difference.newer, out);
+        if self.request_records(sender, difference.wanted, actions) {
+            self.send_records(sender, difference.newer, actions);
         }
     }
 
@@ -202,7 +210,7 @@
         item: Record,
         claim: Claim,
         difference: &mut Difference,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let own = (
             self.own.claim.start,
@@ -211,7 +219,7 @@
         );
         let is_outdated = own > (claim.start, claim.incarnation, item.revision);
         let name = item.name.clone();
-        self.receive_record(item, ClaimSource::AntiEntropy, out);
+        self.receive_record(item, ClaimSource::AntiEntropy, actions);
         if is_outdated || claim.state != MemberState::Alive {
             difference.newer.push(name);
         }
@@ -222,10 +230,10 @@
         item: Record,
         claim: Claim,
         difference: &mut Difference,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(member) = self.members.get(&item.name) else {
-            if !self.forgotten.covers(&item.name, item.start) {
+            if !self.tombstones.covers(&item.name, item.start) {
                 difference.wanted.push(item.name);
             }
             return;
@@ -242,14 +250,14 @@
         if body_is_newer {
             difference.wanted.push(name.clone());
         } else if claim > known {
-            self.receive_record(item, ClaimSource::AntiEntropy, out);
+            self.receive_record(item, ClaimSource::AntiEntropy, actions);
         }
         if is_outdated {
             difference.newer.push(name);
         }
     }
 
-    /// Members, this front among them, that the other does not know: those that its complete buckets do not list.
+    /// Members, this proxy among them, that the other does not know: those that its complete buckets do not list.
     fn missing_names(&self, complete: &BTreeSet<usize>, listed: &BTreeSet<String>) -> Vec<String> {
         let is_missing = |name: &String| complete.contains(&bucket(name)) && !listed.contains(name);
         let present = |(_, member): &(&String, &Member)| member.claim.state.is_present();
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -1,7 +1,9 @@
-//! Periodic work besides probes: suspicions, anti-entropy, forgetting, and the search for members that may be back.
+//! Periodic work besides probes: suspicions, anti-entropy, forgetting, and the search for members that have returned.
+//!
+//! Suspicions are checked several times in each probe period; the rest is done at one check of them.
 
 use super::budget::ESSENTIAL_SHARE;
-use super::peers::{Peer, Recipient};
+use super::recipients::{Peer, Recipient};
 use super::{Action, Change, View};
 use crate::claim::MemberState;
 use crate::wire::{Payload, Ping, RootDigest};
@@ -13,7 +15,7 @@
 /// For so many periods after a change of the membership an exchange is begun at each check.
 const UNSETTLED_PERIODS: Micros = 3;
 /// Pings with this sequence number belong to no probe.
-const NO_PROBE: u64 = 0;
+const NO_PROBE_SEQUENCE: u64 = 0;
 
 /// When maintenance runs, and which check of the period comes next.
 #[derive(Clone, Debug)]
@@ -38,48 +40,48 @@
 }
 
 impl View {
-    pub(super) fn run_maintenance(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
         self.maintenance.next_at =
-            self.now + self.plan.probe_period / Micros::from(CHECKS_PER_PERIOD);
-        self.decide_suspicions(out);
-        let whole_period = self.maintenance.advance();
+            self.now + self.settings.probe_period / Micros::from(CHECKS_PER_PERIOD);
+        self.decide_suspicions(actions);
+        let is_full_period = self.maintenance.advance();
         self.budget.refill(self.now);
-        if whole_period || self.wants_extra_exchange() {
-            self.begin_exchange(out);
+        if is_full_period || self.wants_extra_exchange() {
+            self.begin_exchange(actions);
         }
-        if whole_period {
-            self.forget_members(out);
+        if is_full_period {
+            self.forget_members(actions);
             self.retry_failed_streams();
-            self.ping_dead_member(out);
-            self.ping_unknown_contacts(out);
+            self.ping_dead_member(actions);
+            self.ping_unknown_contacts(actions);
         }
     }
 
-    /// More exchanges while this front joins or the membership changes. One that there is no budget to go on with would
+    /// More exchanges while this proxy joins or the membership changes. One that there is no budget to go on with would
     /// be wasted, and take more of it from the next.
     fn wants_extra_exchange(&self) -> bool {
         let is_unsettled =
-            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.plan.probe_period;
+            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.settings.probe_period;
         (!self.joined || is_unsettled) && self.budget.has_share(ESSENTIAL_SHARE)
     }
 
     /// Sends the digest of the view to a random member; the two exchange more where theirs differ.
-    fn begin_exchange(&mut self, out: &mut Vec<Action>) {
+    fn begin_exchange(&mut self, actions: &mut Vec<Action>) {
         for peer in self.random_peers(1, "") {
             let root = RootDigest {
                 digest: self.digest.root(),
                 count: self.present_count() as u64,
             };
-            self.send(peer.recipient(), Some(Payload::RootDigest(root)), out);
+            self.send(peer.recipient(), Some(Payload::RootDigest(root)), actions);
         }
     }
 
     /// Removes members that have been dead or gone for long.
-    fn forget_members(&mut self, out: &mut Vec<Action>) {
+    fn forget_members(&mut self, actions: &mut Vec<Action>) {
         if mutant("tombstones-for-ever") {
             return;
         }
-        let before = self.now - self.plan.departed_retention;
+        let before = self.now - self.settings.departed_retention;
         let expired: Vec<String> = self
             .members
             .iter()
@@ -87,21 +89,21 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
-            self.forget_member(name, out);
+            self.forget_member(name, actions);
         }
-        self.forgotten.drop_oldest();
+        self.tombstones.drop_oldest();
     }
 
-    fn forget_member(&mut self, name: String, out: &mut Vec<Action>) {
+    fn forget_member(&mut self, name: String, actions: &mut Vec<Action>) {
         if let Some(member) = self
             .members
             .remove(&name)
             .filter(|_| !mutant("forgets-whole"))
         {
-            self.forgotten.insert(&name, member.claim.start, self.now);
+            self.tombstones.insert(&name, member.claim.start, self.now);
         }
         self.rumors.remove(&name);
-        out.push(Action::Notify(Change::Forgotten { name }));
+        actions.push(Action::Notify(Change::Forgotten { name }));
     }
 
     fn retry_failed_streams(&mut self) {
@@ -110,7 +112,7 @@
     }
 
     /// Pings a random dead member: so a partition that has healed is noticed.
-    fn ping_dead_member(&mut self, out: &mut Vec<Action>) {
+    fn ping_dead_member(&mut self, actions: &mut Vec<Action>) {
         let dead = |(name, member): (&String, &super::Member)| {
             let is_dead = member.claim.state == MemberState::Dead;
             member.address().filter(|_| is_dead).map(|address| Peer {
@@ -124,14 +126,14 @@
         }
         let peer = &dead[self.rng.usize(0..dead.len())];
         let ping = Ping {
-            sequence: NO_PROBE,
+            sequence: NO_PROBE_SEQUENCE,
             target: peer.name.clone(),
         };
-        self.send(peer.recipient(), Some(Payload::Ping(ping)), out);
+        self.send(peer.recipient(), Some(Payload::Ping(ping)), actions);
     }
 
     /// Pings the configured contacts at whose addresses no present member is known.
-    fn ping_unknown_contacts(&mut self, out: &mut Vec<Action>) {
+    fn ping_unknown_contacts(&mut self, actions: &mut Vec<Action>) {
         let is_unknown = |address: &SocketAddr| {
             let text = address.to_string();
             !self
@@ -139,19 +141,19 @@
                 .values()
                 .any(|m| m.claim.state.is_present() && m.body.address == text)
         };
-        let contacts = self.plan.contacts.iter().copied();
+        let contacts = self.settings.contacts.iter().copied();
         let unknown: Vec<SocketAddr> = contacts
-            .filter(|to| *to != self.plan.advertise && is_unknown(to))
+            .filter(|to| *to != self.settings.advertise && is_unknown(to))
             .collect();
         for address in unknown {
             let ping = Ping {
-                sequence: NO_PROBE,
+                sequence: NO_PROBE_SEQUENCE,
                 target: String::new(),
             };
             self.send(
                 Recipient { name: "", address },
                 Some(Payload::Ping(ping)),
-                out,
+                actions,
             );
         }
     }
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -1,4 +1,6 @@
-//! What this front knows of one other member.
+//! What this proxy knows of one other member.
+//!
+//! Invariant: a member has a [`Suspicion`] exactly while its claim is that it is suspected.
 
 use crate::claim::{Claim, MemberState};
 use crate::wire::{Body, Record};
@@ -24,9 +26,10 @@
     }
 }
 
-/// Another member, as this front knows it.
+/// Another member, as this proxy knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// The claim about it that supersedes all others that this proxy received.
     pub claim: Claim,
     /// When it took its state, by this view.
     pub state_since: Micros,
@@ -36,12 +39,13 @@
     pub body: Body,
     /// `body` as the member encoded it, with fields that this build does not know.
     pub(super) encoded_body: Vec<u8>,
+    /// The open suspicion of it.
     pub suspicion: Option<Suspicion>,
     /// Who claimed that it is dead.
     pub declared_dead_by: String,
-    /// When this front last had an answer to a probe of it.
+    /// When this proxy last had an answer to a probe of it.
     pub(super) acknowledged_at: Option<Micros>,
-    /// When this front last received anything from it.
+    /// When this proxy last received anything from it.
     pub(super) received_at: Option<Micros>,
     /// Smoothed round trip time of direct probes, in microseconds.
     pub round_trip: Option<f64>,
@@ -80,7 +84,7 @@
         self.claim.state == MemberState::Alive
     }
 
-    /// The record of this member for another front, without its body.
+    /// The record of this member for another proxy, without its body.
     pub(super) fn record(&self, name: &str, preferred_accuser: &str) -> Record {
         Record {
             name: name.into(),
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -1,4 +1,7 @@
-//! Merging claims and published bodies about members into the view.
+//! Merging of claims and published bodies about members into the view.
+//!
+//! Invariants: the claim about a member is only ever replaced by one that supersedes it; the revision of its body only
+//! grows while its process is the same; a member is on the rings and in the digest exactly while it is present.
 
 use super::member::PublishedBody;
 use super::{Action, Change, ClaimSource, Member, Suspicion, View};
@@ -9,42 +12,42 @@
 
 /// An answer to a probe within so many periods speaks against an unconfirmed report of a death.
 const RECENT_ANSWER_PERIODS: f64 = 1.5;
-/// A suspicion so many periods old gives way to a death that another front has held for longer.
+/// A suspicion so many periods old gives way to a death that another proxy has held for longer.
 const OLD_SUSPICION_PERIODS: Micros = 2;
 
-/// A claim about another member, with its source.
+/// A claim about another member, and how this proxy learned of it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Report<'a> {
+pub(super) struct ClaimReport<'a> {
     /// The member that the claim is about.
     pub name: &'a str,
     pub claim: Claim,
     /// Who accuses the member; empty where nobody does.
-    pub by: &'a str,
-    pub why: ClaimSource,
+    pub accuser: &'a str,
+    pub source: ClaimSource,
 }
 
 impl View {
-    /// A record from another front; `why` tells whether it came as a rumor or by anti-entropy.
+    /// A record from another proxy; `source` is a rumor or anti-entropy.
     pub(super) fn receive_record(
         &mut self,
         record: Record,
-        why: ClaimSource,
-        out: &mut Vec<Action>,
+        source: ClaimSource,
+        actions: &mut Vec<Action>,
     ) {
         let Some(claim) = record.claim() else { return };
         if record.name == self.own.name {
-            self.receive_record_about_self(record, out);
-        } else if !self.forgotten.covers(&record.name, record.start) {
-            self.receive_record_about_member(record, claim, why, out);
+            self.receive_record_about_self(record, actions);
+        } else if !self.tombstones.covers(&record.name, record.start) {
+            self.receive_record_about_member(record, claim, source, actions);
         }
     }
 
-    fn receive_record_about_self(&mut self, record: Record, out: &mut Vec<Action>) {
+    fn receive_record_about_self(&mut self, record: Record, actions: &mut Vec<Action>) {
         if record.start > self.own.claim.start {
             let body = wire::decode_body(&record.body)
                 .filter(|_| !record.body.is_empty())
                 .unwrap_or_default();
-            self.resolve_name_conflict(record.start, body.nonce, &body.address, out);
+            self.resolve_name_conflict(record.start, body.nonce, &body.address, actions);
             return;
         }
         let (start, incarnation, state) = (record.start, record.incarnation, record.state);
@@ -54,15 +57,15 @@
             state,
             forgotten: false,
         };
-        self.receive_claim_about_self(claim, &record.accuser, out);
+        self.receive_claim_about_self(claim, &record.accuser, actions);
     }
 
     fn receive_record_about_member(
         &mut self,
         record: Record,
         claim: Claim,
-        why: ClaimSource,
-        out: &mut Vec<Action>,
+        source: ClaimSource,
+        actions: &mut Vec<Action>,
     ) {
         let published = PublishedBody {
             revision: if record.body.is_empty() {
@@ -74,40 +77,40 @@
             encoded: record.body,
         };
         let known = self.members.get(&record.name);
-        let report = Report {
+        let report = ClaimReport {
             name: &record.name,
             claim,
-            by: &record.accuser,
-            why,
+            accuser: &record.accuser,
+            source,
         };
         match claim.state {
             MemberState::Suspected => {
                 if known.is_none() {
-                    self.learn_or_drop(report, published, out);
+                    self.learn_or_drop(report, published, actions);
                 }
-                self.suspect(report, out);
+                self.suspect(report, actions);
             }
             MemberState::Dead
                 if known.is_some_and(|member| self.is_death_doubtful(member, report)) =>
             {
                 self.suspect(
-                    Report {
+                    ClaimReport {
                         claim: claim.with_state(MemberState::Suspected),
-                        by: "",
+                        accuser: "",
                         ..report
                     },
-                    out,
+                    actions,
                 );
                 // The member itself is to refute it.
-                self.probe(report.name, out);
+                self.probe(report.name, actions);
             }
-            _ => self.learn_or_drop(report, published, out),
+            _ => self.learn_or_drop(report, published, actions),
         }
     }
 
-    /// Whether a reported death of a present member is not to be believed at once: this front had an answer from it
-    /// recently, or the report is old and this front has not suspected it for long.
-    fn is_death_doubtful(&self, member: &Member, report: Report) -> bool {
+    /// Whether a reported death of a present member is not to be believed at once: this proxy had an answer from it
+    /// recently, or the report is old and this proxy has not suspected it for long.
+    fn is_death_doubtful(&self, member: &Member, report: ClaimReport) -> bool {
         let known = member.claim;
         if !report.claim.supersedes(&known)
             || !known.state.is_present()
@@ -115,19 +118,24 @@
         {
             return false;
         }
-        let period = self.plan.probe_period;
+        let period = self.settings.probe_period;
         let recent = RECENT_ANSWER_PERIODS * period as f64;
         let has_answered = member
             .acknowledged_at
             .is_some_and(|at| ((self.now - at) as f64) < recent);
-        let is_rumor = report.why == ClaimSource::Rumor;
+        let is_rumor = report.source == ClaimSource::Rumor;
         let long_suspected = known.state == MemberState::Suspected
             && self.now - member.state_since >= OLD_SUSPICION_PERIODS * period;
         has_answered || !(is_rumor || long_suspected)
     }
 
-    fn learn_or_drop(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Action>) {
-        if self.learn(report, published, out).is_err() {
+    fn learn_or_drop(
+        &mut self,
+        report: ClaimReport,
+        published: PublishedBody,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.learn(report, published, actions).is_err() {
             self.count_dropped(DropReason::ViewFull);
         }
     }
@@ -136,58 +144,58 @@
     /// for another member.
     pub(super) fn learn(
         &mut self,
-        report: Report,
+        report: ClaimReport,
         published: PublishedBody,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
         let Some(member) = self.members.get(report.name) else {
-            return self.add_member(report, published, out);
+            return self.add_member(report, published, actions);
         };
         if report.claim.start > member.claim.start {
             self.reset_for_new_process(report.name, &published);
         }
-        self.update_body(report, published, out);
+        self.update_body(report, published, actions);
         if self
             .members
             .get(report.name)
             .is_some_and(|member| report.claim.supersedes(&member.claim))
         {
-            self.apply_claim(report, out);
+            self.apply_claim(report, actions);
         }
         Ok(())
     }
 
     fn add_member(
         &mut self,
-        report: Report,
+        report: ClaimReport,
         published: PublishedBody,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
-        let Report {
+        let ClaimReport {
             name,
             claim,
-            by,
-            why,
+            accuser,
+            source,
         } = report;
-        if self.members.len() + 1 >= self.plan.max_members || name.len() > MAX_TEXT_LENGTH {
+        if self.members.len() + 1 >= self.settings.max_members || name.len() > MAX_TEXT_LENGTH {
             return Err(DropReason::ViewFull);
         }
-        let mut member = Member::new(claim, published, by, self.now);
-        member.received_at = (why == ClaimSource::MemberItself).then_some(self.now);
+        let mut member = Member::new(claim, published, accuser, self.now);
+        member.received_at = (source == ClaimSource::MemberItself).then_some(self.now);
         self.members.insert(name.into(), member);
         if claim.state.is_present() {
             self.rings.insert(name);
             self.toggle_digest(name);
             self.membership_changed_at = self.now;
         }
-        self.forgotten.remove(name);
+        self.tombstones.remove(name);
         self.body_updates += 1;
-        let by = if why == ClaimSource::MemberItself {
+        let accuser = if source == ClaimSource::MemberItself {
             name
         } else {
-            by
+            accuser
         };
-        self.announce(Report { by, ..report }, None, out);
+        self.spread_and_report(ClaimReport { accuser, ..report }, None, actions);
         Ok(())
     }
 
@@ -206,9 +214,17 @@
 
     /// Takes a later revision of a member's body; and one without revision, which holds only its address, where that
     /// is not known yet.
-    fn update_body(&mut self, report: Report, published: PublishedBody, out: &mut Vec<Action>) {
-        let Report {
-            name, claim, why, ..
+    fn update_body(
+        &mut self,
+        report: ClaimReport,
+        published: PublishedBody,
+        actions: &mut Vec<Action>,
+    ) {
+        let ClaimReport {
+            name,
+            claim,
+            source,
+            ..
         } = report;
         let Some(member) = self.members.get(name) else {
             return;
@@ -226,11 +242,11 @@
             self.membership_changed_at = self.now;
         }
         // What comes by anti-entropy spreads by it as well.
-        if why != ClaimSource::AntiEntropy {
+        if source != ClaimSource::AntiEntropy {
             self.rumors.insert(name, self.members.len());
         }
         if !is_first {
-            out.push(Action::Notify(Change::BodyReplaced { name: name.into() }));
+            actions.push(Action::Notify(Change::BodyReplaced { name: name.into() }));
         }
     }
 
@@ -245,15 +261,18 @@
     }
 
     /// Replaces the claim about a known member.
-    pub(super) fn apply_claim(&mut self, report: Report, out: &mut Vec<Action>) {
-        let Report {
-            name, claim, by, ..
+    pub(super) fn apply_claim(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
+        let ClaimReport {
+            name,
+            claim,
+            accuser,
+            ..
         } = report;
         let Some(former) = self.members.get(name).map(|member| member.claim) else {
             return;
         };
         self.toggle_digest(name);
-        self.replace_claim(name, claim, by);
+        self.replace_claim(name, claim, accuser);
         self.toggle_digest(name);
         match (former.state.is_present(), claim.state.is_present()) {
             (true, false) => self.rings.remove(name),
@@ -263,10 +282,10 @@
         if former.state.is_present() != claim.state.is_present() || former.start != claim.start {
             self.membership_changed_at = self.now;
         }
-        self.announce(report, Some(former), out);
+        self.spread_and_report(report, Some(former), actions);
     }
 
-    fn replace_claim(&mut self, name: &str, claim: Claim, by: &str) {
+    fn replace_claim(&mut self, name: &str, claim: Claim, accuser: &str) {
         let now = self.now;
         let Some(member) = self.members.get_mut(name) else {
             return;
@@ -279,7 +298,7 @@
             member.suspicion.get_or_insert_with(|| Suspicion::new(now));
         } else {
             member.suspicion = None;
-            member.declared_dead_by = by.into();
+            member.declared_dead_by = accuser.into();
         }
     }
 }
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -1,11 +1,14 @@
-//! This front as a member of the fleet: its claim and the body that it publishes.
+//! This proxy as a member of the fleet: its claim and the body that it publishes.
+//!
+//! Invariants: its claim and the revision of its body only grow; the digest holds both as they are until it leaves.
 
 use super::{MemberIdentity, View};
 use crate::claim::{Claim, MemberState};
 use crate::settings::FleetSettings;
 use crate::wire::{Body, Record, Value, MAX_VALUES_LENGTH};
+use crate::Micros;
 
-/// This front's own entry.
+/// This proxy's own entry.
 #[derive(Clone, Debug)]
 pub(super) struct OwnMember {
     pub name: String,
@@ -52,7 +55,7 @@
         true
     }
 
-    /// The record of this front without its body.
+    /// The record of this proxy without its body.
     pub(super) fn record(&self) -> Record {
         Record {
             name: self.name.clone(),
@@ -74,9 +77,20 @@
 }
 
 impl View {
-    /// Publishes this front's body under a new revision.
+    /// Publishes a value of another module with this proxy's body, in place of an earlier one of the same kind. False,
+    /// and nothing is changed, where all values together would be too large.
+    pub fn put_value(&mut self, now: Micros, value: Value) -> bool {
+        self.now = now;
+        if !self.own.put_value(value) {
+            return false;
+        }
+        self.publish_own_body();
+        true
+    }
+
+    /// Publishes this proxy's body under a new revision.
     pub(super) fn publish_own_body(&mut self) {
-        // A front that leaves is no longer in the digest.
+        // A proxy that leaves is no longer in the digest.
         let in_digest = self.own.claim.state == MemberState::Alive;
         if in_digest {
             self.toggle_own_digest();
@@ -89,7 +103,7 @@
         self.spread_own_record();
     }
 
-    /// Publishes a new claim of this front about itself.
+    /// Publishes a new claim of this proxy about itself.
     pub(super) fn publish_own_claim(&mut self, claim: Claim) {
         self.toggle_own_digest();
         if claim.start != self.own.claim.start {
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -1,14 +1,18 @@
 //! Probes of other members: a ping, after a while ping requests to some helpers, and at last a failure.
+//!
+//! States of a probe: direct until `indirect_at`, indirect until `deadline`, then failed. It ends earlier with an ack, from
+//! the target or relayed by a helper, or when this process was paused. Invariants: there is at most one open probe of a
+//! member; probes and relayed probes share one count of sequence numbers, so an ack belongs to one of them only.
 
 use super::budget::ESSENTIAL_SHARE;
-use super::peers::Recipient;
+use super::recipients::Recipient;
 use super::{Action, View};
 use crate::wire::{Payload, Ping, PingRequest};
 use crate::Micros;
 
-/// The part of a period that a direct probe may take, as a divisor.
+/// The part of a probe period that a direct probe may take, as a divisor.
 pub(super) const DIRECT_TIMEOUT_DIVISOR: Micros = 3;
-/// How many helpers are asked for an indirect probe.
+/// Helpers that are requested to probe a target indirectly.
 const INDIRECT_HELPERS: usize = 3;
 /// Weight of a new sample in the smoothed round trip time.
 const ROUND_TRIP_SMOOTHING: f64 = 0.2;
@@ -18,12 +22,12 @@
 pub(super) struct Probe {
     target: String,
     sent_at: Micros,
-    /// When helpers are asked to probe the target as well.
+    /// When helpers are requested to probe the target as well.
     indirect_at: Micros,
     /// When the probe has failed.
     deadline: Micros,
     indirect_requested: bool,
-    /// A helper reported that it got no answer either: this front itself is not cut off.
+    /// A helper reported that it got no answer either: this proxy itself is not cut off.
     helper_responded: bool,
 }
 
@@ -40,14 +44,14 @@
 
 impl View {
     /// Pings a member, unless a probe of it is open.
-    pub(super) fn probe(&mut self, name: &str, out: &mut Vec<Action>) {
+    pub(super) fn probe(&mut self, name: &str, actions: &mut Vec<Action>) {
         let Some(address) = self.address_of(name) else {
             return;
         };
         if self.probes.values().any(|probe| probe.target == name) {
             return;
         }
-        let (period, multiplier) = (self.plan.probe_period, self.health.timeout_multiplier());
+        let (period, multiplier) = (self.settings.probe_period, self.health.timeout_multiplier());
         let probe = Probe {
             target: name.into(),
             sent_at: self.now,
@@ -63,18 +67,22 @@
             sequence,
             target: name.into(),
         };
-        self.send(Recipient { name, address }, Some(Payload::Ping(ping)), out);
+        self.send(
+            Recipient { name, address },
+            Some(Payload::Ping(ping)),
+            actions,
+        );
     }
 
-    /// Takes the next step of each probe, its own and relayed ones, whose time is up.
-    pub(super) fn process_probe_deadlines(&mut self, out: &mut Vec<Action>) {
-        self.request_due_indirect_probes(out);
-        self.fail_expired_probes(out);
-        self.send_due_nacks(out);
+    /// Takes the next step of each probe that is due, own and relayed.
+    pub(super) fn process_probe_deadlines(&mut self, actions: &mut Vec<Action>) {
+        self.request_due_indirect_probes(actions);
+        self.fail_expired_probes(actions);
+        self.send_due_nacks(actions);
         self.drop_expired_relayed_probes();
     }
 
-    fn request_due_indirect_probes(&mut self, out: &mut Vec<Action>) {
+    fn request_due_indirect_probes(&mut self, actions: &mut Vec<Action>) {
         let is_due = |probe: &Probe| !probe.indirect_requested && self.now >= probe.indirect_at;
         let due: Vec<u64> = self
             .probes
@@ -83,11 +91,11 @@
             .map(|(sequence, _)| *sequence)
             .collect();
         for sequence in due {
-            self.request_indirect_probe(sequence, out);
+            self.request_indirect_probe(sequence, actions);
         }
     }
 
-    fn request_indirect_probe(&mut self, sequence: u64, out: &mut Vec<Action>) {
+    fn request_indirect_probe(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let Some(probe) = self.probes.get_mut(&sequence) else {
             return;
         };
@@ -96,7 +104,7 @@
         let Some(address) = self.address_of(&target) else {
             return;
         };
-        // While many fail at once the bytes are needed to spread that. One helper is enough to show that this front is
+        // While many fail at once the bytes are needed to spread that. One helper is enough to show that this proxy is
         // not the one cut off.
         self.budget.refill(self.now);
         let helpers = if self.budget.has_share(ESSENTIAL_SHARE) {
@@ -110,11 +118,15 @@
                 target: target.clone(),
                 address: address.to_string(),
             };
-            self.send(helper.recipient(), Some(Payload::PingRequest(request)), out);
+            self.send(
+                helper.recipient(),
+                Some(Payload::PingRequest(request)),
+                actions,
+            );
         }
     }
 
-    fn fail_expired_probes(&mut self, out: &mut Vec<Action>) {
+    fn fail_expired_probes(&mut self, actions: &mut Vec<Action>) {
         let is_expired = |probe: &Probe| self.now >= probe.deadline;
         let expired: Vec<u64> = self
             .probes
@@ -124,13 +136,13 @@
             .collect();
         for sequence in expired {
             if let Some(probe) = self.probes.remove(&sequence) {
-                self.fail_probe(probe, out);
+                self.fail_probe(probe, actions);
             }
         }
     }
 
     /// No answer came, neither directly nor through a helper.
-    fn fail_probe(&mut self, probe: Probe, out: &mut Vec<Action>) {
+    fn fail_probe(&mut self, probe: Probe, actions: &mut Vec<Action>) {
         self.counters.failed_probes += 1;
         let has_other_members = self
             .members
@@ -141,18 +153,18 @@
         if !probe.helper_responded && has_other_members {
             self.health.record_isolation();
         }
-        self.suspect_unanswering(&probe.target, out);
+        self.suspect_unanswering(&probe.target, actions);
     }
 
-    /// An answer to a probe of this front, or to one relayed for another.
-    pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, out: &mut Vec<Action>) {
-        if self.complete_relayed_probe(sequence, out) {
+    /// An answer to a probe of this proxy, or to one relayed for another.
+    pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, actions: &mut Vec<Action>) {
+        if self.complete_relayed_probe(sequence, actions) {
             return;
         }
         let Some(probe) = self.probes.remove(&sequence) else {
             return;
         };
-        self.health.record_answer();
+        self.health.record_response();
         let Some(member) = self.members.get_mut(&probe.target) else {
             return;
         };
@@ -162,18 +174,18 @@
             let smooth = |former: f64| former + ROUND_TRIP_SMOOTHING * (sample - former);
             member.round_trip = Some(member.round_trip.map_or(sample, smooth));
         }
-        // This front withdraws its accusation. Other accusers learn from the member's refutation; it has heard of the
-        // suspicion by now.
+        // This proxy withdraws its accusation. Other accusers learn from the member's refutation: the suspicion came with
+        // the probe.
         if let Some(suspicion) = &mut member.suspicion {
             suspicion.accusers.remove(&self.own.name);
         }
     }
 
-    /// A helper got no answer in time: the target may be dead, but this front reaches others.
+    /// A helper got no answer in time: the target may be dead, but this proxy reaches others.
     pub(super) fn receive_nack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
             probe.helper_responded = true;
-            self.health.record_answer();
+            self.health.record_response();
         }
     }
 }
--- a/crates/membership/src/view/receive.rs
+++ b/crates/membership/src/view/receive.rs
@@ -1,8 +1,11 @@
-//! Received messages: what their header tells of the sender, and their dispatch.
+//! Received messages: what their header says of the sender, and their dispatch.
+//!
+//! Invariant: a message changes the view only where it is of this fleet, from another name, and from a process that is
+//! neither forgotten nor considered dead; all others are counted by the reason for which they were dropped.
 
 use super::member::PublishedBody;
-use super::merge::Report;
-use super::peers::Recipient;
+use super::merge::ClaimReport;
+use super::recipients::Recipient;
 use super::{Action, ClaimSource, View};
 use crate::claim::{Claim, MemberState};
 use crate::wire::{self, Body, DropReason, Packet, Payload, Ping, SequenceNumber};
@@ -10,8 +13,8 @@
 use std::net::SocketAddr;
 
 impl View {
-    /// A datagram, or a message of a stream.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
+    /// Handles a datagram, or a message of a stream.
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.counters.messages_received += 1;
         self.counters.bytes_received += bytes.len() as u64;
@@ -19,10 +22,10 @@
             Ok(packet) => packet,
             Err(reason) => return self.count_dropped(reason),
         };
-        if self.gave_way {
+        if self.withdrawn {
             return;
         }
-        if let Err(reason) = self.receive_packet(packet, out) {
+        if let Err(reason) = self.receive_packet(packet, actions) {
             self.count_dropped(reason);
         }
     }
@@ -34,63 +37,76 @@
     fn receive_packet(
         &mut self,
         mut packet: Packet,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
         if packet.sender == self.own.name {
-            return self.receive_from_own_name(&packet, out);
+            return self.receive_from_own_name(&packet, actions);
         }
         let address: SocketAddr = packet
             .address
             .parse()
             .map_err(|_| DropReason::OutOfBounds)?;
-        let you = packet.receiver_claim.take();
-        let refuted =
-            you.is_some_and(|you| self.receive_claim_about_self(you, &packet.sender, out));
-        let from = packet.sender.clone();
+        let claim = packet.receiver_claim.take();
+        let refuted = claim
+            .is_some_and(|claim| self.receive_claim_about_self(claim, &packet.sender, actions));
+        let name = packet.sender.clone();
         let sender = Recipient {
-            name: &from,
+            name: &name,
             address,
         };
-        if self.forgotten.covers(sender.name, packet.start) {
-            // The reply tells the sender so. It returns by a later start.
-            self.send(sender, None, out);
-            return Err(DropReason::SenderDead);
-        }
-        let is_leaving = matches!(packet.payload, Some(Payload::Leaving(_)));
-        if !is_leaving {
-            self.learn_from_header(&packet, out)?;
-        }
-        if let Some(member) = self.members.get_mut(sender.name) {
-            member.received_at = Some(self.now);
-        }
-        if !is_leaving && self.is_sender_gone(&packet) {
-            self.reply_to_gone(sender, packet.payload, refuted, out);
+        if self.tombstones.covers(sender.name, packet.start) {
+            // The reply carries that claim. The sender returns by a later start.
+            self.send(sender, None, actions);
             return Err(DropReason::SenderDead);
         }
+        self.learn_from_header(sender, &packet, refuted, actions)?;
         for record in std::mem::take(&mut packet.records) {
-            self.receive_record(record, ClaimSource::Rumor, out);
+            self.receive_record(record, ClaimSource::Rumor, actions);
         }
-        self.dispatch(sender, packet, refuted, out);
+        self.dispatch(sender, packet, refuted, actions);
         Ok(())
     }
 
     fn receive_from_own_name(
         &mut self,
         packet: &Packet,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
         if packet.nonce == self.own.nonce {
             return Ok(());
         }
-        self.resolve_name_conflict(packet.start, packet.nonce, &packet.address, out);
+        self.resolve_name_conflict(packet.start, packet.nonce, &packet.address, actions);
         Err(DropReason::NameConflict)
     }
 
-    /// The sender is alive, and this is its address.
+    /// Learns that the sender is alive, unless it leaves, and when it last sent something. Fails where the view has no
+    /// capacity for it, or considers the sending process dead.
     fn learn_from_header(
+        &mut self,
+        sender: Recipient,
+        packet: &Packet,
+        refuted: bool,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
+        let is_leaving = matches!(packet.payload, Some(Payload::Leaving(_)));
+        if !is_leaving {
+            self.learn_sender(packet, actions)?;
+        }
+        if let Some(member) = self.members.get_mut(sender.name) {
+            member.received_at = Some(self.now);
+        }
+        if !is_leaving && self.has_sender_departed(packet) {
+            self.reply_to_departed(sender, packet.payload.clone(), refuted, actions);
+            return Err(DropReason::SenderDead);
+        }
+        Ok(())
+    }
+
+    /// The sender is alive, and this is its address.
+    fn learn_sender(
         &mut self,
         packet: &Packet,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
         let body = Body {
             address: packet.address.clone(),
@@ -101,43 +117,37 @@
             body,
             ..PublishedBody::default()
         };
-        let claim = Claim {
-            start: packet.start,
-            incarnation: packet.incarnation,
-            state: MemberState::Alive,
+        let report = ClaimReport {
+            name: &packet.sender,
+            claim: sender_claim(packet, MemberState::Alive),
+            accuser: "",
+            source: ClaimSource::MemberItself,
         };
-        self.learn(
-            Report {
-                name: &packet.sender,
-                claim,
-                by: "",
-                why: ClaimSource::MemberItself,
-            },
-            published,
-            out,
-        )
+        self.learn(report, published, actions)
     }
 
-    /// Whether this front holds the sending process to be dead or to have left.
-    fn is_sender_gone(&self, packet: &Packet) -> bool {
+    /// Whether this proxy considers the sending process dead or departed.
+    fn has_sender_departed(&self, packet: &Packet) -> bool {
         let member = self.members.get(&packet.sender);
-        member.is_some_and(|m| m.claim.start != packet.start || !m.claim.state.is_present())
+        member.is_some_and(|member| {
+            member.claim.start != packet.start || !member.claim.state.is_present()
+        })
     }
 
-    /// The reply tells such a sender what is held of it, so that it can refute that; what it tells of others does not
-    /// count until then. A message that requests nothing gets a reply only after a refutation: two fronts that hold
-    /// each other dead would go on replying for ever.
-    fn reply_to_gone(
+    /// The reply carries what this proxy claims of such a sender, so that it can refute that; what it claims of others
+    /// does not count until then. A message that requests nothing gets a reply only after a refutation: two proxies that
+    /// consider each other dead would go on replying for ever.
+    fn reply_to_departed(
         &mut self,
         sender: Recipient,
         payload: Option<Payload>,
         refuted: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let wants_reply = payload.is_some() || refuted;
-        let replied = self.receive_probe_message(sender, payload, out);
+        let replied = self.receive_probe_message(sender, payload, actions);
         if !replied && wants_reply {
-            self.send(sender, None, out);
+            self.send(sender, None, actions);
         }
     }
 
@@ -146,73 +156,76 @@
         sender: Recipient,
         packet: Packet,
         refuted: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
+        let left = sender_claim(&packet, MemberState::Left);
         match packet.payload {
-            Some(Payload::Leaving(SequenceNumber { sequence: seq })) => {
-                let claim = Claim {
-                    start: packet.start,
-                    incarnation: packet.incarnation,
-                    state: MemberState::Left,
-                };
-                self.receive_departure(sender, claim, packet.address, seq, out);
+            Some(Payload::Leaving(SequenceNumber { sequence })) => {
+                self.receive_departure(sender, left, packet.address, sequence, actions);
             }
             Some(Payload::Confirmed(_)) => self.receive_departure_confirmation(sender.name),
-            Some(Payload::RootDigest(root)) => self.receive_root_digest(sender, root, out),
+            Some(Payload::RootDigest(root)) => self.receive_root_digest(sender, root, actions),
             Some(Payload::BucketDigests(buckets)) => {
-                self.receive_bucket_digests(sender, &buckets.digests, out)
+                self.receive_bucket_digests(sender, &buckets.digests, actions);
             }
-            Some(Payload::Inventory(inventory)) => self.receive_inventory(sender, inventory, out),
-            Some(Payload::RecordTransfer(want)) => {
-                for record in want.records {
-                    self.receive_record(record, ClaimSource::AntiEntropy, out);
-                }
-                self.send_records(sender, want.names, out);
+            Some(Payload::Inventory(inventory)) => {
+                self.receive_inventory(sender, inventory, actions);
+            }
+            Some(Payload::RecordTransfer(transfer)) => {
+                self.receive_transfer(sender, transfer, actions);
             }
             payload => {
-                let replied = self.receive_probe_message(sender, payload, out);
+                let replied = self.receive_probe_message(sender, payload, actions);
                 if !replied && refuted {
-                    self.send(sender, None, out);
+                    self.send(sender, None, actions);
                 }
             }
         }
     }
 
-    /// Probes, requests for them and their answers. Whether it was one that a reply belongs to.
+    /// Handles probes, requests for them and their responses. Returns whether it was one that a reply belongs to.
     fn receive_probe_message(
         &mut self,
         sender: Recipient,
         payload: Option<Payload>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         match payload {
             Some(Payload::Ping(ping)) => {
-                self.receive_ping(sender, ping, out);
+                self.receive_ping(sender, ping, actions);
                 true
             }
-            Some(Payload::PingRequest(request)) => self.receive_ping_request(sender, request, out),
-            Some(Payload::Ack(SequenceNumber { sequence: seq })) => {
-                self.receive_ack(sender.name, seq, out);
+            Some(Payload::PingRequest(request)) => {
+                self.receive_ping_request(sender, request, actions)
+            }
+            Some(Payload::Ack(SequenceNumber { sequence })) => {
+                self.receive_ack(sender.name, sequence, actions);
                 false
             }
-            Some(Payload::Nack(SequenceNumber { sequence: seq })) => {
-                self.receive_nack(seq);
+            Some(Payload::Nack(SequenceNumber { sequence })) => {
+                self.receive_nack(sequence);
                 false
             }
             _ => false,
         }
     }
 
-    /// Answers a ping, unless it is meant for a member that had this address before.
-    fn receive_ping(&mut self, sender: Recipient, ping: Ping, out: &mut Vec<Action>) {
+    /// Responds to a ping, unless it is meant for a member that had this address before.
+    fn receive_ping(&mut self, sender: Recipient, ping: Ping, actions: &mut Vec<Action>) {
         if ping.target.is_empty() || ping.target == self.own.name {
-            self.send(
-                sender,
-                Some(Payload::Ack(SequenceNumber {
-                    sequence: ping.sequence,
-                })),
-                out,
-            );
+            let ack = SequenceNumber {
+                sequence: ping.sequence,
+            };
+            self.send(sender, Some(Payload::Ack(ack)), actions);
         }
     }
 }
+
+/// What the header claims of the sender, with this state.
+fn sender_claim(packet: &Packet, state: MemberState) -> Claim {
+    Claim {
+        start: packet.start,
+        incarnation: packet.incarnation,
+        state,
+    }
+}
--- a/crates/membership/src/view/peers.rs
+++ b/crates/membership/src/view/recipients.rs
@@ -1,4 +1,4 @@
-//! Recipients, and the random choice of them.
+//! Recipients of messages, and the random choice of them.
 
 use super::View;
 use crate::claim::MemberState;
@@ -38,8 +38,8 @@
 }
 
 impl View {
-    /// Random living members. Of the candidates drawn for each place the one heard from most recently is taken, by
-    /// whole periods: just after many have died most of those that the view still holds are gone.
+    /// Random members that are alive. Of the candidates drawn for each place the one from which this proxy received
+    /// something most recently is taken, by whole periods: just after many have died most of those in the view are dead.
     pub(super) fn random_peers(&mut self, count: usize, except: &str) -> Vec<Peer> {
         let mut candidates: Vec<Candidate> = self
             .members
@@ -59,7 +59,7 @@
             let period = |at: &usize| {
                 candidates[*at]
                     .received_at
-                    .map(|at| at / self.plan.probe_period)
+                    .map(|at| at / self.settings.probe_period)
             };
             let best = drawn.max_by_key(period).unwrap_or(0);
             let Candidate { name, address, .. } = candidates.swap_remove(best);
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -1,18 +1,21 @@
-//! Indirect probes that other fronts request: this front pings the target and relays the answer.
+//! Indirect probes that other proxies request: this proxy pings the target and relays the response.
+//!
+//! A relayed probe ends with the target's ack, or after one probe period. Invariants: it sends one ping, at most one nack
+//! (no answer yet) and at most one ack; the number of relayed probes is bounded.
 
-use super::peers::{Peer, Recipient};
 use super::probing::DIRECT_TIMEOUT_DIVISOR;
+use super::recipients::{Peer, Recipient};
 use super::{Action, View};
 use crate::wire::{Payload, Ping, PingRequest, SequenceNumber};
 use crate::Micros;
 
-/// A probe sent at the request of another front.
+/// A probe sent at the request of another proxy.
 #[derive(Clone, Debug)]
 pub(super) struct RelayedProbe {
     requester: Peer,
     /// The sequence number of the request, which the answer to it carries.
     requested_sequence: u64,
-    /// When the requester is told that there is no answer yet; none once it was.
+    /// When the requester is sent a nack, as there is no response yet; none once it was.
     nack_at: Option<Micros>,
     expires_at: Micros,
 }
@@ -25,18 +28,18 @@
 }
 
 impl View {
-    /// Pings the target of the request, where its address is valid. Whether it was.
+    /// Pings the target of the request, where its address is valid. Returns whether it is.
     pub(super) fn receive_ping_request(
         &mut self,
         requester: Recipient,
         request: PingRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Ok(address) = request.address.parse() else {
             return false;
         };
         let sequence = self.next_sequence();
-        if self.relayed_probes.len() >= self.plan.max_members {
+        if self.relayed_probes.len() >= self.settings.max_members {
             return true;
         }
         let relayed = RelayedProbe {
@@ -45,8 +48,8 @@
                 address: requester.address,
             },
             requested_sequence: request.sequence,
-            nack_at: Some(self.now + self.plan.probe_period / DIRECT_TIMEOUT_DIVISOR),
-            expires_at: self.now + self.plan.probe_period,
+            nack_at: Some(self.now + self.settings.probe_period / DIRECT_TIMEOUT_DIVISOR),
+            expires_at: self.now + self.settings.probe_period,
         };
         self.relayed_probes.insert(sequence, relayed);
         let ping = Ping {
@@ -59,25 +62,33 @@
                 address,
             },
             Some(Payload::Ping(ping)),
-            out,
+            actions,
         );
         true
     }
 
-    /// Relays the answer to a relayed probe. False if that sequence number is of none.
-    pub(super) fn complete_relayed_probe(&mut self, sequence: u64, out: &mut Vec<Action>) -> bool {
+    /// Relays the response to a relayed probe. False if the sequence number is of none.
+    pub(super) fn complete_relayed_probe(
+        &mut self,
+        sequence: u64,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let Some(relayed) = self.relayed_probes.remove(&sequence) else {
             return false;
         };
         let ack = SequenceNumber {
             sequence: relayed.requested_sequence,
         };
-        self.send(relayed.requester.recipient(), Some(Payload::Ack(ack)), out);
+        self.send(
+            relayed.requester.recipient(),
+            Some(Payload::Ack(ack)),
+            actions,
+        );
         true
     }
 
-    /// Tells requesters whose targets have not answered in time.
-    pub(super) fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
+    /// Sends nacks to requesters whose targets have not responded in time.
+    pub(super) fn send_due_nacks(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let mut due = Vec::new();
         for relayed in self.relayed_probes.values_mut() {
@@ -89,7 +100,7 @@
             self.send(
                 requester.recipient(),
                 Some(Payload::Nack(SequenceNumber { sequence: seq })),
-                out,
+                actions,
             );
         }
     }
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -1,4 +1,8 @@
-//! The probe schedule: which of the observed members are probed when, spread evenly over each round of one period.
+//! The probe schedule: which observed members are probed when.
+//!
+//! A round lasts one probe period and probes each observed member once, spread evenly over the time that is left of it.
+//! Invariants: `pending` is a part of `scheduled`, so no member is probed twice in a round; a pending probe is due by the
+//! end of the round.
 
 use super::{Action, View};
 use crate::Micros;
@@ -57,17 +61,20 @@
 
 impl View {
     /// Probes the next member of the round, and begins another round after the last.
-    pub(super) fn probe_next_scheduled(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn probe_next_scheduled(&mut self, actions: &mut Vec<Action>) {
         if self.schedule.pending.is_empty() {
             self.schedule.begin_round(self.now);
             self.schedule_observed_members();
         }
-        if let Some(name) = self.schedule.take_next(self.now, self.plan.probe_period) {
-            self.probe(&name, out);
+        if let Some(name) = self
+            .schedule
+            .take_next(self.now, self.settings.probe_period)
+        {
+            self.probe(&name, actions);
         }
     }
 
-    /// Adds to the round whom this front observes by now. One that has not joined knows only a few contacts and would
+    /// Adds to the round the members that this proxy observes by now. One that has not joined knows only a few contacts and would
     /// overload them together with all others that join: it observes nobody yet.
     pub(super) fn schedule_observed_members(&mut self) {
         if self.joined {
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -1,7 +1,7 @@
 //! Encoding and sending of datagrams, with the rumors that they carry.
 
 use super::budget::{BODY_RUMORS_SHARE, ESSENTIAL_SHARE};
-use super::peers::Recipient;
+use super::recipients::Recipient;
 use super::{Action, View};
 use crate::claim::{Claim, MemberState};
 use crate::wire::{self, Packet, Payload, ReceiverClaim, Record};
@@ -12,8 +12,13 @@
 const RUMORS_ONLY: &str = "news";
 
 impl View {
-    pub(super) fn send(&mut self, to: Recipient, payload: Option<Payload>, out: &mut Vec<Action>) {
-        self.send_with_record(to, payload, None, out);
+    pub(super) fn send(
+        &mut self,
+        to: Recipient,
+        payload: Option<Payload>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.send_with_record(to, payload, None, actions);
     }
 
     /// Sends a datagram. One with a record of its own carries no rumors.
@@ -22,15 +27,15 @@
         to: Recipient,
         payload: Option<Payload>,
         record: Option<Record>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.budget.refill(self.now);
-        let may_carry =
+        let may_carry_rumors =
             record.is_none() && matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)));
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Payload::name);
         let records = record.into_iter().collect();
-        let mut packet = self.packet(self.claim_held_of(to.name), payload, records);
-        // A member that is not known well may not know this front either.
+        let mut packet = self.packet(self.claim_about(to.name), payload, records);
+        // A member that is not known well may not know this proxy either.
         let introduces_itself = self
             .members
             .get(to.name)
@@ -39,25 +44,26 @@
             packet.records.push(self.own.record_with_body());
         }
         // Rumors to a member that may be dead would be wasted.
-        if may_carry && self.budget.has_share(ESSENTIAL_SHARE) && !self.is_unhealthy(to.name) {
+        if may_carry_rumors && self.budget.has_share(ESSENTIAL_SHARE) && !self.is_unhealthy(to.name)
+        {
             self.attach_rumors(&mut packet, introduces_itself);
         }
         self.encode_datagram(packet);
         self.charge_send_buffer(kind);
         self.counters.datagrams_sent += 1;
-        out.push(Action::SendDatagram {
+        actions.push(Action::SendDatagram {
             to: to.address,
             bytes: self.send_buffer.clone(),
         });
     }
 
     /// What a datagram tells its receiver of itself, where that is not alive.
-    fn claim_held_of(&self, name: &str) -> Option<ReceiverClaim> {
+    fn claim_about(&self, name: &str) -> Option<ReceiverClaim> {
         let (claim, forgotten) = match self.members.get(name) {
             Some(member) if member.is_alive() => return None,
             Some(member) => (member.claim, false),
             None => (
-                Claim::alive(self.forgotten.start_of(name)?).with_state(MemberState::Dead),
+                Claim::alive(self.tombstones.start_of(name)?).with_state(MemberState::Dead),
                 true,
             ),
         };
@@ -124,7 +130,7 @@
         }
     }
 
-    /// The record of this front or of a member, with its published body.
+    /// The record of this proxy or of a member, with its published body.
     pub(super) fn record_with_body(&self, name: &str) -> Option<Record> {
         if name == self.own.name {
             return Some(self.own.record_with_body());
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -1,8 +1,13 @@
 //! Suspicion: a member that failed a probe is suspected until it refutes that, or is declared dead after a timeout that
 //! shrinks as more of its observers agree (Lifeguard).
+//!
+//! Transitions: alive to suspected by a failed probe, here or elsewhere; suspected to alive by the member's refutation, a
+//! later incarnation; suspected to dead by the timeout. Invariants: this proxy declares a member dead only while it is
+//! itself among the accusers; the number of accusers is bounded; the timeout lies between the shortest and
+//! [`MAX_TIMEOUT_FACTOR`] times that, before local health extends it.
 
-use super::merge::Report;
-use super::peers::Recipient;
+use super::merge::ClaimReport;
+use super::recipients::Recipient;
 use super::{Action, ClaimSource, Member, Suspicion, View};
 use crate::claim::MemberState;
 use crate::wire::Record;
@@ -14,14 +19,14 @@
 const MAX_TIMEOUT_FACTOR: f64 = 5.0;
 /// Accusers remembered for one suspicion.
 const MAX_ACCUSERS: usize = 16;
-/// Observers that are told directly of a suspicion.
+/// Observers that are notified directly of a suspicion.
 const NOTIFIED_OBSERVERS: usize = 4;
-/// This front probes the member itself where others leave a suspicion undecided for so many of the longest timeouts.
+/// After so many of the longest timeouts this proxy probes the member itself, where others leave a suspicion undecided.
 const UNDECIDED_TIMEOUTS: f64 = 2.0;
 
 impl View {
-    /// Suspects a member that did not answer a probe of this front, and has its other observers look at it.
-    pub(super) fn suspect_unanswering(&mut self, name: &str, out: &mut Vec<Action>) {
+    /// Suspects a member that did not answer a probe of this proxy, and has its other observers look at it.
+    pub(super) fn suspect_unanswering(&mut self, name: &str, actions: &mut Vec<Action>) {
         let Some(member) = self
             .members
             .get(name)
@@ -33,26 +38,26 @@
         let claim = member.claim.with_state(MemberState::Suspected);
         let accuser = self.own.name.clone();
         self.suspect(
-            Report {
+            ClaimReport {
                 name,
                 claim,
-                by: &accuser,
-                why: ClaimSource::OwnProbe,
+                accuser: &accuser,
+                source: ClaimSource::OwnProbe,
             },
-            out,
+            actions,
         );
         // The next members on the rings are observed at once.
         self.schedule_observed_members();
         self.schedule.expedite(self.now);
         if mutant("no-suspicion") {
-            self.declare_dead(name, out);
+            self.declare_dead(name, actions);
             return;
         }
-        self.notify_observers(name, out);
+        self.notify_observers(name, actions);
     }
 
     /// The other observers learn of a suspicion at once: together they can decide sooner.
-    fn notify_observers(&mut self, suspect: &str, out: &mut Vec<Action>) {
+    fn notify_observers(&mut self, suspect: &str, actions: &mut Vec<Action>) {
         let observers: Vec<String> = self
             .observers_of(suspect)
             .into_iter()
@@ -70,13 +75,13 @@
                     },
                     None,
                     accusation,
-                    out,
+                    actions,
                 );
             }
         }
     }
 
-    /// The record of a member with this front as its accuser.
+    /// The record of a member with this proxy as its accuser.
     fn accusation(&self, name: &str) -> Option<Record> {
         let member = self.members.get(name)?;
         Some(Record {
@@ -86,18 +91,18 @@
     }
 
     /// Takes in that a member is suspected. An empty `by` adds no accuser.
-    pub(super) fn suspect(&mut self, report: Report, out: &mut Vec<Action>) {
+    pub(super) fn suspect(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(report.name) else {
             return;
         };
         if report.claim.supersedes(&member.claim) {
             member.suspicion = Some(Suspicion::new(self.now));
-            self.apply_claim(report, out);
+            self.apply_claim(report, actions);
         }
         self.add_accuser(report);
     }
 
-    fn add_accuser(&mut self, report: Report) {
+    fn add_accuser(&mut self, report: ClaimReport) {
         let Some(member) = self
             .members
             .get_mut(report.name)
@@ -108,26 +113,26 @@
         let Some(suspicion) = &mut member.suspicion else {
             return;
         };
-        if report.by.is_empty() || suspicion.accusers.len() >= MAX_ACCUSERS {
+        if report.accuser.is_empty() || suspicion.accusers.len() >= MAX_ACCUSERS {
             return;
         }
-        let is_new = suspicion.accusers.insert(report.by.into());
-        if is_new && report.by == self.own.name {
-            // This front's own evidence is one period old at most: a later answer withdraws the accusation.
-            suspicion.since = suspicion.since.max(self.now - self.plan.probe_period);
+        let is_new = suspicion.accusers.insert(report.accuser.into());
+        if is_new && report.accuser == self.own.name {
+            // This proxy's own evidence is one period old at most: a later answer withdraws the accusation.
+            suspicion.since = suspicion.since.max(self.now - self.settings.probe_period);
         }
     }
 
-    /// How long a suspicion that this front shares stands before it declares the member dead.
+    /// How long a suspicion that this proxy shares stands before it declares the member dead.
     fn suspicion_timeout(&self, name: &str, suspicion: &Suspicion) -> Micros {
         let size_factor = ((self.present_count() as f64).log10() / 2.0).max(1.0);
-        let shortest = self.plan.probe_period as f64 * size_factor;
+        let shortest = self.settings.probe_period as f64 * size_factor;
         let longest = shortest * MAX_TIMEOUT_FACTOR;
         let timeout = longest - (longest - shortest) * self.agreement(name, suspicion);
         timeout as Micros * self.health.timeout_multiplier()
     }
 
-    /// From 0, where no observer but this front accuses the member, to 1, where enough of them do.
+    /// From 0, where no observer but this proxy accuses the member, to 1, where enough of them do.
     fn agreement(&self, name: &str, suspicion: &Suspicion) -> f64 {
         let observers = self.observers_of(name);
         let agreeing = observers
@@ -152,13 +157,13 @@
         name == self.own.name || self.members.get(name).is_some_and(Member::is_alive)
     }
 
-    /// Declares dead whose suspicion timed out, and probes whom this front does not accuse itself but others have
+    /// Declares dead whose suspicion timed out, and probes whom this proxy does not accuse itself but others have
     /// suspected for too long.
-    pub(super) fn decide_suspicions(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn decide_suspicions(&mut self, actions: &mut Vec<Action>) {
         let mut expired = Vec::new();
         let mut undecided = Vec::new();
         let undecided_after =
-            UNDECIDED_TIMEOUTS * MAX_TIMEOUT_FACTOR * self.plan.probe_period as f64;
+            UNDECIDED_TIMEOUTS * MAX_TIMEOUT_FACTOR * self.settings.probe_period as f64;
         for (name, member) in &self.members {
             let Some(suspicion) = member
                 .suspicion
@@ -176,11 +181,13 @@
                 undecided.push(name.clone());
             }
         }
-        expired.iter().for_each(|name| self.declare_dead(name, out));
-        undecided.iter().for_each(|name| self.probe(name, out));
+        expired
+            .iter()
+            .for_each(|name| self.declare_dead(name, actions));
+        undecided.iter().for_each(|name| self.probe(name, actions));
     }
 
-    fn declare_dead(&mut self, name: &str, out: &mut Vec<Action>) {
+    fn declare_dead(&mut self, name: &str, actions: &mut Vec<Action>) {
         let suspected = self
             .members
             .get(name)
@@ -188,15 +195,15 @@
         let Some(member) = suspected else { return };
         let claim = member.claim.with_state(MemberState::Dead);
         self.counters.deaths_declared += 1;
-        let by = self.own.name.clone();
+        let accuser = self.own.name.clone();
         self.apply_claim(
-            Report {
+            ClaimReport {
                 name,
                 claim,
-                by: &by,
-                why: ClaimSource::OwnProbe,
+                accuser: &accuser,
+                source: ClaimSource::OwnProbe,
             },
-            out,
+            actions,
         );
     }
 }
--- /dev/null
+++ b/crates/membership/src/view/timers.rs
@@ -0,0 +1,88 @@
+//! When a view has to be called, what is then due, and what a pause of the process means.
+//!
+//! Invariant: [`View::next_timeout`] is the earliest of all pending deadlines, so a host that calls
+//! [`View::handle_timeout`] then misses none; a call that comes much too late shows that the process was paused.
+
+use super::probing::Probe;
+use super::relaying::RelayedProbe;
+use super::{Action, Change, View};
+use crate::health::pause_length;
+use crate::{mutant, Micros};
+
+impl View {
+    /// When [`View::tick`] has to be called next.
+    pub fn next_timeout(&self) -> Micros {
+        if self.withdrawn {
+            // Probes and pushes that were due are never sent any more.
+            return self.maintenance.next_at;
+        }
+        let timers = [self.maintenance.next_at, self.schedule.next_at].into_iter();
+        timers
+            .chain(self.probes.values().map(Probe::next_deadline))
+            .chain(
+                self.relayed_probes
+                    .values()
+                    .map(RelayedProbe::next_deadline),
+            )
+            .chain(self.push_at)
+            .chain(
+                self.departure
+                    .iter()
+                    .map(|departure| departure.next_announcement_at),
+            )
+            .fold(Micros::MAX, Micros::min)
+    }
+
+    /// Runs everything that is due.
+    pub fn handle_timeout(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let due = self.next_timeout();
+        self.now = now;
+        if self.withdrawn {
+            self.maintenance.next_at = now + self.settings.probe_period;
+            return;
+        }
+        if let Some(span) = pause_length(due, now, self.settings.probe_period)
+            .filter(|_| self.settings.local_health)
+        {
+            self.recover_from_pause(span, actions);
+        }
+        self.process_probe_deadlines(actions);
+        if now >= self.schedule.next_at {
+            self.probe_next_scheduled(actions);
+        }
+        if now >= self.maintenance.next_at {
+            self.run_maintenance(actions);
+        }
+        if self.push_at.is_some_and(|at| now >= at) {
+            self.push_rumors(actions);
+        }
+        if self
+            .departure
+            .as_ref()
+            .is_some_and(|departure| now >= departure.next_announcement_at)
+        {
+            self.announce_departure(actions);
+        }
+    }
+
+    /// This process was paused and knows nothing of what happened meanwhile: it withdraws its open probes and its
+    /// accusations of others.
+    fn recover_from_pause(&mut self, span: Micros, actions: &mut Vec<Action>) {
+        self.health.record_pause();
+        if !mutant("trusts-itself") {
+            self.probes.clear();
+            self.relayed_probes.clear();
+            for suspicion in self
+                .members
+                .values_mut()
+                .filter_map(|member| member.suspicion.as_mut())
+            {
+                suspicion.accusers.remove(&self.own.name);
+                suspicion.since = self.now;
+            }
+        }
+        self.maintenance.next_at = self.now;
+        self.schedule.next_at = self.now + self.settings.probe_period / 4;
+        actions.push(Action::Notify(Change::ProcessPaused { duration: span }));
+    }
+}
--- a/crates/membership/src/view/forgotten.rs
+++ b/crates/membership/src/view/tombstones.rs
@@ -1,9 +1,12 @@
 //! Tombstones of forgotten members: the start of each, so that no old message brings that process back.
+//!
+//! Invariants: a name is either a member or has a tombstone; a tombstone covers its start and all earlier ones; their
+//! number is bounded, and the oldest are dropped first.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Tombstones kept at most, as a multiple of the members that there may be.
+/// Most tombstones, as a multiple of the members that there may be.
 const CAPACITY_FACTOR: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -12,18 +15,18 @@
     forgotten_at: Micros,
 }
 
-/// Forgotten members by name, in bounded number.
+/// The tombstones of forgotten members, by name.
 #[derive(Clone, Debug)]
-pub(super) struct ForgottenMembers {
+pub(super) struct Tombstones {
     tombstones: BTreeMap<String, Tombstone>,
     capacity: usize,
 }
 
-impl ForgottenMembers {
-    pub(super) fn new(members_most: usize) -> ForgottenMembers {
-        ForgottenMembers {
+impl Tombstones {
+    pub(super) fn new(max_members: usize) -> Tombstones {
+        Tombstones {
             tombstones: BTreeMap::new(),
-            capacity: CAPACITY_FACTOR * members_most,
+            capacity: CAPACITY_FACTOR * max_members,
         }
     }
 
