--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -8,7 +8,7 @@
 /// The state of a member. Of two claims with the same incarnation the one with the later state supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers probes, or nobody has found that it does not.
+    /// It responds to probes, or no observer has found that it does not.
     Alive,
     /// An observer's probe failed, and the member has not refuted that yet.
     Suspected,
--- a/crates/membership/src/rumors.rs
+++ b/crates/membership/src/rumors.rs
@@ -55,7 +55,7 @@
         self.queue.is_empty()
     }
 
-    /// Passes on names, newest rumor first, until `accept` refuses one; counts a transmission of each accepted one.
+    /// Offers names, newest rumor first, until `accept` refuses one; counts a transmission of each accepted one.
     pub fn transmit(&mut self, mut accept: impl FnMut(&str) -> bool) {
         let mut finished = Vec::new();
         for (number, rumor) in self.queue.iter_mut().rev() {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -48,7 +48,6 @@
 use crate::rings::Rings;
 use crate::rumors::Rumors;
 use crate::settings::FleetSettings;
-
 use crate::Micros;
 use budget::SendBudget;
 use departure::Departure;
@@ -109,7 +108,7 @@
     pub fn new(settings: FleetSettings, identity: MemberIdentity, now: Micros, seed: u64) -> View {
         let mut rng = fastrand::Rng::with_seed(seed ^ stable_hash(&identity.name, SEED_SALT));
         let own = OwnMember::new(identity, &settings, rng.u64(1..));
-        // Proxies that start together spread their periods.
+        // Proxies that start together spread their probe periods.
         let first_probe_at = now + rng.i64(0..settings.probe_period);
         let mut rings = Rings::new(settings.observers);
         rings.insert(&own.name);
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -14,7 +14,7 @@
 /// nothing twice.
 pub(super) const BODY_RUMORS_SHARE: f64 = 0.5;
 /// Share of the capacity above which rumors without bodies (failures and returns) are sent, exchanges are begun and
-/// all helpers are asked for indirect probes.
+/// indirect probes are requested of all helpers.
 pub(super) const ESSENTIAL_SHARE: f64 = 0.2;
 
 /// Token bucket of the bytes that may be sent.
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -39,7 +39,7 @@
 }
 
 impl View {
-    /// Begins to leave the fleet. [`View::left`] tells when that is done.
+    /// Begins to leave the fleet. [`View::has_left`] is true once that is done.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now;
         if self.departure.is_some() || self.withdrawn {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Another proxy leaves.
+    /// Handles the departure of another proxy, and confirms it.
     pub(super) fn receive_departure(
         &mut self,
         sender: Recipient,
@@ -116,7 +116,7 @@
             body,
             ..PublishedBody::default()
         };
-        // Where there is no room for another member there is nothing to forget either.
+        // A sender that the view has no capacity for was no member of it: there is nothing to update.
         let _ = self.learn(
             ClaimReport {
                 name: sender.name,
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -1,6 +1,6 @@
 //! Dissemination of rumors: which changes are carried by probes, and which are pushed to random members soon.
 //!
-//! Invariant: at most one push is scheduled, at the earliest time that any urgent change asked for.
+//! Invariant: at most one push is scheduled, at the earliest time that any urgent change requires.
 
 use super::merge::ClaimReport;
 use super::{Action, Change, ClaimSource, View};
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -14,7 +14,7 @@
 const CHECKS_PER_PERIOD: u8 = 4;
 /// For so many periods after a change of the membership an exchange is begun at each check.
 const UNSETTLED_PERIODS: Micros = 3;
-/// Pings with this sequence number belong to no probe.
+/// Pings with this sequence number belong to no probe: their acks are ignored.
 const NO_PROBE_SEQUENCE: u64 = 0;
 
 /// When maintenance runs, and which check of the period comes next.
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Removes members that have been dead or gone for long.
+    /// Removes members that have been dead or have left for long enough.
     fn forget_members(&mut self, actions: &mut Vec<Action>) {
         if mutant("tombstones-for-ever") {
             return;
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -3,7 +3,7 @@
 //! Invariant: a member has a [`Suspicion`] exactly while its claim is that it is suspected.
 
 use crate::claim::{Claim, MemberState};
-use crate::wire::{Body, Record};
+use crate::wire::{self, Body, Record};
 use crate::Micros;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     pub suspicion: Option<Suspicion>,
     /// Who claimed that it is dead.
     pub declared_dead_by: String,
-    /// When this proxy last had an answer to a probe of it.
+    /// When it last responded to a probe of this proxy.
     pub(super) acknowledged_at: Option<Micros>,
     /// When this proxy last received anything from it.
     pub(super) received_at: Option<Micros>,
@@ -59,6 +59,17 @@
     pub encoded: Vec<u8>,
 }
 
+impl PublishedBody {
+    /// A body as it came in a record; without revision where the record has none.
+    pub(super) fn from_wire(revision: u64, encoded: Vec<u8>) -> PublishedBody {
+        PublishedBody {
+            revision: if encoded.is_empty() { 0 } else { revision },
+            body: wire::decode_body(&encoded).unwrap_or_default(),
+            encoded,
+        }
+    }
+}
+
 impl Member {
     pub(super) fn new(claim: Claim, published: PublishedBody, by: &str, now: Micros) -> Member {
         Member {
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -10,9 +10,9 @@
 use crate::wire::{self, DropReason, ReceiverClaim, Record};
 use crate::Micros;
 
-/// An answer to a probe within so many periods speaks against an unconfirmed report of a death.
-const RECENT_ANSWER_PERIODS: f64 = 1.5;
-/// A suspicion so many periods old gives way to a death that another proxy has held for longer.
+/// A response to a probe within so many probe periods contradicts an unconfirmed report of a death.
+const RECENT_RESPONSE_PERIODS: f64 = 1.5;
+/// A suspicion so many probe periods old gives way to a death that comes by anti-entropy.
 const OLD_SUSPICION_PERIODS: Micros = 2;
 
 /// A claim about another member, and how this proxy learned of it.
@@ -67,15 +67,7 @@
         source: ClaimSource,
         actions: &mut Vec<Action>,
     ) {
-        let published = PublishedBody {
-            revision: if record.body.is_empty() {
-                0
-            } else {
-                record.revision
-            },
-            body: wire::decode_body(&record.body).unwrap_or_default(),
-            encoded: record.body,
-        };
+        let published = PublishedBody::from_wire(record.revision, record.body);
         let known = self.members.get(&record.name);
         let report = ClaimReport {
             name: &record.name,
@@ -93,23 +85,25 @@
             MemberState::Dead
                 if known.is_some_and(|member| self.is_death_doubtful(member, report)) =>
             {
-                self.suspect(
-                    ClaimReport {
-                        claim: claim.with_state(MemberState::Suspected),
-                        accuser: "",
-                        ..report
-                    },
-                    actions,
-                );
-                // The member itself is to refute it.
-                self.probe(report.name, actions);
+                self.question_death(report, actions);
             }
             _ => self.learn_or_drop(report, published, actions),
         }
     }
 
-    /// Whether a reported death of a present member is not to be believed at once: this proxy had an answer from it
-    /// recently, or the report is old and this proxy has not suspected it for long.
+    /// Only suspects a member whose death was reported, and probes it, so that it can refute the claim.
+    fn question_death(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
+        let suspicion = ClaimReport {
+            claim: report.claim.with_state(MemberState::Suspected),
+            accuser: "",
+            ..report
+        };
+        self.suspect(suspicion, actions);
+        self.probe(report.name, actions);
+    }
+
+    /// Whether a reported death of a present member is not accepted at once: the member responded to this proxy recently,
+    /// or the report is no rumor and this proxy has not suspected the member for long.
     fn is_death_doubtful(&self, member: &Member, report: ClaimReport) -> bool {
         let known = member.claim;
         if !report.claim.supersedes(&known)
@@ -119,14 +113,14 @@
             return false;
         }
         let period = self.settings.probe_period;
-        let recent = RECENT_ANSWER_PERIODS * period as f64;
-        let has_answered = member
+        let recent = RECENT_RESPONSE_PERIODS * period as f64;
+        let has_responded = member
             .acknowledged_at
             .is_some_and(|at| ((self.now - at) as f64) < recent);
         let is_rumor = report.source == ClaimSource::Rumor;
         let long_suspected = known.state == MemberState::Suspected
             && self.now - member.state_since >= OLD_SUSPICION_PERIODS * period;
-        has_answered || !(is_rumor || long_suspected)
+        has_responded || !(is_rumor || long_suspected)
     }
 
     fn learn_or_drop(
@@ -140,8 +134,8 @@
         }
     }
 
-    /// Takes in a claim and a published body, each as far as it supersedes what is known. Fails where there is no room
-    /// for another member.
+    /// Merges a claim and a published body, each as far as it supersedes what is known. Fails where the view has no
+    /// capacity for another member.
     pub(super) fn learn(
         &mut self,
         report: ClaimReport,
@@ -199,7 +193,7 @@
         Ok(())
     }
 
-    /// Another process has a member's name: nothing that the former one published holds for it.
+    /// Another process has a member's name: what the former one published is not valid for it.
     fn reset_for_new_process(&mut self, name: &str, published: &PublishedBody) {
         self.toggle_digest(name);
         if let Some(member) = self.members.get_mut(name) {
@@ -212,8 +206,8 @@
         self.toggle_digest(name);
     }
 
-    /// Takes a later revision of a member's body; and one without revision, which holds only its address, where that
-    /// is not known yet.
+    /// Replaces a member's body by a later revision; and by one without revision, which has only an address, where the
+    /// address is not known yet.
     fn update_body(
         &mut self,
         report: ClaimReport,
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -17,7 +17,7 @@
 /// Weight of a new sample in the smoothed round trip time.
 const ROUND_TRIP_SMOOTHING: f64 = 0.2;
 
-/// A probe that is not answered yet.
+/// A probe without a response yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     target: String,
@@ -27,7 +27,7 @@
     /// When the probe has failed.
     deadline: Micros,
     indirect_requested: bool,
-    /// A helper reported that it got no answer either: this proxy itself is not cut off.
+    /// A helper reported that it got no response either: this proxy itself is not cut off.
     helper_responded: bool,
 }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// No answer came, neither directly nor through a helper.
+    /// No response came, neither directly nor through a helper.
     fn fail_probe(&mut self, probe: Probe, actions: &mut Vec<Action>) {
         self.counters.failed_probes += 1;
         let has_other_members = self
@@ -153,10 +153,10 @@
         if !probe.helper_responded && has_other_members {
             self.health.record_isolation();
         }
-        self.suspect_unanswering(&probe.target, actions);
+        self.suspect_unresponsive(&probe.target, actions);
     }
 
-    /// An answer to a probe of this proxy, or to one relayed for another.
+    /// Handles the response to a probe of this proxy, or to one relayed for another.
     pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, actions: &mut Vec<Action>) {
         if self.complete_relayed_probe(sequence, actions) {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// A helper got no answer in time: the target may be dead, but this proxy reaches others.
+    /// A helper got no response in time: the target may be dead, but this proxy reaches others.
     pub(super) fn receive_nack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
             probe.helper_responded = true;
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct RelayedProbe {
     requester: Peer,
-    /// The sequence number of the request, which the answer to it carries.
+    /// The sequence number of the request, which the ack or nack repeats.
     requested_sequence: u64,
     /// When the requester is sent a nack, as there is no response yet; none once it was.
     nack_at: Option<Micros>,
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -1,4 +1,7 @@
 //! Encoding and sending of datagrams, with the rumors that they carry.
+//!
+//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; one to a member that this proxy does not consider
+//! alive says so, which is how that member comes to refute it.
 
 use super::budget::{BODY_RUMORS_SHARE, ESSENTIAL_SHARE};
 use super::recipients::Recipient;
@@ -8,7 +11,7 @@
 
 /// What a record takes in a message besides its own encoding, at most.
 pub(super) const RECORD_OVERHEAD: usize = 4;
-/// The kind under which datagrams without a payload are counted.
+/// The kind under which metrics count datagrams without a payload.
 const RUMORS_ONLY: &str = "news";
 
 impl View {
@@ -21,7 +24,7 @@
         self.send_with_record(to, payload, None, actions);
     }
 
-    /// Sends a datagram. One with a record of its own carries no rumors.
+    /// Sends a datagram. One with a given record carries no rumors.
     pub(super) fn send_with_record(
         &mut self,
         to: Recipient,
@@ -30,8 +33,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.budget.refill(self.now);
-        let may_carry_rumors =
-            record.is_none() && matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)));
+        let may_carry_rumors = record.is_none() && carries_rumors(payload.as_ref());
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Payload::name);
         let records = record.into_iter().collect();
         let mut packet = self.packet(self.claim_about(to.name), payload, records);
@@ -57,7 +59,7 @@
         });
     }
 
-    /// What a datagram tells its receiver of itself, where that is not alive.
+    /// What a datagram claims of its receiver, where that is not that it is alive.
     fn claim_about(&self, name: &str) -> Option<ReceiverClaim> {
         let (claim, forgotten) = match self.members.get(name) {
             Some(member) if member.is_alive() => return None,
@@ -75,7 +77,7 @@
         })
     }
 
-    /// Adds rumors as far as the datagram has room; those with published bodies only where the budget is ample.
+    /// Adds rumors as far as they fit into the datagram; those with published bodies only where the budget is ample.
     fn attach_rumors(&mut self, packet: &mut Packet, includes_own_record: bool) {
         let allows_bodies = self.budget.has_share(BODY_RUMORS_SHARE);
         let mut size = wire::encoded_length(packet);
@@ -112,8 +114,8 @@
 
     pub(super) fn packet(
         &self,
-        you: Option<ReceiverClaim>,
-        said: Option<Payload>,
+        receiver_claim: Option<ReceiverClaim>,
+        payload: Option<Payload>,
         records: Vec<Record>,
     ) -> Packet {
         Packet {
@@ -124,8 +126,8 @@
             nonce: self.own.nonce,
             address: self.own.body.address.clone(),
             revision: self.own.revision,
-            receiver_claim: you,
-            payload: said,
+            receiver_claim,
+            payload,
             records,
         }
     }
@@ -140,3 +142,8 @@
             .map(|member| member.record_with_body(name, &self.own.name))
     }
 }
+
+/// Whether messages of this kind carry rumors: probes and their acks, which are frequent, and pushes.
+fn carries_rumors(payload: Option<&Payload>) -> bool {
+    matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)))
+}
--- a/crates/membership/src/view/status.rs
+++ b/crates/membership/src/view/status.rs
@@ -1,4 +1,4 @@
-//! What a host can read of a view: its members, itself, and how settled it is.
+//! What a host can read of a view: its members, this proxy, and how settled it is.
 
 use super::{Member, View};
 use crate::claim::{Claim, MemberState};
@@ -43,7 +43,7 @@
     }
 
     /// Number of times a member's published body was learned or replaced. A member's first one counts here although it
-    /// is not reported as a [`Change::Values`].
+    /// is not reported as a [`Change::BodyReplaced`](super::Change::BodyReplaced).
     pub fn body_updates(&self) -> u64 {
         self.body_updates
     }
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -25,8 +25,8 @@
 const UNDECIDED_TIMEOUTS: f64 = 2.0;
 
 impl View {
-    /// Suspects a member that did not answer a probe of this proxy, and has its other observers look at it.
-    pub(super) fn suspect_unanswering(&mut self, name: &str, actions: &mut Vec<Action>) {
+    /// Suspects a member that did not respond to a probe of this proxy, and notifies its other observers.
+    pub(super) fn suspect_unresponsive(&mut self, name: &str, actions: &mut Vec<Action>) {
         let Some(member) = self
             .members
             .get(name)
@@ -56,7 +56,7 @@
         self.notify_observers(name, actions);
     }
 
-    /// The other observers learn of a suspicion at once: together they can decide sooner.
+    /// Sends a suspicion to the other observers at once: together they can decide sooner.
     fn notify_observers(&mut self, suspect: &str, actions: &mut Vec<Action>) {
         let observers: Vec<String> = self
             .observers_of(suspect)
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Takes in that a member is suspected. An empty `by` adds no accuser.
+    /// Merges the claim that a member is suspected. An empty accuser adds none.
     pub(super) fn suspect(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(report.name) else {
             return;
@@ -118,12 +118,12 @@
         }
         let is_new = suspicion.accusers.insert(report.accuser.into());
         if is_new && report.accuser == self.own.name {
-            // This proxy's own evidence is one period old at most: a later answer withdraws the accusation.
+            // This proxy's own evidence is one probe period old at most: a later response withdraws the accusation.
             suspicion.since = suspicion.since.max(self.now - self.settings.probe_period);
         }
     }
 
-    /// How long a suspicion that this proxy shares stands before it declares the member dead.
+    /// How long this proxy has to share a suspicion before it declares the member dead.
     fn suspicion_timeout(&self, name: &str, suspicion: &Suspicion) -> Micros {
         let size_factor = ((self.present_count() as f64).log10() / 2.0).max(1.0);
         let shortest = self.settings.probe_period as f64 * size_factor;
@@ -140,7 +140,7 @@
             .filter(|name| suspicion.accusers.contains(**name))
             .count()
             .saturating_sub(1);
-        // Observers that are suspected themselves may never answer: where many have died the rest decide.
+        // Observers that are suspected themselves may never respond: where many have died the rest decide.
         let able = observers
             .iter()
             .filter(|name| self.can_accuse(name))
@@ -157,8 +157,8 @@
         name == self.own.name || self.members.get(name).is_some_and(Member::is_alive)
     }
 
-    /// Declares dead whose suspicion timed out, and probes whom this proxy does not accuse itself but others have
-    /// suspected for too long.
+    /// Declares members dead whose suspicion timed out, and probes those that this proxy does not accuse itself but others
+    /// have suspected for too long.
     pub(super) fn decide_suspicions(&mut self, actions: &mut Vec<Action>) {
         let mut expired = Vec::new();
         let mut undecided = Vec::new();
--- a/crates/membership/src/view/timers.rs
+++ b/crates/membership/src/view/timers.rs
@@ -9,8 +9,12 @@
 use crate::health::pause_length;
 use crate::{mutant, Micros};
 
+/// The part of a probe period from the end of a pause to the first probe, as a divisor: messages that arrived meanwhile
+/// are handled first.
+const PROBE_DELAY_DIVISOR: Micros = 4;
+
 impl View {
-    /// When [`View::tick`] has to be called next.
+    /// When [`View::handle_timeout`] has to be called next.
     pub fn next_timeout(&self) -> Micros {
         if self.withdrawn {
             // Probes and pushes that were due are never sent any more.
@@ -41,10 +45,10 @@
             self.maintenance.next_at = now + self.settings.probe_period;
             return;
         }
-        if let Some(span) = pause_length(due, now, self.settings.probe_period)
+        if let Some(duration) = pause_length(due, now, self.settings.probe_period)
             .filter(|_| self.settings.local_health)
         {
-            self.recover_from_pause(span, actions);
+            self.recover_from_pause(duration, actions);
         }
         self.process_probe_deadlines(actions);
         if now >= self.schedule.next_at {
@@ -65,24 +69,25 @@
         }
     }
 
-    /// This process was paused and knows nothing of what happened meanwhile: it withdraws its open probes and its
-    /// accusations of others.
-    fn recover_from_pause(&mut self, span: Micros, actions: &mut Vec<Action>) {
+    /// This process was paused: what it observed before is outdated.
+    fn recover_from_pause(&mut self, duration: Micros, actions: &mut Vec<Action>) {
         self.health.record_pause();
         if !mutant("trusts-itself") {
-            self.probes.clear();
-            self.relayed_probes.clear();
-            for suspicion in self
-                .members
-                .values_mut()
-                .filter_map(|member| member.suspicion.as_mut())
-            {
-                suspicion.accusers.remove(&self.own.name);
-                suspicion.since = self.now;
-            }
+            self.withdraw_observations();
         }
         self.maintenance.next_at = self.now;
-        self.schedule.next_at = self.now + self.settings.probe_period / 4;
-        actions.push(Action::Notify(Change::ProcessPaused { duration: span }));
+        self.schedule.next_at = self.now + self.settings.probe_period / PROBE_DELAY_DIVISOR;
+        actions.push(Action::Notify(Change::ProcessPaused { duration }));
+    }
+
+    /// Drops all open probes and the accusations of this proxy. Suspicions of others start over.
+    fn withdraw_observations(&mut self) {
+        self.probes.clear();
+        self.relayed_probes.clear();
+        let members = self.members.values_mut();
+        for suspicion in members.filter_map(|member| member.suspicion.as_mut()) {
+            suspicion.accusers.remove(&self.own.name);
+            suspicion.since = self.now;
+        }
     }
 }
