--- a/crates/admission/src/concurrency.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -221,7 +221,7 @@
     }
 
     /// Whether one more lookup may be in flight.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         let limit = if self.probe_end.is_some() {
             self.low_load()
         } else {
--- a/crates/admission/src/concurrency/tests.rs
+++ b/crates/admission/src/concurrency_limit/tests.rs
@@ -28,7 +28,7 @@
             *done > now
         });
         limiter.update(now);
-        while limiter.has_room() {
+        while limiter.has_capacity() {
             let low_load = limiter.acquire();
             queue.push_back((now, low_load));
         }
@@ -82,7 +82,7 @@
 fn where_hits_do_not_tell_the_limit_opens() {
     let mut limiter = ConcurrencyLimiter::new(4, 4096, &[500_000], 0);
     for now in (0..4_000_000).step_by(5_000) {
-        while limiter.has_room() {
+        while limiter.has_capacity() {
             limiter.acquire();
         }
         limiter.record_wait(now);
@@ -105,7 +105,7 @@
             *done > now
         });
         limiter.update(now);
-        if !limiter.has_room() {
+        if !limiter.has_capacity() {
             limiter.record_wait(now);
             held += 1;
             continue;
@@ -128,7 +128,7 @@
     let mut limiter = ConcurrencyLimiter::new(4, 8, &[500_000], 0);
     let mut all = 0;
     loop {
-        while limiter.has_room() {
+        while limiter.has_capacity() {
             limiter.acquire();
             all += 1;
         }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -209,7 +209,7 @@
 
 impl AdmissionConfig {
     /// Validates the whole configuration, and returns the first error.
-    pub fn check(&self) -> Result<(), ConfigError> {
+    pub fn validate(&self) -> Result<(), ConfigError> {
         self.check_tenants()?;
         self.check_bounds()?;
         let cost_valid = COST_PER_KB_RANGE.contains(&self.cost_per_kb);
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -9,9 +9,9 @@
 mod reconfigure;
 mod reject;
 
-use crate::concurrency::ConcurrencyLimiter;
+use crate::concurrency_limit::ConcurrencyLimiter;
 use crate::config::{AdmissionConfig, QueueDiscipline, Tenant};
-use crate::cost::{CostModel, LookupClass};
+use crate::cost::{CostModel, RequestClass};
 use crate::fair_queue::FairQueue;
 use crate::report::{AdmissionReport, TenantCounters, TenantReport};
 use crate::request::{AdmissionEvent, CapacityLimits, Ticket};
@@ -50,7 +50,9 @@
 
 /// Worth of each class in the queue: of two with the same utility, the one with the shorter budget goes first.
 fn queue_worths(costs: &CostModel) -> Vec<f64> {
-    let worth = |class: &LookupClass| class.worth.max(0.0) / (class.latency_budget.max(1) as f64);
+    let worth = |class: &RequestClass| {
+        class.priority_weight.max(0.0) / (class.latency_budget.max(1) as f64)
+    };
     costs.classes().map(worth).collect()
 }
 
@@ -58,7 +60,7 @@
     /// A controller with nothing admitted. `config` must have been checked.
     pub fn new(
         config: AdmissionConfig,
-        classes: &[LookupClass],
+        classes: &[RequestClass],
         limits: CapacityLimits,
         seed: u64,
         now: Micros,
@@ -113,8 +115,8 @@
     }
 
     /// Whether one more lookup may be in flight.
-    pub fn has_room(&self) -> bool {
-        self.config.discipline != QueueDiscipline::Fair || self.limiter.has_room()
+    pub fn has_capacity(&self) -> bool {
+        self.config.discipline != QueueDiscipline::Fair || self.limiter.has_capacity()
     }
 
     /// The configuration in force.
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -5,7 +5,7 @@
 use crate::config::QueueDiscipline;
 use crate::fair_queue::DequeuedItem;
 use crate::identity::ClientIdentity;
-use crate::request::{Decision, LookupRequest, RejectReason, Ticket};
+use crate::request::{AdmissionRequest, Decision, RejectReason, Ticket};
 use meadowrill_routing::interface::Micros;
 
 /// So many lookups of a flow may wait whatever is reserved: reservations must not leave places idle if nobody returns.
@@ -17,9 +17,9 @@
 
 impl AdmissionController {
     /// Decides on a lookup that was read. `held_bytes` is what the host holds, this lookup included.
-    pub fn admit(&mut self, now: Micros, request: LookupRequest, held_bytes: usize) -> Decision {
+    pub fn admit(&mut self, now: Micros, request: AdmissionRequest, held_bytes: usize) -> Decision {
         let now = self.advance(now);
-        let request = LookupRequest {
+        let request = AdmissionRequest {
             identity: self.known_tenant(request.identity),
             ..request
         };
@@ -31,7 +31,7 @@
         match self.config.discipline {
             QueueDiscipline::Fair => self.admit_fairly(now, request, held_bytes, reserved),
             QueueDiscipline::FirstCome => self.admit_unqueued(now, request),
-            QueueDiscipline::Buckets => match self.buckets.take(now, request.identity) {
+            QueueDiscipline::Buckets => match self.buckets.take_token(now, request.identity) {
                 Ok(()) => self.admit_unqueued(now, request),
                 Err(next_token) => {
                     let (reason, wait) = (RejectReason::RateLimit, next_token - now);
@@ -67,13 +67,13 @@
                 limit - limit / RESERVED_PLACES
             }
         };
-        if self.open() >= usable(self.limits.lookups) {
-            return Some(RejectReason::LookupLimit);
+        if self.open() >= usable(self.limits.open_requests) {
+            return Some(RejectReason::OpenRequestLimit);
         }
         (held_bytes > usable(self.limits.bytes)).then_some(RejectReason::ByteLimit)
     }
 
-    fn admit_unqueued(&mut self, now: Micros, request: LookupRequest) -> Decision {
+    fn admit_unqueued(&mut self, now: Micros, request: AdmissionRequest) -> Decision {
         let cost = self.costs.expected(request.class, request.size_kb);
         let index = self.lookups.insert(Lookup::new(&request, now, cost));
         Decision::Admitted(self.start(index, now))
@@ -82,7 +82,7 @@
     fn admit_fairly(
         &mut self,
         now: Micros,
-        request: LookupRequest,
+        request: AdmissionRequest,
         held_bytes: usize,
         reserved: bool,
     ) -> Decision {
@@ -90,7 +90,7 @@
         let cost = self.costs.expected(class, request.size_kb);
         let flow = self.queue.flow_of(now, identity);
         let lookup = Lookup::new(&request, now, cost).in_flow(flow);
-        if self.limiter.has_room() && self.queue.waiting() == 0 {
+        if self.limiter.has_capacity() && self.queue.waiting() == 0 {
             return self.admit_at_once(now, lookup);
         }
         let latest_start = self.costs.latest_start(class, now, request.expires);
@@ -105,8 +105,8 @@
     /// Admits a lookup that nobody waits before; it goes through the queue to be charged.
     fn admit_at_once(&mut self, now: Micros, lookup: Lookup) -> Decision {
         let index = self.lookups.insert(lookup);
-        self.queue.push(index, lookup.queued());
-        let next = self.queue.pop();
+        self.queue.enqueue(index, lookup.queued());
+        let next = self.queue.dequeue();
         debug_assert_eq!(
             next,
             Some(DequeuedItem {
@@ -119,7 +119,7 @@
 
     fn enqueue(&mut self, now: Micros, lookup: Lookup, latest_start: Micros) -> Decision {
         let index = self.lookups.insert(lookup);
-        self.queue.push(index, lookup.queued());
+        self.queue.enqueue(index, lookup.queued());
         self.timers.set(index, latest_start);
         self.limiter.record_wait(now);
         self.counters[lookup.tenant()].waited += 1;
--- a/crates/admission/src/controller/complete.rs
+++ b/crates/admission/src/controller/complete.rs
@@ -19,10 +19,10 @@
         self.limiter.release(lookup.overdue);
         self.free_place(ticket.0, &lookup, admitted_at, duration, completion);
         self.settle_cost(&lookup, duration, completion);
-        if completion.satisfied {
+        if completion.succeeded {
             self.costs
                 .record(lookup.class(), duration, completion.size_kb);
-            if completion.hit {
+            if completion.cache_hit {
                 self.limiter
                     .record_hit(now, lookup.class(), duration, lookup.low_load);
             }
@@ -40,7 +40,7 @@
         completion: Completion,
     ) {
         let usual = self.costs.usual_duration(lookup.class()) as Micros;
-        let failed = lookup.fair_queued && !completion.satisfied && !completion.abandoned;
+        let failed = lookup.fair_queued && !completion.succeeded && !completion.abandoned;
         if failed && duration < usual {
             self.limiter.linger();
             self.timers.set(index, admitted_at + usual);
@@ -58,13 +58,13 @@
     /// asking for what cannot be had would cost nothing.
     fn settle_cost(&mut self, lookup: &Lookup, duration: Micros, completion: Completion) {
         let actual = self.costs.actual(duration, completion.size_kb);
-        let cost = if completion.satisfied {
+        let cost = if completion.succeeded {
             actual
         } else {
             actual.max(lookup.charged)
         };
         let counters = &mut self.counters[lookup.tenant()];
-        counters.satisfied += u64::from(completion.satisfied);
+        counters.succeeded += u64::from(completion.succeeded);
         counters.cost += cost;
         if lookup.fair_queued {
             self.queue.complete(lookup.flow, lookup.charged, cost);
--- a/crates/admission/src/controller/lookup.rs
+++ b/crates/admission/src/controller/lookup.rs
@@ -1,8 +1,8 @@
 //! The state of one lookup at the controller.
 
-use crate::fair_queue::QueuedLookup;
+use crate::fair_queue::QueuedRequest;
 use crate::identity::ClientIdentity;
-use crate::request::LookupRequest;
+use crate::request::AdmissionRequest;
 use meadowrill_routing::interface::Micros;
 
 /// A lookup that waits, is in flight, or has failed early.
@@ -30,7 +30,7 @@
 }
 
 impl Lookup {
-    pub(super) fn new(request: &LookupRequest, now: Micros, charged: f64) -> Lookup {
+    pub(super) fn new(request: &AdmissionRequest, now: Micros, charged: f64) -> Lookup {
         Lookup {
             id: request.id,
             identity: request.identity,
@@ -67,9 +67,9 @@
     }
 
     /// The lookup as the fair queue holds it.
-    pub(super) fn queued(&self) -> QueuedLookup {
+    pub(super) fn queued(&self) -> QueuedRequest {
         let (flow, class, client) = (self.flow, self.class(), self.identity.client);
-        QueuedLookup {
+        QueuedRequest {
             flow,
             class,
             client,
--- a/crates/admission/src/controller/poll.rs
+++ b/crates/admission/src/controller/poll.rs
@@ -17,8 +17,8 @@
         }
         self.limiter.update(now);
         // Where the discipline has changed from fair queueing, all that still waits is admitted.
-        while self.has_room() {
-            let Some(dequeued) = self.queue.pop() else {
+        while self.has_capacity() {
+            let Some(dequeued) = self.queue.dequeue() else {
                 break;
             };
             self.admit_dequeued(now, dequeued);
--- a/crates/admission/src/controller/reconfigure.rs
+++ b/crates/admission/src/controller/reconfigure.rs
@@ -22,7 +22,7 @@
             |tenant: &Tenant| place_of(&config.tenants, &tenant.name).unwrap_or(0) as u16;
         let moved: Vec<u16> = former_tenants.iter().map(new_place).collect();
         self.counters = self.moved_counters(&former_tenants, &config.tenants);
-        let waiting: Vec<u32> = std::iter::from_fn(|| self.queue.pop())
+        let waiting: Vec<u32> = std::iter::from_fn(|| self.queue.dequeue())
             .map(|dequeued| dequeued.item)
             .collect();
         let seed = self.seed ^ self.reconfigurations;
@@ -63,7 +63,7 @@
             lookup.identity.tenant = moved.get(lookup.tenant()).copied().unwrap_or(0);
             lookup.flow = self.queue.flow_of(now, lookup.identity);
             if lookup.admitted_at.is_none() {
-                self.queue.push(*index, lookup.queued());
+                self.queue.enqueue(*index, lookup.queued());
             } else if lookup.fair_queued && !lookup.lingering {
                 self.queue.add_in_flight(lookup.flow);
             }
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -5,9 +5,9 @@
 
 /// A class of lookups as the configuration describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LookupClass {
+pub struct RequestClass {
     /// Utility of a lookup that is satisfied within its latency budget.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Latency that is still acceptable.
     pub latency_budget: Micros,
     /// The budget grows by this many times the usual duration.
@@ -28,14 +28,14 @@
 /// What was learned of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassEstimate {
-    class: LookupClass,
+    class: RequestClass,
     duration: f64,
     size_kb: f64,
     samples: u32,
 }
 
 impl ClassEstimate {
-    fn new(class: LookupClass) -> ClassEstimate {
+    fn new(class: RequestClass) -> ClassEstimate {
         let duration = class.latency_budget as f64 * ASSUMED_BUDGET_PART;
         ClassEstimate {
             class,
@@ -54,7 +54,7 @@
 
 impl CostModel {
     /// A model that has seen no lookup of any class.
-    pub fn new(classes: &[LookupClass], cost_per_kb: Micros) -> CostModel {
+    pub fn new(classes: &[RequestClass], cost_per_kb: Micros) -> CostModel {
         let estimates = classes.iter().copied().map(ClassEstimate::new).collect();
         CostModel {
             estimates,
@@ -129,7 +129,7 @@
     }
 
     /// The classes in the order of the configuration.
-    pub fn classes(&self) -> impl Iterator<Item = &LookupClass> {
+    pub fn classes(&self) -> impl Iterator<Item = &RequestClass> {
         self.estimates.iter().map(|estimate| &estimate.class)
     }
 }
--- a/crates/admission/src/cost/tests.rs
+++ b/crates/admission/src/cost/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const CLASS: LookupClass = LookupClass {
-    worth: 1.0,
+const CLASS: RequestClass = RequestClass {
+    priority_weight: 1.0,
     latency_budget: 500_000,
     budget_stretch: 0.0,
 };
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -20,7 +20,7 @@
 
 /// A lookup to be queued.
 #[derive(Clone, Copy, Debug)]
-pub struct QueuedLookup {
+pub struct QueuedRequest {
     /// The flow that [`FairQueue::flow_of`] returned.
     pub flow: u32,
     /// Number of its class.
@@ -155,8 +155,8 @@
     }
 
     /// Appends `item` to its flow.
-    pub fn push(&mut self, item: u32, lookup: QueuedLookup) {
-        let QueuedLookup {
+    pub fn enqueue(&mut self, item: u32, lookup: QueuedRequest) {
+        let QueuedRequest {
             flow,
             class,
             client,
@@ -280,7 +280,7 @@
     }
 
     /// Takes the next item to be admitted, and charges its expected cost.
-    pub fn pop(&mut self) -> Option<DequeuedItem> {
+    pub fn dequeue(&mut self) -> Option<DequeuedItem> {
         let tenant = self.next_tenant()?;
         let backlogged = self.tenants[tenant].backlogged.iter().copied();
         let flow = least_by(backlogged, |flow| self.flows[*flow as usize].start_tag)?;
--- a/crates/admission/src/fair_queue/accounting.rs
+++ b/crates/admission/src/fair_queue/accounting.rs
@@ -102,7 +102,7 @@
                 waiting,
                 in_flight,
                 reserved,
-                recent_lookups,
+                recent_requests: recent_lookups,
             })
         };
         let mut clients: Vec<_> = queue
@@ -111,7 +111,7 @@
             .enumerate()
             .filter_map(report)
             .collect();
-        clients.sort_by_key(|client| Reverse((client.recent_lookups, client.waiting)));
+        clients.sort_by_key(|client| Reverse((client.recent_requests, client.waiting)));
         clients
     }
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -9,7 +9,7 @@
     reason = "not reached yet by the pass over names, sizes and docs"
 )]
 
-pub mod concurrency;
+pub mod concurrency_limit;
 pub mod config;
 pub mod controller;
 pub mod cost;
--- a/crates/admission/src/report.rs
+++ b/crates/admission/src/report.rs
@@ -16,7 +16,7 @@
     /// Lookups whose clients left while they waited.
     pub cancelled: u64,
     /// Lookups that were answered.
-    pub satisfied: u64,
+    pub succeeded: u64,
     /// Lookups that were rejected, in the order of [`RejectReason::ALL`].
     pub rejected: [u64; RejectReason::ALL.len()],
     /// Rejections with a reservation.
@@ -37,7 +37,7 @@
     /// Open reservations.
     pub reserved: u32,
     /// Lookups counted for certain, halved every two seconds.
-    pub recent_lookups: u32,
+    pub recent_requests: u32,
 }
 
 /// The state of a tenant.
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -6,7 +6,7 @@
 
 /// A lookup that was read and asks for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct LookupRequest {
+pub struct AdmissionRequest {
     /// The host's number for it.
     pub id: u32,
     /// Whose it is.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
     /// Most open lookups.
-    pub lookups: usize,
+    pub open_requests: usize,
     /// Most bytes held for lookups and connections.
     pub bytes: usize,
     /// The longest that a client may be told to stay away; 0 where it may be told nothing.
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
     /// The limit of open lookups.
-    LookupLimit,
+    OpenRequestLimit,
     /// The limit of bytes, or a tenant's share of it while bytes are scarce.
     ByteLimit,
     /// The client's rate limit.
@@ -88,7 +88,7 @@
 impl RejectReason {
     /// All reasons, in the order of their counters.
     pub const ALL: [RejectReason; 6] = [
-        RejectReason::LookupLimit,
+        RejectReason::OpenRequestLimit,
         RejectReason::ByteLimit,
         RejectReason::RateLimit,
         RejectReason::QueueTooLong,
@@ -101,7 +101,7 @@
     /// The names that operators see in logs and metrics.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RejectReason::LookupLimit => "lookups",
+            RejectReason::OpenRequestLimit => "lookups",
             RejectReason::ByteLimit => "bytes",
             RejectReason::RateLimit => "rate",
             RejectReason::QueueTooLong => "behind",
@@ -127,9 +127,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Completion {
     /// It was answered.
-    pub satisfied: bool,
+    pub succeeded: bool,
     /// The answer came from a cache's memory.
-    pub hit: bool,
+    pub cache_hit: bool,
     /// Size of the answer.
     pub size_kb: f64,
     /// Its client had gone.
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -27,7 +27,7 @@
     }
 
     /// Takes a token of the client. Where there is none, the error is the time at which there will be one.
-    pub fn take(&mut self, now: Micros, identity: ClientIdentity) -> Result<(), Micros> {
+    pub fn take_token(&mut self, now: Micros, identity: ClientIdentity) -> Result<(), Micros> {
         let full_at = &mut self.full_at[identity.client as usize % BUCKET_COUNT];
         let next = (*full_at).max(now) as f64 + self.interval;
         let latest = now as f64 + self.interval * self.burst;
--- a/crates/admission/src/token_buckets/tests.rs
+++ b/crates/admission/src/token_buckets/tests.rs
@@ -9,12 +9,12 @@
         connection: 1,
         address: "127.0.0.1".parse().unwrap(),
     };
-    let taken: Vec<_> = (0..4).map(|_| buckets.take(0, identity)).collect();
+    let taken: Vec<_> = (0..4).map(|_| buckets.take_token(0, identity)).collect();
     assert_eq!(taken, [Ok(()), Ok(()), Ok(()), Err(100_000)]);
     assert_eq!(
         (
-            buckets.take(100_000, identity),
-            buckets.take(100_000, identity)
+            buckets.take_token(100_000, identity),
+            buckets.take_token(100_000, identity)
         ),
         (Ok(()), Err(200_000))
     );
--- a/crates/benchmarks/src/turns.rs
+++ b/crates/benchmarks/src/turns.rs
@@ -3,10 +3,10 @@
 use crate::figures::{Figures, Goal};
 use meadowrill_admission::config::{AdmissionConfig, QueueDiscipline};
 use meadowrill_admission::controller::AdmissionController;
-use meadowrill_admission::cost::LookupClass;
+use meadowrill_admission::cost::RequestClass;
 use meadowrill_admission::identity::ClientIdentity;
 use meadowrill_admission::request::{
-    AdmissionEvent, CapacityLimits, Completion, Decision, LookupRequest,
+    AdmissionEvent, AdmissionRequest, CapacityLimits, Completion, Decision,
 };
 use meadowrill_test_servers::load::{Counts, Load, Manners, Running};
 use meadowrill_test_servers::service::{Directory, Service};
@@ -252,12 +252,12 @@
         ..AdmissionConfig::default()
     };
     let limits = CapacityLimits {
-        lookups: 20_000,
+        open_requests: 20_000,
         bytes: 1 << 30,
         max_retry_after: 1_000_000,
     };
-    let class = LookupClass {
-        worth: 1.0,
+    let class = RequestClass {
+        priority_weight: 1.0,
         latency_budget: 500_000,
         budget_stretch: 0.0,
     };
@@ -276,7 +276,7 @@
             connection: n,
             address,
         };
-        let request = LookupRequest {
+        let request = AdmissionRequest {
             id: n as u32,
             identity,
             class: 0,
@@ -295,8 +295,8 @@
                     now,
                     place,
                     Completion {
-                        satisfied: true,
-                        hit: true,
+                        succeeded: true,
+                        cache_hit: true,
                         size_kb: 4.0,
                         abandoned: false,
                     },
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,7 @@
 //! The one place where settings are read, checked and given defaults; a faulty key is named by its whole path.
 
 use crate::{frame, ring};
-use meadowrill_admission::cost::LookupClass;
+use meadowrill_admission::cost::RequestClass;
 use meadowrill_event_distribution::plan::TEXT_MOST;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::{Micros, Settings};
@@ -106,7 +106,7 @@
     pub name: String,
     pub deadline_ms: f64,
     /// What admission control needs to know of it.
-    pub admission: LookupClass,
+    pub admission: RequestClass,
     /// Its lookups carry a mark against repeats.
     pub keyed: bool,
     /// To run one twice is not the same as once.
@@ -360,8 +360,8 @@
             let all = class.get("group").value.is_some_and(|group| group == "all");
             let ttl = class.get("key_ttl_s").number(0.0, 0.0)?;
             let window = if keyed && all { host::micros(ttl) } else { 0 };
-            let admission = LookupClass {
-                worth: class.get("worth").number(1.0, 0.0)?,
+            let admission = RequestClass {
+                priority_weight: class.get("worth").number(1.0, 0.0)?,
                 latency_budget: host::micros(class.get("goal_time_s").number(1.0, 0.0)?),
                 budget_stretch: class.get("aim_stretch").number(0.0, 0.0)?,
             };
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -132,7 +132,7 @@
         let last = config.known["pos"].as_u64().unwrap_or(0);
         let kinds: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
         let bounds = CapacityLimits {
-            lookups: config.lookups,
+            open_requests: config.lookups,
             bytes: config.buffers,
             max_retry_after: config.longest_away,
         };
--- a/crates/proxy/src/front/lookups.rs
+++ b/crates/proxy/src/front/lookups.rs
@@ -4,7 +4,7 @@
 use crate::frame;
 use crate::net::Cause;
 use meadowrill_admission::identity::RequestOrigin;
-use meadowrill_admission::request::{Completion, Decision, LookupRequest, Ticket};
+use meadowrill_admission::request::{AdmissionRequest, Completion, Decision, Ticket};
 use meadowrill_routing::interface::*;
 use slog::debug;
 use smallvec::SmallVec;
@@ -96,7 +96,7 @@
         }
         let (verdict, place) = match self.admission.admit(
             now,
-            LookupRequest {
+            AdmissionRequest {
                 id: lookup,
                 identity,
                 class: kind,
--- a/crates/proxy/src/front/outcomes.rs
+++ b/crates/proxy/src/front/outcomes.rs
@@ -85,8 +85,8 @@
                     CacheStatus::Hit | CacheStatus::Unknown
                 );
                 taken.done = Completion {
-                    satisfied: true,
-                    hit,
+                    succeeded: true,
+                    cache_hit: hit,
                     size_kb: outcome.size_kb,
                     abandoned: false,
                 };
--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -179,7 +179,7 @@
                 let client = ("client".to_string(), client_report.address.to_string());
                 (
                     [tenant(&t.name), vec![client]].concat(),
-                    f64::from(client_report.recent_lookups),
+                    f64::from(client_report.recent_requests),
                 )
             };
             t.heaviest_clients
@@ -214,7 +214,7 @@
         counter("offered", "Lookups read", of(|t| t.offered))?;
         counter("let_in", "Lookups let in", of(|t| t.admitted))?;
         counter("waited", "Lookups that had to wait", of(|t| t.waited))?;
-        counter("satisfied", "Lookups satisfied", of(|t| t.satisfied))?;
+        counter("satisfied", "Lookups satisfied", of(|t| t.succeeded))?;
         counter(
             "told_a_turn",
             "Lookups turned away with a booked turn",
@@ -293,7 +293,7 @@
             t.in_flight.to_string(),
             t.counters.offered.to_string(),
             t.counters.admitted.to_string(),
-            t.counters.satisfied.to_string(),
+            t.counters.succeeded.to_string(),
             away.to_string(),
             t.counters.reserved.to_string(),
         ];
@@ -303,7 +303,7 @@
             let _ = writeln!(
                 text,
                 "  {:<18}heard {}, waiting {}, inside {}, booked {}",
-                c.address, c.recent_lookups, c.waiting, c.in_flight, c.reserved
+                c.address, c.recent_requests, c.waiting, c.in_flight, c.reserved
             );
         }
     }
@@ -321,13 +321,13 @@
             .heaviest_clients
             .iter()
             .take(NAMED)
-            .map(|c| format!("{}:{}", c.address, c.recent_lookups));
+            .map(|c| format!("{}:{}", c.address, c.recent_requests));
         let away = RejectReason::ALL
             .into_iter()
             .zip(t.counters.rejected)
             .filter(|(_, n)| *n > 0);
         info!(log, "door, tenant"; "name" => &t.name, "waiting" => t.waiting, "inside" => t.in_flight,
-            "offered" => t.counters.offered, "let_in" => t.counters.admitted, "satisfied" => t.counters.satisfied,
+            "offered" => t.counters.offered, "let_in" => t.counters.admitted, "satisfied" => t.counters.succeeded,
             "turned_away" => away.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
             "loudest" => loudest.collect::<Vec<_>>().join(" "));
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -225,7 +225,7 @@
         settings.turns = admission_config(&turns, text)?;
         settings
             .turns
-            .check()
+            .validate()
             .map_err(|error| fault(text, error.key, error.message))?;
     }
     if let Some(node) = root.node("fleet") {
