--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -11,14 +11,14 @@
 pub const MAX_TENANTS: usize = 64;
 /// Longest name of a tenant, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// Most lookups that a bound of the configuration may allow.
+/// Most requests that a bound of the configuration may allow.
 const MAX_LOOKUPS: usize = 65_536;
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=1000.0;
 const BUCKET_RATE_RANGE: RangeInclusive<f64> = 0.001..=1e6;
 const BUCKET_BURST_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 const COST_PER_KB_RANGE: RangeInclusive<Micros> = 0..=100_000;
 
-/// Which lookup is admitted next.
+/// Which request is admitted next. Operators see the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDiscipline {
     /// First come, first served, up to the capacity limits.
@@ -29,7 +29,7 @@
     Fair,
 }
 
-/// What makes two lookups the same client's.
+/// What identifies a client: requests with the same key belong to the same client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientKey {
     /// The address of the peer.
@@ -49,28 +49,28 @@
     pub weight: f64,
     /// Networks whose addresses belong to it.
     pub networks: Vec<IpNet>,
-    /// Values of the tenant field that stand for it.
+    /// Values of the tenant field that name it.
     pub values: Vec<String>,
 }
 
 /// The configuration of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Which lookup is admitted next.
+    /// Which request is admitted next.
     pub discipline: QueueDiscipline,
-    /// The first is the default tenant: of all lookups that match no other.
+    /// The first is the default tenant: of all requests that match no other.
     pub tenants: Vec<Tenant>,
-    /// The field of a request that tells its tenant; it goes before the network.
+    /// The field of a request that names its tenant; it takes precedence over the network.
     pub tenant_field: Option<String>,
     /// What identifies a client.
     pub client_key: ClientKey,
-    /// Most lookups that wait, of all tenants together.
+    /// Most requests that wait, of all tenants together.
     pub max_waiting: usize,
     /// Lower bound of the concurrency limit.
     pub min_concurrency: usize,
     /// Upper bound of the concurrency limit.
     pub max_concurrency: usize,
-    /// Cost of a kilobyte, in addition to the duration of its lookup.
+    /// Cost of a kilobyte, in addition to the duration of its request.
     pub cost_per_kb: Micros,
     /// Tokens a second of a client's bucket, for [`QueueDiscipline::Buckets`].
     pub bucket_rate: f64,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Why a configuration was refused.
+/// Why a configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The key in the settings file.
@@ -121,6 +121,8 @@
     }
 }
 
+impl std::error::Error for ConfigError {}
+
 fn ensure(
     valid: bool,
     key: impl Into<String>,
@@ -147,34 +149,39 @@
 }
 
 /// Key of a tenant's field in the settings file. The default tenant is first here, and has fields of its own there.
-fn tenant_key(place: usize, field: &str) -> String {
-    match place {
+fn tenant_key(tenant_index: usize, field: &str) -> String {
+    match tenant_index {
         0 => format!("turns.default_{field}"),
-        _ => format!("turns.tenant[{}].{field}", place - 1),
+        _ => format!("turns.tenant[{}].{field}", tenant_index - 1),
     }
 }
 
-/// What the tenants checked so far have taken.
+/// The names, networks and field values of the tenants that were checked so far.
 #[derive(Default)]
-struct Taken<'a> {
+struct AssignedKeys<'a> {
     names: BTreeSet<&'a str>,
     networks: BTreeSet<IpNet>,
     values: BTreeSet<&'a str>,
 }
 
-impl<'a> Taken<'a> {
-    fn check(&mut self, place: usize, tenant: &'a Tenant) -> Result<(), ConfigError> {
-        self.check_name(place, &tenant.name)?;
-        ensure_within(tenant.weight, WEIGHT_RANGE, tenant_key(place, "weight"))?;
-        self.check_networks(place, &tenant.networks)?;
-        self.check_values(place, &tenant.values)?;
-        let reachable = place == 0 || !tenant.networks.is_empty() || !tenant.values.is_empty();
+impl<'a> AssignedKeys<'a> {
+    fn check(&mut self, tenant_index: usize, tenant: &'a Tenant) -> Result<(), ConfigError> {
+        self.check_name(tenant_index, &tenant.name)?;
+        ensure_within(
+            tenant.weight,
+            WEIGHT_RANGE,
+            tenant_key(tenant_index, "weight"),
+        )?;
+        self.check_networks(tenant_index, &tenant.networks)?;
+        self.check_values(tenant_index, &tenant.values)?;
+        let reachable =
+            tenant_index == 0 || !tenant.networks.is_empty() || !tenant.values.is_empty();
         let message = "neither network nor value: nobody would be this tenant";
-        ensure(reachable, tenant_key(place, "network"), message)
+        ensure(reachable, tenant_key(tenant_index, "network"), message)
     }
 
-    fn check_name(&mut self, place: usize, name: &'a str) -> Result<(), ConfigError> {
-        let key = tenant_key(place, "name");
+    fn check_name(&mut self, tenant_index: usize, name: &'a str) -> Result<(), ConfigError> {
+        let key = tenant_key(tenant_index, "name");
         ensure(!name.is_empty(), &key, "is empty")?;
         let plain = name
             .chars()
@@ -188,18 +195,26 @@
         )
     }
 
-    fn check_networks(&mut self, place: usize, networks: &[IpNet]) -> Result<(), ConfigError> {
+    fn check_networks(
+        &mut self,
+        tenant_index: usize,
+        networks: &[IpNet],
+    ) -> Result<(), ConfigError> {
         for (index, network) in networks.iter().enumerate() {
-            let key = format!("{}[{index}]", tenant_key(place, "network"));
+            let key = format!("{}[{index}]", tenant_key(tenant_index, "network"));
             let message = format!("{network} is another tenant's already");
             ensure(self.networks.insert(network.trunc()), key, message)?;
         }
         Ok(())
     }
 
-    fn check_values(&mut self, place: usize, values: &'a [String]) -> Result<(), ConfigError> {
+    fn check_values(
+        &mut self,
+        tenant_index: usize,
+        values: &'a [String],
+    ) -> Result<(), ConfigError> {
         for (index, value) in values.iter().enumerate() {
-            let key = format!("{}[{index}]", tenant_key(place, "value"));
+            let key = format!("{}[{index}]", tenant_key(tenant_index, "value"));
             let message = format!("{value:?} is another tenant's already");
             ensure(self.values.insert(value), key, message)?;
         }
@@ -208,7 +223,10 @@
 }
 
 impl AdmissionConfig {
-    /// Validates the whole configuration, and returns the first error.
+    /// Validates the whole configuration.
+    ///
+    /// # Errors
+    /// The first key whose value is out of bounds or in conflict with another.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.check_tenants()?;
         self.check_bounds()?;
@@ -222,11 +240,11 @@
         let count = self.tenants.len();
         let message = format!("{count} tenants, {MAX_TENANTS} at most");
         ensure((1..=MAX_TENANTS).contains(&count), "turns.tenant", message)?;
-        let mut taken = Taken::default();
-        for (place, tenant) in self.tenants.iter().enumerate() {
-            taken.check(place, tenant)?;
+        let mut assigned = AssignedKeys::default();
+        for (tenant_index, tenant) in self.tenants.iter().enumerate() {
+            assigned.check(tenant_index, tenant)?;
         }
-        let field_named = taken.values.is_empty() || self.tenant_field.is_some();
+        let field_named = assigned.values.is_empty() || self.tenant_field.is_some();
         ensure(
             field_named,
             "turns.tenant_field",
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,13 +1,18 @@
-//! The admission controller: decides which lookups are admitted, which wait and which are rejected, before the decision
-//! module sees them. Each lookup leaves exactly once: admitted and completed, rejected, or cancelled by its client.
+//! The admission controller: decides which requests are admitted, which wait and which are rejected, before the routing
+//! crate sees them.
+//!
+//! A request is waiting, in flight (from then on overdue if it takes too long), or ended; after an early failure its
+//! permit lingers for a while. Invariants: each request leaves exactly once, admitted and completed, rejected, or
+//! cancelled by its client; none waits while there is capacity, once `poll` has returned; the controller's time never
+//! goes back.
 
 mod admit;
 mod complete;
 mod completion_rate;
-mod lookup;
 mod poll;
 mod reconfigure;
 mod reject;
+mod tracked_request;
 
 use crate::concurrency_limit::ConcurrencyLimiter;
 use crate::config::{AdmissionConfig, QueueDiscipline, Tenant};
@@ -20,26 +25,26 @@
 use crate::timer_wheel::TimerWheel;
 use crate::token_buckets::TokenBuckets;
 use completion_rate::CompletionRate;
-use lookup::Lookup;
 use meadowrill_routing::interface::Micros;
+use tracked_request::TrackedRequest;
 
 /// Granularity of the timers.
 const TIMER_GRANULARITY: Micros = 2_000;
 
-/// Admission control in front of the decision module.
+/// Admission control in front of the routing crate.
 pub struct AdmissionController {
     config: AdmissionConfig,
     limits: CapacityLimits,
     seed: u64,
     reconfigurations: u64,
     now: Micros,
-    lookups: Slab<Lookup>,
+    requests: Slab<TrackedRequest>,
     queue: FairQueue,
     limiter: ConcurrencyLimiter,
     costs: CostModel,
     reservations: ReservationCalendar,
     buckets: TokenBuckets,
-    /// By lookup: when its wait ends, when it is overdue, or when its place is free after an early failure.
+    /// By request: when its wait ends, when it is overdue, or when its permit is free after an early failure.
     timers: TimerWheel,
     /// Events that the next `poll` returns.
     events: Vec<AdmissionEvent>,
@@ -48,12 +53,12 @@
     completions: CompletionRate,
 }
 
-/// Worth of each class in the queue: of two with the same utility, the one with the shorter budget goes first.
-fn queue_worths(costs: &CostModel) -> Vec<f64> {
-    let worth = |class: &RequestClass| {
+/// Weight of each class in the queue: of two with the same priority, the one with the shorter budget goes first.
+fn queue_weights(costs: &CostModel) -> Vec<f64> {
+    let weight = |class: &RequestClass| {
         class.priority_weight.max(0.0) / (class.latency_budget.max(1) as f64)
     };
-    costs.classes().map(worth).collect()
+    costs.classes().map(weight).collect()
 }
 
 impl AdmissionController {
@@ -68,7 +73,7 @@
         let costs = CostModel::new(classes, config.cost_per_kb);
         let budgets: Vec<Micros> = classes.iter().map(|class| class.latency_budget).collect();
         AdmissionController {
-            queue: FairQueue::new(&config, &queue_worths(&costs), seed, now),
+            queue: FairQueue::new(&config, &queue_weights(&costs), seed, now),
             limiter: ConcurrencyLimiter::new(
                 config.min_concurrency,
                 config.max_concurrency,
@@ -80,7 +85,7 @@
             costs,
             reservations: ReservationCalendar::new(now),
             timers: TimerWheel::new(TIMER_GRANULARITY, now),
-            lookups: Slab::default(),
+            requests: Slab::default(),
             events: Vec::new(),
             completions: CompletionRate::new(now),
             config,
@@ -97,24 +102,24 @@
         self.now
     }
 
-    /// Whether a lookup was not admitted yet.
+    /// Whether a request was not admitted yet.
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
-        self.lookups
+        self.requests
             .get(ticket.0)
-            .is_some_and(|lookup| lookup.admitted_at.is_none())
+            .is_some_and(|request| request.admitted_at.is_none())
     }
 
-    /// Number of lookups that wait.
+    /// Number of requests that wait.
     pub fn waiting(&self) -> usize {
         self.queue.waiting()
     }
 
-    /// Number of lookups that wait or are in flight.
+    /// Number of requests that wait or are in flight.
     pub fn open(&self) -> usize {
-        self.lookups.len() - self.limiter.lingering()
+        self.requests.len() - self.limiter.lingering()
     }
 
-    /// Whether one more lookup may be in flight.
+    /// Whether one more request may be in flight.
     pub fn has_capacity(&self) -> bool {
         self.config.discipline != QueueDiscipline::Fair || self.limiter.has_capacity()
     }
@@ -151,27 +156,27 @@
             reservations_expired: self.reservations.expired,
             reservations_refused: self.reservations.refused,
             tenants: tenants
-                .map(|(place, tenant)| self.tenant_report(place, tenant))
+                .map(|(index, tenant)| self.tenant_report(index, tenant))
                 .collect(),
         }
     }
 
-    fn tenant_report(&self, place: usize, tenant: &Tenant) -> TenantReport {
-        let load = self.queue.tenant_load(place);
+    fn tenant_report(&self, index: usize, tenant: &Tenant) -> TenantReport {
+        let load = self.queue.tenant_load(index);
         TenantReport {
             name: tenant.name.clone(),
             weight: tenant.weight,
             waiting: load.waiting,
             in_flight: load.in_flight,
-            counters: self.counters[place],
-            heaviest_clients: self.queue.heaviest_clients(place),
+            counters: self.counters[index],
+            heaviest_clients: self.queue.heaviest_clients(index),
         }
     }
 
-    /// Bytes that the controller holds.
+    /// Bytes allocated by the controller.
     pub fn memory_bytes(&self) -> usize {
         size_of::<AdmissionController>()
-            + self.lookups.memory_bytes()
+            + self.requests.memory_bytes()
             + self.queue.memory_bytes()
             + self.reservations.memory_bytes()
             + self.timers.memory_bytes()
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -1,6 +1,10 @@
-//! Admission of a new lookup: at once, to the queue, or not at all.
+//! Admission of a new request: at once, to the queue, or not at all.
+//!
+//! The order of the checks: the host's limits, a part of which is reserved for redeemed reservations; then the discipline.
+//! With fair queueing a request is admitted at once only where nobody waits, and waits only where it can still be
+//! answered within its latency budget.
 
-use super::lookup::Lookup;
+use super::tracked_request::TrackedRequest;
 use super::AdmissionController;
 use crate::config::QueueDiscipline;
 use crate::fair_queue::DequeuedItem;
@@ -8,16 +12,22 @@
 use crate::request::{AdmissionRequest, Decision, RejectReason, Ticket};
 use meadowrill_routing::interface::Micros;
 
-/// So many lookups of a flow may wait whatever is reserved: reservations must not leave places idle if nobody returns.
+/// So many requests of a flow may wait whatever is reserved: reservations must not leave permits unused if no client
+/// returns.
 const UNRESERVED_WAITING: u32 = 2;
-/// Part of the byte limit up to which tenants are not held to their shares.
-const UNSHARED_BYTES_PART: f64 = 0.5;
-/// One in so many places of the capacity limits is kept for redeemed reservations.
-const RESERVED_PLACES: usize = 16;
+/// Fraction of the byte limit up to which tenants are not limited to their shares.
+const UNSHARED_BYTES_FRACTION: f64 = 0.5;
+/// One in so many of what the host allows is left to redeemed reservations.
+const RESERVED_DIVISOR: usize = 16;
 
 impl AdmissionController {
-    /// Decides on a lookup that was read. `held_bytes` is what the host holds, this lookup included.
-    pub fn admit(&mut self, now: Micros, request: AdmissionRequest, held_bytes: usize) -> Decision {
+    /// Decides on a request that was read. `bytes_in_use` is what the host uses, this request included.
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        request: AdmissionRequest,
+        bytes_in_use: usize,
+    ) -> Decision {
         let now = self.advance(now);
         let request = AdmissionRequest {
             identity: self.known_tenant(request.identity),
@@ -25,11 +35,11 @@
         };
         self.counters[usize::from(request.identity.tenant)].offered += 1;
         let reserved = self.redeem_reservation(now, &request.identity);
-        if let Some(reason) = self.exceeded_limit(held_bytes, reserved) {
+        if let Some(reason) = self.exceeded_limit(bytes_in_use, reserved) {
             return Decision::Rejected(self.reject_at_limit(now, request.identity, reason));
         }
         match self.config.discipline {
-            QueueDiscipline::Fair => self.admit_fairly(now, request, held_bytes, reserved),
+            QueueDiscipline::Fair => self.admit_fairly(now, request, bytes_in_use, reserved),
             QueueDiscipline::FirstCome => self.admit_unqueued(now, request),
             QueueDiscipline::Buckets => match self.buckets.take_token(now, request.identity) {
                 Ok(()) => self.admit_unqueued(now, request),
@@ -49,7 +59,7 @@
         }
     }
 
-    /// A client that returns for a reservation uses it up, also where there is room.
+    /// A client that returns for a reservation uses it up, also where there is capacity.
     fn redeem_reservation(&mut self, now: Micros, identity: &ClientIdentity) -> bool {
         let Some(flow) = self.reservations.redeem(now, identity) else {
             return false;
@@ -58,24 +68,26 @@
         true
     }
 
-    /// The capacity limit that is reached, a part of which is kept for redeemed reservations.
-    fn exceeded_limit(&self, held_bytes: usize, reserved: bool) -> Option<RejectReason> {
+    /// The limit of the host that is reached, a part of which is left to redeemed reservations.
+    fn exceeded_limit(&self, bytes_in_use: usize, reserved: bool) -> Option<RejectReason> {
         let usable = |limit: usize| {
             if reserved {
                 limit
             } else {
-                limit - limit / RESERVED_PLACES
+                limit - limit / RESERVED_DIVISOR
             }
         };
         if self.open() >= usable(self.limits.open_requests) {
             return Some(RejectReason::OpenRequestLimit);
         }
-        (held_bytes > usable(self.limits.bytes)).then_some(RejectReason::ByteLimit)
+        (bytes_in_use > usable(self.limits.bytes)).then_some(RejectReason::ByteLimit)
     }
 
     fn admit_unqueued(&mut self, now: Micros, request: AdmissionRequest) -> Decision {
         let cost = self.costs.expected(request.class, request.size_kb);
-        let index = self.lookups.insert(Lookup::new(&request, now, cost));
+        let index = self
+            .requests
+            .insert(TrackedRequest::new(&request, now, cost));
         Decision::Admitted(self.start(index, now))
     }
 
@@ -83,103 +95,104 @@
         &mut self,
         now: Micros,
         request: AdmissionRequest,
-        held_bytes: usize,
+        bytes_in_use: usize,
         reserved: bool,
     ) -> Decision {
         let (identity, class) = (request.identity, request.class);
         let cost = self.costs.expected(class, request.size_kb);
         let flow = self.queue.flow_of(now, identity);
-        let lookup = Lookup::new(&request, now, cost).in_flow(flow);
+        let tracked = TrackedRequest::new(&request, now, cost).in_flow(flow);
         if self.limiter.has_capacity() && self.queue.waiting() == 0 {
-            return self.admit_at_once(now, lookup);
+            return self.admit_at_once(now, tracked);
         }
         let latest_start = self.costs.latest_start(class, now, request.expires);
-        let refusal = self.refusal(&lookup, held_bytes, latest_start - now, reserved);
-        let refusal = refusal.or_else(|| self.make_queue_room(now, flow));
-        if let Some(reason) = refusal {
+        let wait_rejection =
+            self.wait_rejection(&tracked, bytes_in_use, latest_start - now, reserved);
+        let wait_rejection = wait_rejection.or_else(|| self.make_queue_space(now, flow));
+        if let Some(reason) = wait_rejection {
             return Decision::Rejected(self.reject(now, identity, flow, class, reason));
         }
-        self.enqueue(now, lookup, latest_start)
+        self.enqueue(now, tracked, latest_start)
     }
 
-    /// Admits a lookup that nobody waits before; it goes through the queue to be charged.
-    fn admit_at_once(&mut self, now: Micros, lookup: Lookup) -> Decision {
-        let index = self.lookups.insert(lookup);
-        self.queue.enqueue(index, lookup.queued());
+    /// Admits a request while none waits; it goes through the queue to be charged.
+    fn admit_at_once(&mut self, now: Micros, request: TrackedRequest) -> Decision {
+        let index = self.requests.insert(request);
+        self.queue.enqueue(index, request.queued());
         let next = self.queue.dequeue();
         debug_assert_eq!(
             next,
             Some(DequeuedItem {
                 item: index,
-                flow: lookup.flow
+                flow: request.flow
             })
         );
         Decision::Admitted(self.start(index, now))
     }
 
-    fn enqueue(&mut self, now: Micros, lookup: Lookup, latest_start: Micros) -> Decision {
-        let index = self.lookups.insert(lookup);
-        self.queue.enqueue(index, lookup.queued());
+    fn enqueue(&mut self, now: Micros, request: TrackedRequest, latest_start: Micros) -> Decision {
+        let index = self.requests.insert(request);
+        self.queue.enqueue(index, request.queued());
         self.timers.set(index, latest_start);
         self.limiter.record_wait(now);
-        self.counters[lookup.tenant()].waited += 1;
+        self.counters[request.tenant()].waited += 1;
         Decision::Queued(Ticket(index))
     }
 
-    /// Why a lookup that would have to wait may not. `slack` is how long it could wait.
-    fn refusal(
+    /// Why a request that would have to wait may not. `slack` is how long it could wait.
+    fn wait_rejection(
         &self,
-        lookup: &Lookup,
-        held_bytes: usize,
+        request: &TrackedRequest,
+        bytes_in_use: usize,
         slack: Micros,
         reserved: bool,
     ) -> Option<RejectReason> {
         if slack <= 0 {
             return Some(RejectReason::DeadlineMissed);
         }
-        if self.exceeds_byte_share(lookup, held_bytes) {
+        if self.exceeds_byte_share(request, bytes_in_use) {
             return Some(RejectReason::ByteLimit);
         }
-        if reserved || self.queue.waiting_in(lookup.flow) < UNRESERVED_WAITING {
+        if reserved || self.queue.waiting_in(request.flow) < UNRESERVED_WAITING {
             return None;
         }
-        let cost_ahead = self.queue.cost_ahead(lookup.flow, lookup.charged);
-        let wait = self.service_time(lookup.flow, cost_ahead);
+        let cost_ahead = self.queue.cost_ahead(request.flow, request.charged);
+        let wait = self.service_time(request.flow, cost_ahead);
         (wait > slack as f64).then_some(RejectReason::QueueTooLong)
     }
 
-    fn exceeds_byte_share(&self, lookup: &Lookup, held_bytes: usize) -> bool {
-        let unshared = self.limits.bytes as f64 * UNSHARED_BYTES_PART;
-        let tenant = self.queue.tenant_bytes(lookup.flow);
-        let tenant_bytes = (tenant.waiting + lookup.bytes as usize) as f64;
-        held_bytes as f64 > unshared && tenant_bytes > unshared * tenant.share
+    fn exceeds_byte_share(&self, request: &TrackedRequest, bytes_in_use: usize) -> bool {
+        let unshared = self.limits.bytes as f64 * UNSHARED_BYTES_FRACTION;
+        let tenant = self.queue.tenant_bytes(request.flow);
+        let tenant_bytes = (tenant.waiting + request.bytes as usize) as f64;
+        bytes_in_use as f64 > unshared && tenant_bytes > unshared * tenant.share
     }
 
-    /// Where the queue is full, drops the last lookup of the longest flow in favour of one that has less than an even
-    /// part of the queue. Returns the reason to reject the new one otherwise.
-    fn make_queue_room(&mut self, now: Micros, flow: u32) -> Option<RejectReason> {
+    /// Where the queue is full, drops the last request of the longest flow in favour of one that has less than an even
+    /// share of the queue (longest queue drop). Returns the reason to reject the new one otherwise.
+    fn make_queue_space(&mut self, now: Micros, flow: u32) -> Option<RejectReason> {
         if self.queue.waiting() < self.config.max_waiting {
             return None;
         }
-        let even_part = self.config.max_waiting as u32 / self.queue.active_flows().max(1);
+        let even_share = self.config.max_waiting as u32 / self.queue.active_flows().max(1);
         let longest = self.queue.longest_queue_tail();
-        let below_part = self.queue.waiting_in(flow) < even_part.max(1);
-        let Some(dropped) = longest.filter(|_| below_part) else {
+        let below_share = self.queue.waiting_in(flow) < even_share.max(1);
+        let Some(dropped) = longest.filter(|_| below_share) else {
             return Some(RejectReason::QueueFull);
         };
         self.reject_queued(now, dropped, RejectReason::QueueFull);
         None
     }
 
-    /// A lookup is in flight from now on.
+    /// A request is in flight from now on.
     pub(super) fn start(&mut self, index: u32, now: Micros) -> Ticket {
         let low_load = self.limiter.acquire();
-        if let Some(lookup) = self.lookups.get_mut(index) {
-            lookup.admitted_at = Some(now);
-            lookup.low_load = low_load;
-            self.counters[lookup.tenant()].admitted += 1;
-            if lookup.fair_queued {
-                let usual = self.costs.usual_duration(lookup.class());
+        if let Some(request) = self.requests.get_mut(index) {
+            request.admitted_at = Some(now);
+            request.low_load = low_load;
+            self.counters[request.tenant()].admitted += 1;
+            if request.fair_queued {
+                let usual = self.costs.usual_duration(request.class());
                 self.timers
                     .set(index, now + self.limiter.overdue_after(usual));
             }
--- a/crates/admission/src/controller/completion_rate.rs
+++ b/crates/admission/src/controller/completion_rate.rs
@@ -1,4 +1,4 @@
-//! The rate at which lookups end, which tells when places become free.
+//! The rate at which requests end: an estimate of when permits become free.
 
 use meadowrill_routing::interface::Micros;
 
@@ -11,7 +11,7 @@
 
 /// An exponentially weighted mean of completions per microsecond.
 pub(super) struct CompletionRate {
-    window_began: Micros,
+    window_start: Micros,
     count: f64,
     mean: f64,
 }
@@ -19,7 +19,7 @@
 impl CompletionRate {
     pub(super) fn new(now: Micros) -> CompletionRate {
         CompletionRate {
-            window_began: now,
+            window_start: now,
             count: 0.0,
             mean: 0.0,
         }
@@ -28,18 +28,18 @@
     /// Counts a completion.
     pub(super) fn record(&mut self, now: Micros) {
         self.count += 1.0;
-        let age = now - self.window_began;
+        let age = now - self.window_start;
         if age >= WINDOW {
             let rate = self.count / age as f64;
             self.mean += LEARNING_RATE * (rate - self.mean);
-            self.window_began = now;
+            self.window_start = now;
             self.count = 0.0;
         }
     }
 
     /// Completions per microsecond.
     pub(super) fn estimate(&self, now: Micros) -> f64 {
-        let current = self.count / (now - self.window_began).max(WINDOW) as f64;
+        let current = self.count / (now - self.window_start).max(WINDOW) as f64;
         self.mean.max(current).max(MIN_RATE)
     }
 }
--- a/crates/admission/src/controller/poll.rs
+++ b/crates/admission/src/controller/poll.rs
@@ -1,4 +1,4 @@
-//! Timers, and admission from the queue.
+//! What is due: timers, expired reservations, and admission from the queue while there is capacity.
 
 use super::AdmissionController;
 use crate::fair_queue::DequeuedItem;
@@ -6,7 +6,7 @@
 use meadowrill_routing::interface::Micros;
 
 impl AdmissionController {
-    /// Does all that is due, and appends to `events` what became of lookups that waited.
+    /// Does all that is due, and appends to `events` what became of requests that waited.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<AdmissionEvent>) {
         let now = self.advance(now);
         while let Some(expired) = self.reservations.pop_expired(now) {
@@ -27,27 +27,31 @@
     }
 
     fn fire_timer(&mut self, now: Micros, index: u32) {
-        match self.lookups.get_mut(index) {
-            Some(lookup) if lookup.admitted_at.is_none() => {
+        match self.requests.get_mut(index) {
+            Some(request) if request.admitted_at.is_none() => {
                 self.reject_queued(now, index, RejectReason::DeadlineMissed);
             }
-            Some(lookup) if lookup.lingering => {
-                self.lookups.remove(index);
+            Some(request) if request.lingering => {
+                self.requests.remove(index);
                 self.limiter.end_linger();
             }
-            Some(lookup) if !lookup.overdue => lookup.overdue = self.limiter.mark_overdue(),
+            Some(request) if !request.overdue => request.overdue = self.limiter.mark_overdue(),
             _ => {}
         }
     }
 
     fn admit_dequeued(&mut self, now: Micros, dequeued: DequeuedItem) {
         self.start(dequeued.item, now);
-        let Some(lookup) = self.lookups.get_mut(dequeued.item) else {
+        let Some(request) = self.requests.get_mut(dequeued.item) else {
             return;
         };
         // Its client may have got a flow of its own meanwhile.
-        lookup.flow = dequeued.flow;
-        let (id, tenant, waited) = (lookup.id, lookup.identity.tenant, now - lookup.arrived_at);
+        request.flow = dequeued.flow;
+        let (id, tenant, waited) = (
+            request.id,
+            request.identity.tenant,
+            now - request.arrived_at,
+        );
         self.events
             .push(AdmissionEvent::Admitted { id, tenant, waited });
     }
--- a/crates/admission/src/controller/reject.rs
+++ b/crates/admission/src/controller/reject.rs
@@ -1,4 +1,7 @@
-//! Rejections: when the client should return, and whether a place is reserved for it then.
+//! Rejections: when the client should return, and whether there is a reservation for that time.
+//!
+//! The time is when the client's own flow, at its share of the concurrency limit, will be done with all that waits and is
+//! reserved in it. Invariant: a reservation is made only for a time that the client is sent.
 
 use super::AdmissionController;
 use crate::config::QueueDiscipline;
@@ -7,11 +10,11 @@
 use crate::reservations;
 use meadowrill_routing::interface::Micros;
 
-/// Fullness of the calendar from which on a flow may not have more than an even part of it.
-const CROWDED_FULLNESS: f64 = 0.5;
-/// Clients are told whole milliseconds.
+/// Fullness of the calendar from which on a flow may not have more than an even share of it.
+const NEARLY_FULL: f64 = 0.5;
+/// Retry-After is sent in whole milliseconds.
 const RETRY_GRANULARITY: Micros = 1_000;
-/// Longest wait that is computed with.
+/// Longest wait that is computed with, in microseconds.
 const MAX_WAIT: f64 = 1e12;
 /// Least rate of a flow, so that it can be divided by.
 const MIN_FLOW_RATE: f64 = 1e-6;
@@ -28,7 +31,7 @@
         cost / (self.limiter.limit() * self.queue.share(flow)).max(MIN_FLOW_RATE)
     }
 
-    /// Rejects a lookup, and reserves the next free place of its flow where the client may be told.
+    /// Rejects a request, and makes a reservation when its flow is next free, where Retry-After may be sent.
     pub(super) fn reject(
         &mut self,
         now: Micros,
@@ -43,7 +46,7 @@
         self.reject_until(now, identity, flow, wait, reason)
     }
 
-    /// Rejects a lookup at a capacity limit: places become free at the rate of completions.
+    /// Rejects a request at a limit of the host: capacity becomes free at the rate of completions.
     pub(super) fn reject_at_limit(
         &mut self,
         now: Micros,
@@ -60,21 +63,21 @@
         self.reject_until(now, identity, flow, wait, reason)
     }
 
-    /// Rejects a lookup that waits.
+    /// Rejects a request that waits.
     pub(super) fn reject_queued(&mut self, now: Micros, index: u32, reason: RejectReason) {
-        let Some(lookup) = self.lookups.remove(index) else {
+        let Some(request) = self.requests.remove(index) else {
             return;
         };
         self.timers.cancel(index);
         self.queue.remove(index);
-        let rejection = self.reject(now, lookup.identity, lookup.flow, lookup.class(), reason);
+        let rejection = self.reject(now, request.identity, request.flow, request.class(), reason);
         self.events.push(AdmissionEvent::Rejected {
-            id: lookup.id,
+            id: request.id,
             rejection,
         });
     }
 
-    /// Rejects a lookup, and reserves a place of its flow after `wait` if that is not too long.
+    /// Rejects a request, and makes a reservation of its flow after `wait` if that is not too long.
     fn reject_until(
         &mut self,
         now: Micros,
@@ -84,7 +87,7 @@
         reason: RejectReason,
     ) -> Rejection {
         let wait = rounded_wait(wait);
-        let allowed = wait <= self.limits.max_retry_after && !self.has_even_part_reserved(flow);
+        let allowed = wait <= self.limits.max_retry_after && !self.has_even_share_reserved(flow);
         let reserved = allowed && self.reservations.reserve(&identity, flow, now + wait);
         if reserved {
             self.queue.add_reservation(flow);
@@ -92,13 +95,13 @@
         self.rejection(identity, reason, wait, reserved)
     }
 
-    /// Whether a flow has an even part of a calendar that is crowded.
-    fn has_even_part_reserved(&self, flow: u32) -> bool {
-        let even_part = reservations::CAPACITY as u32 / self.queue.active_flows().max(1);
-        self.reservations.fullness() > CROWDED_FULLNESS && self.queue.reserved_in(flow) >= even_part
+    /// Whether a flow has an even share of a calendar that is nearly full.
+    fn has_even_share_reserved(&self, flow: u32) -> bool {
+        let even_share = reservations::CAPACITY as u32 / self.queue.active_flows().max(1);
+        self.reservations.fullness() > NEARLY_FULL && self.queue.reserved_in(flow) >= even_share
     }
 
-    /// Counts a rejection, and limits the time that the client is told.
+    /// Counts a rejection, and limits its Retry-After.
     pub(super) fn rejection(
         &mut self,
         identity: ClientIdentity,
--- a/crates/admission/src/controller/lookup.rs
+++ b/crates/admission/src/controller/tracked_request.rs
@@ -1,18 +1,21 @@
-//! The state of one lookup at the controller.
+//! The state of one request at the controller, from its arrival until its permit is free.
+//!
+//! States: waiting (not admitted), in flight, overdue (in flight, not counted), lingering (failed early, its permit is
+//! still occupied).
 
 use crate::fair_queue::QueuedRequest;
 use crate::identity::ClientIdentity;
 use crate::request::AdmissionRequest;
 use meadowrill_routing::interface::Micros;
 
-/// A lookup that waits, is in flight, or has failed early.
+/// A request that waits, is in flight, or has failed early.
 #[derive(Clone, Copy)]
-pub(super) struct Lookup {
+pub(super) struct TrackedRequest {
     /// The host's number for it.
     pub(super) id: u32,
     pub(super) identity: ClientIdentity,
     pub(super) flow: u32,
-    /// Went through the fair queue, and counts in its flow.
+    /// Passed through the fair queue, and counts in its flow.
     pub(super) fair_queued: bool,
     class: u8,
     pub(super) arrived_at: Micros,
@@ -25,13 +28,13 @@
     pub(super) low_load: bool,
     /// No longer counts against the concurrency limit.
     pub(super) overdue: bool,
-    /// Has failed early; its place stays occupied for a while.
+    /// Has failed early; its permit stays occupied for a while.
     pub(super) lingering: bool,
 }
 
-impl Lookup {
-    pub(super) fn new(request: &AdmissionRequest, now: Micros, charged: f64) -> Lookup {
-        Lookup {
+impl TrackedRequest {
+    pub(super) fn new(request: &AdmissionRequest, now: Micros, charged: f64) -> TrackedRequest {
+        TrackedRequest {
             id: request.id,
             identity: request.identity,
             flow: 0,
@@ -47,9 +50,9 @@
         }
     }
 
-    /// The lookup as one that goes through the fair queue.
-    pub(super) fn in_flow(self, flow: u32) -> Lookup {
-        Lookup {
+    /// The request as one that goes through the fair queue.
+    pub(super) fn in_flow(self, flow: u32) -> TrackedRequest {
+        TrackedRequest {
             flow,
             fair_queued: true,
             ..self
@@ -61,12 +64,12 @@
         usize::from(self.class)
     }
 
-    /// Place of its tenant.
+    /// Index of its tenant.
     pub(super) fn tenant(&self) -> usize {
         usize::from(self.identity.tenant)
     }
 
-    /// The lookup as the fair queue holds it.
+    /// The request as the fair queue needs it.
     pub(super) fn queued(&self) -> QueuedRequest {
         let (flow, class, client) = (self.flow, self.class(), self.identity.client);
         QueuedRequest {
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -1,12 +1,14 @@
-//! The cost of a lookup: how long it occupies a place in the concurrency limit, and its bytes. Expected costs are
-//! learned by class; actual costs are taken when a lookup has ended.
+//! The cost of a request: how long it occupies a permit of the concurrency limit, and its bytes.
+//!
+//! Expected costs are learned by class; actual costs are taken when a request has ended. Invariant: no cost is below
+//! [`MIN_COST`], and bytes at most double it.
 
 use meadowrill_routing::interface::Micros;
 
-/// A class of lookups as the configuration describes it.
+/// A class of requests as the configuration describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Utility of a lookup that is satisfied within its latency budget.
+    /// Weight of a request that succeeds within its latency budget, against other classes.
     pub priority_weight: f64,
     /// Latency that is still acceptable.
     pub latency_budget: Micros,
@@ -16,13 +18,13 @@
 
 /// Weight of a new sample in a mean.
 const LEARNING_RATE: f64 = 0.05;
-/// Duration that is assumed until one was seen, as a part of the latency budget.
-const ASSUMED_BUDGET_PART: f64 = 0.1;
-/// How far a declared size may move the expected cost from the mean of its class: it is only the client's word.
+/// Duration that is assumed until one was measured, as a fraction of the latency budget.
+const ASSUMED_BUDGET_FRACTION: f64 = 0.1;
+/// How far a declared size may move the expected cost from the mean of its class: clients may declare any.
 const SIZE_FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.25..=8.0;
-/// Part of the duration that grows with a declared size.
-const SIZE_DEPENDENT_PART: f64 = 0.5;
-/// No lookup is free, or a flood of lookups that end at once would cost nothing.
+/// Fraction of the duration that grows with a declared size.
+const SIZE_DEPENDENT_FRACTION: f64 = 0.5;
+/// Least cost, in microseconds: a flood of requests that end at once would cost nothing otherwise.
 const MIN_COST: f64 = 100.0;
 
 /// What was learned of a class.
@@ -36,7 +38,7 @@
 
 impl ClassEstimate {
     fn new(class: RequestClass) -> ClassEstimate {
-        let duration = class.latency_budget as f64 * ASSUMED_BUDGET_PART;
+        let duration = class.latency_budget as f64 * ASSUMED_BUDGET_FRACTION;
         ClassEstimate {
             class,
             duration,
@@ -46,14 +48,14 @@
     }
 }
 
-/// Expected and actual costs, in microseconds of a place in the concurrency limit.
+/// Expected and actual costs, in microseconds of a permit of the concurrency limit.
 pub struct CostModel {
     estimates: Vec<ClassEstimate>,
     cost_per_kb: f64,
 }
 
 impl CostModel {
-    /// A model that has seen no lookup of any class.
+    /// A model without samples of any class.
     pub fn new(classes: &[RequestClass], cost_per_kb: Micros) -> CostModel {
         let estimates = classes.iter().copied().map(ClassEstimate::new).collect();
         CostModel {
@@ -67,7 +69,7 @@
         self.cost_per_kb = cost_per_kb as f64;
     }
 
-    /// Expected cost of a lookup of this class; `size_kb` is 0 where none was declared.
+    /// Expected cost of a request of this class; `size_kb` is 0 where none was declared.
     pub fn expected(&self, class: usize, size_kb: f64) -> f64 {
         let Some(estimate) = self.estimates.get(class) else {
             return MIN_COST;
@@ -79,16 +81,16 @@
         let (least, most) = (*SIZE_FACTOR_RANGE.start(), *SIZE_FACTOR_RANGE.end());
         let factor = (size_kb / estimate.size_kb).clamp(least, most);
         let duration =
-            estimate.duration * (1.0 - SIZE_DEPENDENT_PART + SIZE_DEPENDENT_PART * factor);
+            estimate.duration * (1.0 - SIZE_DEPENDENT_FRACTION + SIZE_DEPENDENT_FRACTION * factor);
         self.total(duration, estimate.size_kb * factor)
     }
 
-    /// Actual cost of a lookup that took `duration` and brought `size_kb`.
+    /// Actual cost of a request that took `duration` and transferred `size_kb`.
     pub fn actual(&self, duration: Micros, size_kb: f64) -> f64 {
         self.total(duration.max(0) as f64, size_kb.max(0.0))
     }
 
-    /// Usual duration of a lookup of this class.
+    /// Usual duration of a request of this class.
     pub fn usual_duration(&self, class: usize) -> f64 {
         self.estimates
             .get(class)
@@ -100,7 +102,7 @@
         (duration + (size_kb * self.cost_per_kb).min(duration)).max(MIN_COST)
     }
 
-    /// Learns from a lookup that was satisfied.
+    /// Learns from a request that succeeded.
     pub fn record(&mut self, class: usize, duration: Micros, size_kb: f64) {
         let Some(estimate) = self.estimates.get_mut(class) else {
             return;
@@ -112,8 +114,8 @@
         estimate.size_kb += weight * (size_kb.max(0.0) - estimate.size_kb);
     }
 
-    /// The latest time at which a lookup that was read at `now` may start and still end within its latency budget;
-    /// never past `expires`, when its client gives up.
+    /// The latest time at which a request that was read at `now` may start and still end within its latency budget;
+    /// never past `expires`, when its client times out.
     pub fn latest_start(&self, class: usize, now: Micros, expires: Micros) -> Micros {
         let Some(estimate) = self.estimates.get(class) else {
             return expires;
@@ -121,9 +123,9 @@
         let duration = estimate.duration;
         let budget =
             estimate.class.latency_budget as f64 + estimate.class.budget_stretch * duration;
-        // A class that usually exceeds its budget may still wait a little: such lookups are the decision module's to
-        // give up.
-        let slack = (budget - duration).max(budget * ASSUMED_BUDGET_PART);
+        // A class that usually exceeds its budget may still wait a little: the routing crate decides when such requests
+        // fail.
+        let slack = (budget - duration).max(budget * ASSUMED_BUDGET_FRACTION);
         let reserve = (duration as Micros).min((expires - now) / 2);
         (now + slack as Micros).min(expires - reserve)
     }
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -1,9 +1,14 @@
-//! Weighted fair queueing: start-time fair queueing (Goyal, Vin, Cheng) on three levels: tenants by weight, the clients
-//! of a tenant alike, and a client's classes of lookups by their worth. Each level admits from the queue with the least
-//! start tag; the tag advances by the expected cost over the weight, and is corrected when the actual cost is known.
+//! Weighted fair queueing: start-time fair queueing (Goyal, Vin, Cheng, 1996) on three levels: tenants by weight, the
+//! clients of a tenant alike, and a client's classes of requests by their weights.
+//!
+//! Each level admits from the queue with the least start tag; the tag advances by the expected cost over the weight, and
+//! is corrected when the actual cost is known. Clients are assigned to queues in `classify`, by stochastic fairness
+//! queueing (McKenney, 1990) with queues of their own for the heaviest.
 //!
 //! Bound: while two tenants are both backlogged, the costs admitted of them, each over its weight, differ by no more
-//! than the largest cost of each over its weight, and what corrections were still open. See docs/turns.md.
+//! than the largest cost of each over its weight, and what corrections were still open. See docs/turns.md. Invariants: a
+//! flow is in the backlog of its tenant exactly while anything waits in it; the start tag of a queue that becomes
+//! backlogged is at least the virtual time of its level, so nothing is saved up while idle.
 
 mod accounting;
 mod classify;
@@ -15,10 +20,10 @@
 use meadowrill_routing::interface::Micros;
 use std::cmp::Ordering;
 
-/// Least weight of a class, against the one of the greatest worth: none is starved.
+/// Least weight of a class, against the greatest one: none is starved.
 const MIN_CLASS_WEIGHT: f64 = 0.05;
 
-/// A lookup to be queued.
+/// A request to be queued.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedRequest {
     /// The flow that [`FairQueue::flow_of`] returned.
@@ -29,7 +34,7 @@
     pub client: u64,
     /// Expected cost.
     pub cost: f64,
-    /// Bytes that are held while it waits.
+    /// Bytes in use while it waits.
     pub bytes: u32,
 }
 
@@ -42,19 +47,19 @@
     pub flow: u32,
 }
 
-/// How many lookups of a tenant there are.
+/// How many requests of a tenant there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantLoad {
-    /// Lookups that wait.
+    /// Requests that wait.
     pub waiting: u32,
-    /// Lookups in flight.
+    /// Requests in flight.
     pub in_flight: u32,
 }
 
 /// Bytes that wait for a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantBytes {
-    /// Bytes of its waiting lookups.
+    /// Bytes of its waiting requests.
     pub waiting: usize,
     /// Its part of the weight of all active tenants.
     pub share: f64,
@@ -77,15 +82,15 @@
     class_lanes: Vec<ClassLane>,
 }
 
-/// The lane and weight of each class, by the worth of a lookup of it.
-fn class_lanes(worths: &[f64]) -> Vec<ClassLane> {
-    let greatest = worths
+/// The lane and weight of each class, by the weight of a request of it.
+fn class_lanes(weights: &[f64]) -> Vec<ClassLane> {
+    let greatest = weights
         .iter()
         .copied()
-        .filter(|worth| worth.is_finite())
+        .filter(|weight| weight.is_finite())
         .fold(f64::MIN_POSITIVE, f64::max);
-    let class_lane = |(class, worth): (usize, &f64)| {
-        let weight = (worth / greatest).clamp(MIN_CLASS_WEIGHT, 1.0);
+    let class_lane = |(class, weight): (usize, &f64)| {
+        let weight = (weight / greatest).clamp(MIN_CLASS_WEIGHT, 1.0);
         let weight = if weight.is_nan() {
             MIN_CLASS_WEIGHT
         } else {
@@ -96,7 +101,7 @@
             weight,
         }
     };
-    worths.iter().enumerate().map(class_lane).collect()
+    weights.iter().enumerate().map(class_lane).collect()
 }
 
 /// The element with the least tag, the first of equal ones.
@@ -106,8 +111,8 @@
 }
 
 impl FairQueue {
-    /// An empty queue. `worths` holds the worth of a lookup of each class; a greater one is admitted sooner.
-    pub fn new(config: &AdmissionConfig, worths: &[f64], seed: u64, now: Micros) -> FairQueue {
+    /// An empty queue. `weights` holds the weight of a request of each class; a greater one is admitted sooner.
+    pub fn new(config: &AdmissionConfig, weights: &[f64], seed: u64, now: Micros) -> FairQueue {
         let mut queue = FairQueue {
             tenants: Vec::new(),
             flows: Vec::new(),
@@ -119,12 +124,12 @@
             seed,
             salt: 0,
             salted_at: now,
-            class_lanes: class_lanes(worths),
+            class_lanes: class_lanes(weights),
         };
-        for (place, tenant) in (0u16..).zip(&config.tenants) {
+        for (index, tenant) in (0u16..).zip(&config.tenants) {
             queue
                 .flows
-                .extend(std::iter::repeat_n(Flow::new(place), FLOWS_PER_TENANT));
+                .extend(std::iter::repeat_n(Flow::new(index), FLOWS_PER_TENANT));
             queue.tenants.push(TenantQueue::new(tenant.weight, now));
         }
         queue
@@ -155,14 +160,14 @@
     }
 
     /// Appends `item` to its flow.
-    pub fn enqueue(&mut self, item: u32, lookup: QueuedRequest) {
+    pub fn enqueue(&mut self, item: u32, request: QueuedRequest) {
         let QueuedRequest {
             flow,
             class,
             client,
             cost,
             bytes,
-        } = lookup;
+        } = request;
         let lane = self
             .class_lanes
             .get(class)
@@ -270,12 +275,12 @@
     /// Takes a flow out of the backlogged flows of its tenant.
     fn end_backlog(&mut self, index: u32) {
         let flow = &mut self.flows[index as usize];
-        let place = flow.backlog_index;
+        let position = flow.backlog_index;
         flow.backlog_index = NONE;
         let backlogged = &mut self.tenants[usize::from(flow.tenant)].backlogged;
-        backlogged.swap_remove(place as usize);
-        if let Some(moved) = backlogged.get(place as usize) {
-            self.flows[*moved as usize].backlog_index = place;
+        backlogged.swap_remove(position as usize);
+        if let Some(moved) = backlogged.get(position as usize) {
+            self.flows[*moved as usize].backlog_index = position;
         }
     }
 
@@ -299,7 +304,7 @@
             .iter()
             .enumerate()
             .filter(|(_, tenant)| tenant.waiting > 0);
-        least_by(backlogged, |(_, tenant)| tenant.start_tag).map(|(place, _)| place)
+        least_by(backlogged, |(_, tenant)| tenant.start_tag).map(|(index, _)| index)
     }
 
     fn next_lane(&self, flow: u32) -> Option<usize> {
@@ -327,7 +332,7 @@
         flow.lanes[lane].start_tag += cost / lane_weight;
     }
 
-    /// Counts a lookup in flight that this queue did not admit: one of a former queue.
+    /// Counts a request in flight that this queue did not admit: one of a former queue.
     pub fn add_in_flight(&mut self, flow: u32) {
         self.update_load(flow, |flow, tenant| {
             flow.in_flight += 1;
@@ -335,7 +340,7 @@
         });
     }
 
-    /// A lookup in flight has ended: it had been charged `charged`, and its actual cost is known.
+    /// A request in flight has ended: it had been charged `charged`, and its actual cost is known.
     pub fn complete(&mut self, flow: u32, charged: f64, actual: f64) {
         let correction = actual - charged;
         let virtual_time = self.virtual_time;
--- a/crates/admission/src/fair_queue/accounting.rs
+++ b/crates/admission/src/fair_queue/accounting.rs
@@ -1,4 +1,4 @@
-//! What the fair queue tells of its tenants and flows: shares, loads and reservations.
+//! What can be read of the fair queue by tenant and flow: shares, loads and reservations.
 
 use super::flow::*;
 use super::{FairQueue, TenantBytes, TenantLoad};
@@ -87,14 +87,14 @@
     /// The clients of a tenant that have flows of their own, the heaviest first.
     pub fn heaviest_clients(&self, tenant: usize) -> Vec<ClientReport> {
         let (queue, first) = (&self.tenants[tenant], tenant * FLOWS_PER_TENANT);
-        let report = |(place, dedicated): (usize, &Option<DedicatedClient>)| {
+        let report = |(index, dedicated): (usize, &Option<DedicatedClient>)| {
             let DedicatedClient { client, address } = (*dedicated)?;
             let Flow {
                 waiting,
                 in_flight,
                 reserved,
                 ..
-            } = self.flows[first + place];
+            } = self.flows[first + index];
             let recent_lookups = queue.heavy_hitters.guaranteed(client);
             let present = recent_lookups + waiting + in_flight > 0;
             present.then_some(ClientReport {
--- a/crates/admission/src/fair_queue/classify.rs
+++ b/crates/admission/src/fair_queue/classify.rs
@@ -1,5 +1,8 @@
-//! Assignment of clients to flows: the heaviest clients of a tenant get flows of their own, the others share hashed
-//! flows whose salt changes.
+//! Assignment of clients to flows: the heaviest clients of a tenant get flows of their own, the others share hashed flows
+//! whose salt changes (stochastic fairness queueing; McKenney, 1990).
+//!
+//! Invariants: all new requests of a client with a flow of its own go to that flow; a flow is given to another client
+//! only while it is idle.
 
 use super::flow::*;
 use super::FairQueue;
@@ -8,15 +11,16 @@
 use meadowrill_routing::interface::Micros;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Fewest guaranteed lookups of a client that gets a flow of its own, and its least part of all lookups of the tenant.
+/// Fewest guaranteed requests of a client that gets a flow of its own.
 const HEAVY_COUNT: u32 = 16;
-const HEAVY_PART: u32 = 64;
+/// Such a client sends at least one in so many requests of its tenant.
+const HEAVY_DIVISOR: u32 = 64;
 /// Lifetime of a salt: the longest that a light client shares a flow with one that is heavy, but not heavy enough for a
 /// flow of its own.
 const SALT_LIFETIME: Micros = 5_000_000;
 
 impl FairQueue {
-    /// Counts a lookup of a client, and returns the flow for it.
+    /// Counts a request of a client, and returns the flow for it.
     pub fn flow_of(&mut self, now: Micros, identity: ClientIdentity) -> u32 {
         self.renew_salt(now);
         let tenant = usize::from(identity.tenant).min(self.tenants.len() - 1);
@@ -26,23 +30,23 @@
         let is_own = |dedicated: &Option<DedicatedClient>| {
             dedicated.is_some_and(|d| d.client == identity.client)
         };
-        if let Some(place) = queue.dedicated.iter().position(is_own) {
-            return (first + place) as u32;
+        if let Some(index) = queue.dedicated.iter().position(is_own) {
+            return (first + index) as u32;
         }
-        let heavy = count >= HEAVY_COUNT && count >= queue.heavy_hitters.total() / HEAVY_PART;
+        let heavy = count >= HEAVY_COUNT && count >= queue.heavy_hitters.total() / HEAVY_DIVISOR;
         let hashed = self.hashed_flow(first, identity.client);
         let free = if heavy {
             self.free_dedicated_flow(tenant, count)
         } else {
             None
         };
-        let Some(place) = free else { return hashed };
+        let Some(index) = free else { return hashed };
         let client = DedicatedClient {
             client: identity.client,
             address: identity.address,
         };
-        self.tenants[tenant].dedicated[place] = Some(client);
-        let dedicated = (first + place) as u32;
+        self.tenants[tenant].dedicated[index] = Some(client);
+        let dedicated = (first + index) as u32;
         self.move_client(identity.client, hashed, dedicated);
         dedicated
     }
@@ -65,18 +69,18 @@
     fn free_dedicated_flow(&self, tenant: usize, count: u32) -> Option<usize> {
         let (queue, first) = (&self.tenants[tenant], tenant * FLOWS_PER_TENANT);
         let lighter = |d: DedicatedClient| queue.heavy_hitters.guaranteed(d.client) < count / 2;
-        (0..DEDICATED_FLOWS).find(|place| {
-            !self.flows[first + place].is_active() && queue.dedicated[*place].is_none_or(lighter)
+        (0..DEDICATED_FLOWS).find(|index| {
+            !self.flows[first + index].is_active() && queue.dedicated[*index].is_none_or(lighter)
         })
     }
 
-    /// A client that has become heavy takes its waiting items and what it owes out of the flow that it shared.
+    /// A client that has become heavy takes its waiting items and its debt out of the flow that it shared.
     fn move_client(&mut self, client: u64, from: u32, to: u32) {
-        let owed = self.flows[from as usize].start_tag;
+        let debt = self.flows[from as usize].start_tag;
         let virtual_time = self.tenants[usize::from(self.flows[from as usize].tenant)].virtual_time;
         let items = self.items_of(client, from);
-        // It had nothing waiting in the other flow: what is left in this one belongs to others and owes nothing.
-        self.flows[to as usize].start_tag = owed.max(virtual_time);
+        // It had nothing waiting in the other flow: what is left in this one belongs to others and has no debt.
+        self.flows[to as usize].start_tag = debt.max(virtual_time);
         self.flows[from as usize].start_tag = virtual_time;
         for index in items {
             let item = self.items[index as usize];
--- a/crates/admission/src/fair_queue/flow.rs
+++ b/crates/admission/src/fair_queue/flow.rs
@@ -13,7 +13,7 @@
 pub(super) const BANKS: usize = 2;
 /// All flows of a tenant.
 pub(super) const FLOWS_PER_TENANT: usize = DEDICATED_FLOWS + BANKS * HASHED_FLOWS;
-/// Lanes of a flow, one for each class of lookups; further classes share the last.
+/// Lanes of a flow, one for each class of requests; further classes share the last.
 pub(super) const LANES: usize = 4;
 
 /// The queue of one class in a flow, as a linked list of items.
@@ -100,7 +100,7 @@
     pub(super) active_flows: u32,
     /// Flows with anything waiting.
     pub(super) backlogged: Vec<u32>,
-    /// By place of the dedicated flow.
+    /// By number of the dedicated flow.
     pub(super) dedicated: [Option<DedicatedClient>; DEDICATED_FLOWS],
     pub(super) heavy_hitters: HeavyHitters,
 }
--- a/crates/admission/src/identity.rs
+++ b/crates/admission/src/identity.rs
@@ -1,4 +1,4 @@
-//! Whose lookup it is: the tenant by a field of the request or the longest matching network, the client by address,
+//! Whose request it is: the tenant by a field of the request or the longest matching network, the client by address,
 //! connection or field. Names are resolved here; everything else works with numbers.
 
 use crate::config::{AdmissionConfig, ClientKey};
@@ -9,13 +9,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 
-/// Place of the default tenant in the configuration.
+/// Index of the default tenant in the configuration.
 const DEFAULT_TENANT: u16 = 0;
 
-/// The tenant by its place in the configuration, and the client by a hash of its key.
+/// The tenant by its index in the configuration, and the client by a hash of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientIdentity {
-    /// Place of the tenant in the configuration.
+    /// Index of the tenant in the configuration.
     pub tenant: u16,
     /// Salted hash of what makes it one client.
     pub client: u64,
@@ -25,7 +25,7 @@
     pub address: IpAddr,
 }
 
-/// What a host knows of the sender of a lookup.
+/// What a host knows of the sender of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOrigin<'a> {
     /// Address of the peer.
@@ -43,13 +43,13 @@
 const CONNECTION_TAG: u8 = 1;
 const FIELD_TAG: u8 = 2;
 
-/// Resolves the origin of a lookup to its tenant and client.
+/// Resolves the origin of a request to its tenant and client.
 pub struct IdentityResolver {
     ipv4_networks: PrefixMap<Ipv4Net, u16>,
     ipv6_networks: PrefixMap<Ipv6Net, u16>,
     field_values: BTreeMap<String, u16>,
     client_key: ClientKey,
-    /// Hash of each tenant's name, by place: the same for a tenant that keeps its name when the configuration changes.
+    /// Hash of each tenant's name, by tenant: the same for a tenant that keeps its name when the configuration changes.
     tenant_hashes: Vec<u64>,
     seed: u64,
 }
@@ -69,14 +69,14 @@
                 .collect(),
             seed,
         };
-        for (place, tenant) in (0u16..).zip(&config.tenants) {
+        for (index, tenant) in (0u16..).zip(&config.tenants) {
             tenant
                 .networks
                 .iter()
-                .for_each(|network| resolver.add_network(*network, place));
+                .for_each(|network| resolver.add_network(*network, index));
             resolver
                 .field_values
-                .extend(tenant.values.iter().map(|value| (value.clone(), place)));
+                .extend(tenant.values.iter().map(|value| (value.clone(), index)));
         }
         resolver
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The identity of a lookup's sender. An unknown value of the tenant field falls back to the network, so that a
+    /// The identity of a request's sender. An unknown value of the tenant field falls back to the network, so that a
     /// client cannot leave its tenant with an invented value.
     pub fn resolve(&self, origin: RequestOrigin<'_>) -> ClientIdentity {
         // An IPv4 address that is mapped into IPv6 belongs to the same network.
@@ -113,11 +113,11 @@
             IpAddr::V4(address) => self
                 .ipv4_networks
                 .get_lpm(&Ipv4Net::from(address))
-                .map(|(_, place)| *place),
+                .map(|(_, index)| *index),
             IpAddr::V6(address) => self
                 .ipv6_networks
                 .get_lpm(&Ipv6Net::from(address))
-                .map(|(_, place)| *place),
+                .map(|(_, index)| *index),
         }
     }
 
--- a/crates/admission/src/report.rs
+++ b/crates/admission/src/report.rs
@@ -7,21 +7,21 @@
 /// Counts of a tenant since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantCounters {
-    /// Lookups that asked for admission.
+    /// Requests that were read.
     pub offered: u64,
-    /// Lookups that were admitted.
+    /// Requests that were admitted.
     pub admitted: u64,
-    /// Lookups that had to wait.
+    /// Requests that had to wait.
     pub waited: u64,
-    /// Lookups whose clients left while they waited.
+    /// Requests whose clients disconnected while they waited.
     pub cancelled: u64,
-    /// Lookups that were answered.
+    /// Requests that succeeded.
     pub succeeded: u64,
-    /// Lookups that were rejected, in the order of [`RejectReason::ALL`].
+    /// Requests that were rejected, in the order of [`RejectReason::ALL`].
     pub rejected: [u64; RejectReason::ALL.len()],
     /// Rejections with a reservation.
     pub reserved: u64,
-    /// Cost of the lookups that were admitted, in microseconds of a place in the concurrency limit.
+    /// Cost of the requests that were admitted, in microseconds of a permit of the concurrency limit.
     pub cost: f64,
 }
 
@@ -30,13 +30,13 @@
 pub struct ClientReport {
     /// Its address.
     pub address: IpAddr,
-    /// Lookups that wait.
+    /// Requests that wait.
     pub waiting: u32,
-    /// Lookups in flight.
+    /// Requests in flight.
     pub in_flight: u32,
     /// Open reservations.
     pub reserved: u32,
-    /// Lookups counted for certain, halved every two seconds.
+    /// Requests counted for certain, halved every two seconds.
     pub recent_requests: u32,
 }
 
@@ -47,9 +47,9 @@
     pub name: String,
     /// Its weight.
     pub weight: f64,
-    /// Lookups that wait.
+    /// Requests that wait.
     pub waiting: u32,
-    /// Lookups in flight.
+    /// Requests in flight.
     pub in_flight: u32,
     /// Counts since the start.
     pub counters: TenantCounters,
@@ -60,15 +60,15 @@
 /// The state of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionReport {
-    /// Which lookup is admitted next.
+    /// Which request is admitted next.
     pub discipline: QueueDiscipline,
     /// The current concurrency limit.
     pub concurrency_limit: f64,
-    /// Lookups in flight that count against the limit.
+    /// Requests in flight that count against the limit.
     pub in_flight: usize,
-    /// Lookups in flight that no longer count.
+    /// Requests in flight that no longer count.
     pub overdue: usize,
-    /// Lookups that wait.
+    /// Requests that wait.
     pub waiting: usize,
     /// Open reservations.
     pub reserved: usize,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -4,35 +4,35 @@
 use meadowrill_routing::interface::Micros;
 use std::fmt;
 
-/// A lookup that was read and asks for admission.
+/// A request that was read and is to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
     /// The host's number for it.
     pub id: u32,
-    /// Whose it is.
+    /// Its tenant and client.
     pub identity: ClientIdentity,
     /// Number of its class, in the order of the configuration.
     pub class: usize,
     /// Declared size; 0 where none was declared.
     pub size_kb: f64,
-    /// Bytes that the host holds for it.
+    /// Bytes that the host uses for it.
     pub bytes: u32,
-    /// When its client gives up.
+    /// When its client times out.
     pub expires: Micros,
 }
 
-/// What the host limits, in all.
+/// The limits of the host.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Most open lookups.
+    /// Most requests that wait or are in flight.
     pub open_requests: usize,
-    /// Most bytes held for lookups and connections.
+    /// Most bytes in use for requests and connections.
     pub bytes: usize,
-    /// The longest that a client may be told to stay away; 0 where it may be told nothing.
+    /// Longest Retry-After that may be sent; 0 where none may be.
     pub max_retry_after: Micros,
 }
 
-/// A lookup at the controller, until it has ended.
+/// A request at the controller, until it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub(crate) u32);
 
@@ -43,23 +43,23 @@
     Admitted(Ticket),
     /// It waits; an [`AdmissionEvent`] follows.
     Queued(Ticket),
-    /// It is turned away.
+    /// It is rejected.
     Rejected(Rejection),
 }
 
-/// What became of a lookup that was queued.
+/// What became of a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionEvent {
     /// It is in flight now.
     Admitted {
         /// The host's number for it.
         id: u32,
-        /// Place of its tenant in the configuration.
+        /// Index of its tenant in the configuration.
         tenant: u16,
         /// How long it waited.
         waited: Micros,
     },
-    /// It is turned away.
+    /// It is rejected.
     Rejected {
         /// The host's number for it.
         id: u32,
@@ -68,12 +68,12 @@
     },
 }
 
-/// Why a lookup was rejected.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// The limit of open lookups.
+    /// The host's limit of open requests.
     OpenRequestLimit,
-    /// The limit of bytes, or a tenant's share of it while bytes are scarce.
+    /// The host's limit of bytes, or a tenant's share of it while bytes are scarce.
     ByteLimit,
     /// The client's rate limit.
     RateLimit,
@@ -98,7 +98,7 @@
 }
 
 impl fmt::Display for RejectReason {
-    /// The names that operators see in logs and metrics.
+    /// The names that operators see in logs and metrics: they stay as they are.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RejectReason::OpenRequestLimit => "lookups",
@@ -111,19 +111,19 @@
     }
 }
 
-/// Why a lookup was rejected, and when its client may return.
+/// Why a request was rejected, and when its client may return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// Why it was rejected.
     pub reason: RejectReason,
-    /// How long the client should stay away; 0 where it may be told nothing.
+    /// Retry-After of the response; 0 where none may be sent.
     pub retry_after: Micros,
-    /// Whether a place is reserved for that time. Otherwise the time is the longest allowed: the true one lies beyond
+    /// Whether there is a reservation for that time. Otherwise the time is the longest allowed: the true one lies beyond
     /// it, or the calendar is full.
     pub reserved: bool,
 }
 
-/// How a lookup that was admitted has ended.
+/// How a request that was admitted has ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Completion {
     /// It was answered.
@@ -132,6 +132,6 @@
     pub cache_hit: bool,
     /// Size of the answer.
     pub size_kb: f64,
-    /// Its client had gone.
+    /// Its client had disconnected.
     pub abandoned: bool,
 }
--- a/crates/admission/src/reservations.rs
+++ b/crates/admission/src/reservations.rs
@@ -1,7 +1,10 @@
-//! Reservations. A rejected client is told when to return; that time is kept as a reservation in a bounded calendar,
-//! and a lookup that arrives then is admitted to the queue on it. Reservations are counted per connection and time
-//! slot, so that a look-up costs the same however many a client holds. They belong to the client, but the connection
-//! that was told goes first: otherwise the client's other connections, which were told nothing, would use them up.
+//! Reservations: a rejected client is sent a time to return, and that time is entered into a bounded calendar; a request
+//! that arrives then may wait whatever its queue looks like.
+//!
+//! Reservations are counted by connection and time slot, so each operation costs the same however many a client has.
+//! They belong to the client, but the connection that was sent the time goes first: otherwise the client's other
+//! connections, which were sent nothing, would use them up. Invariants: the calendar is bounded; a reservation is redeemed
+//! or expires, once; none is redeemed before its slot.
 
 use crate::identity::ClientIdentity;
 use crate::slab::{Slab, NONE};
@@ -12,19 +15,19 @@
 pub const CAPACITY: usize = 4_096;
 /// Width of a time slot.
 const SLOT_WIDTH: Micros = 20_000;
-/// Slots after its own in which a reservation still holds: networks and timers of clients are late.
+/// Slots after its own in which a reservation is still valid: networks and timers of clients are late.
 const GRACE_SLOTS: i64 = 12;
 /// Most reservations in one entry: of one connection in one slot.
 const MAX_PER_ENTRY: u16 = 1_000;
 /// So many slots after its own, any connection of the client may use a reservation.
 const EXCLUSIVE_SLOTS: i64 = 3;
-/// Entries of a client's other connections that are looked at in a slot.
+/// Most entries of a client's other connections that are examined in a slot.
 const MAX_SCANNED: usize = 4;
 /// Odd multipliers that spread slots and connections over the hash tables.
 const SLOT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 const CONNECTION_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
 
-/// The two hash tables of entries, as places of their arrays.
+/// The two hash tables of entries, as indices of their arrays.
 const BY_CONNECTION: usize = 0;
 const BY_CLIENT: usize = 1;
 const TABLES: [usize; 2] = [BY_CONNECTION, BY_CLIENT];
@@ -129,7 +132,7 @@
             .map(|(index, _)| index)
     }
 
-    /// Reserves a place of `flow` at `due`; false where the calendar is full.
+    /// Makes a reservation of `flow` at `due`; false where the calendar is full.
     pub fn reserve(&mut self, identity: &ClientIdentity, flow: u32, due: Micros) -> bool {
         let slot = slot_of(due);
         self.newest_connection = self.newest_connection.max(identity.connection);
@@ -184,7 +187,7 @@
         true
     }
 
-    /// A lookup of a client has arrived: uses up a reservation that holds now, the oldest first, and returns its
+    /// A request of a client has arrived: uses up a reservation that is valid now, the oldest first, and returns its
     /// flow. A reservation that lies ahead is left alone, however often its client comes before.
     pub fn redeem(&mut self, now: Micros, identity: &ClientIdentity) -> Option<u32> {
         self.newest_connection = self.newest_connection.max(identity.connection);
@@ -192,12 +195,12 @@
             return None;
         }
         let current = slot_of(now);
-        let mut holding = current - GRACE_SLOTS..=current;
-        let own = holding
+        let mut valid_slots = current - GRACE_SLOTS..=current;
+        let own = valid_slots
             .clone()
             .find_map(|slot| self.own_entry(identity, slot));
-        let index =
-            own.or_else(|| holding.find_map(|slot| self.usable_entry(identity, slot, current)))?;
+        let index = own
+            .or_else(|| valid_slots.find_map(|slot| self.usable_entry(identity, slot, current)))?;
         let entry = self.entries.get_mut(index)?;
         entry.count -= 1;
         let (flow, used_up) = (entry.flow, entry.count == 0);
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Forgets the flows of all entries, which no longer exist; the reservations hold.
+    /// Clears the flows of all entries, which no longer exist; the reservations stay valid.
     pub fn clear_flows(&mut self) {
         self.entries.for_each_mut(|entry| entry.flow = NONE);
     }
--- a/crates/admission/src/slab.rs
+++ b/crates/admission/src/slab.rs
@@ -1,4 +1,4 @@
-//! A slab allocator: values under small indices that are reused. It grows to the most values held at one time.
+//! A slab allocator: values under small indices that are reused. It grows to the most values stored at one time.
 
 /// The index that stands for no entry, in linked lists over slab indices.
 pub const NONE: u32 = u32::MAX;
@@ -68,12 +68,12 @@
         self.values.iter_mut().flatten().for_each(change);
     }
 
-    /// Number of values held.
+    /// Number of stored values.
     pub fn len(&self) -> usize {
         self.values.len() - self.free.len()
     }
 
-    /// Whether no value is held.
+    /// Whether no value is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,5 +1,7 @@
-//! A timing wheel over small indices. Setting, moving and cancelling a timer are O(1), and a cancelled timer leaves
-//! nothing behind (a heap with dead entries would grow with the rate of lookups).
+//! A hashed timing wheel (Varghese, Lauck, 1987) over small indices. Setting, moving and cancelling a timer are O(1).
+//!
+//! Invariants: an index has at most one timer; a cancelled timer leaves nothing behind; each timer is in the list of the
+//! slot of its deadline.
 
 use crate::slab::NONE;
 use meadowrill_routing::interface::Micros;
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -1,5 +1,7 @@
 //! Token buckets, one for each client: the usual rate limit, and the baseline that fair queueing is measured against.
-//! A client's rate holds whether anybody else asks or not. The table is fixed: clients share a bucket by hash.
+//!
+//! The generic cell rate algorithm (ITU-T I.371): a bucket is kept as the time at which it would be full. A client's rate
+//! is limited whether other clients send requests or not. The table is fixed: clients share a bucket by hash.
 
 use crate::identity::ClientIdentity;
 use meadowrill_routing::interface::Micros;
@@ -7,7 +9,7 @@
 const BUCKET_COUNT: usize = 4_096;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Token buckets by client, in the form of the generic cell rate algorithm.
+/// Token buckets by client.
 pub struct TokenBuckets {
     /// When each bucket would be full again.
     full_at: Vec<Micros>,
@@ -26,7 +28,10 @@
         }
     }
 
-    /// Takes a token of the client. Where there is none, the error is the time at which there will be one.
+    /// Takes a token of the client.
+    ///
+    /// # Errors
+    /// The time at which there will be a token, where there is none.
     pub fn take_token(&mut self, now: Micros, identity: ClientIdentity) -> Result<(), Micros> {
         let full_at = &mut self.full_at[identity.client as usize % BUCKET_COUNT];
         let next = (*full_at).max(now) as f64 + self.interval;
