--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -11,17 +11,16 @@
 //! backlogged is at least the virtual time of its level, so nothing is saved up while idle.
 
 mod accounting;
+mod backlog;
 mod classify;
 mod flow;
+mod selection;
 
 use crate::config::AdmissionConfig;
 use crate::slab::NONE;
-use flow::*;
+use flow::{ClassLane, Flow, Item, TenantQueue, FLOWS_PER_TENANT, LANES};
 use meadowrill_routing::interface::Micros;
-use std::cmp::Ordering;
-
-/// Least weight of a class, against the greatest one: none is starved.
-const MIN_CLASS_WEIGHT: f64 = 0.05;
+use selection::{class_lanes, least_by, MIN_CLASS_WEIGHT};
 
 /// A request to be queued.
 #[derive(Clone, Copy, Debug)]
@@ -82,34 +81,6 @@
     class_lanes: Vec<ClassLane>,
 }
 
-/// The lane and weight of each class, by the weight of a request of it.
-fn class_lanes(weights: &[f64]) -> Vec<ClassLane> {
-    let greatest = weights
-        .iter()
-        .copied()
-        .filter(|weight| weight.is_finite())
-        .fold(f64::MIN_POSITIVE, f64::max);
-    let class_lane = |(class, weight): (usize, &f64)| {
-        let weight = (weight / greatest).clamp(MIN_CLASS_WEIGHT, 1.0);
-        let weight = if weight.is_nan() {
-            MIN_CLASS_WEIGHT
-        } else {
-            weight
-        };
-        ClassLane {
-            lane: class.min(LANES - 1) as u8,
-            weight,
-        }
-    };
-    weights.iter().enumerate().map(class_lane).collect()
-}
-
-/// The element with the least tag, the first of equal ones.
-fn least_by<T>(elements: impl Iterator<Item = T>, tag: impl Fn(&T) -> f64) -> Option<T> {
-    let order = |a: &T, b: &T| -> Ordering { tag(a).total_cmp(&tag(b)) };
-    elements.min_by(order)
-}
-
 impl FairQueue {
     /// An empty queue. `weights` holds the weight of a request of each class; a greater one is admitted sooner.
     pub fn new(config: &AdmissionConfig, weights: &[f64], seed: u64, now: Micros) -> FairQueue {
@@ -135,30 +106,6 @@
         queue
     }
 
-    /// Changes the load of a flow, and keeps count of what is active.
-    fn update_load(&mut self, flow: u32, change: impl FnOnce(&mut Flow, &mut TenantQueue)) {
-        let flow = &mut self.flows[flow as usize];
-        let tenant = &mut self.tenants[usize::from(flow.tenant)];
-        let (flow_was, tenant_was) = (flow.is_active(), tenant.is_active());
-        change(flow, tenant);
-        match (flow_was, flow.is_active()) {
-            (false, true) => {
-                tenant.active_flows += 1;
-                self.active_flows += 1;
-            }
-            (true, false) => {
-                tenant.active_flows -= 1;
-                self.active_flows -= 1;
-            }
-            _ => {}
-        }
-        match (tenant_was, tenant.is_active()) {
-            (false, true) => self.active_weight += tenant.weight,
-            (true, false) => self.active_weight -= tenant.weight,
-            _ => {}
-        }
-    }
-
     /// Appends `item` to its flow.
     pub fn enqueue(&mut self, item: u32, request: QueuedRequest) {
         let QueuedRequest {
@@ -185,54 +132,6 @@
         );
     }
 
-    /// Appends an item to the lane that it names.
-    fn link(&mut self, index: u32, item: Item) {
-        if self.items.len() <= index as usize {
-            self.items.resize(index as usize + 1, Item::VACANT);
-        }
-        self.start_backlog(item.flow);
-        let flow = &mut self.flows[item.flow as usize];
-        let least_tag = flow.least_lane_tag();
-        let lane = &mut flow.lanes[usize::from(item.lane)];
-        self.items[index as usize] = Item {
-            previous: lane.tail,
-            next: NONE,
-            ..item
-        };
-        match lane.tail {
-            NONE => {
-                lane.head = index;
-                if least_tag.is_finite() {
-                    lane.start_tag = lane.start_tag.max(least_tag);
-                }
-            }
-            tail => self.items[tail as usize].next = index,
-        }
-        lane.tail = index;
-        self.waiting += 1;
-        self.update_load(item.flow, |flow, tenant| {
-            flow.waiting += 1;
-            tenant.waiting += 1;
-            flow.waiting_cost += item.cost;
-            tenant.waiting_bytes += item.bytes as usize;
-        });
-    }
-
-    /// Brings the start tags of a flow and its tenant up to date where they become backlogged. What they owe stays;
-    /// what they did not ask for is not saved up.
-    fn start_backlog(&mut self, index: u32) {
-        let flow = &mut self.flows[index as usize];
-        let tenant = &mut self.tenants[usize::from(flow.tenant)];
-        if flow.waiting == 0 {
-            flow.start_tag = flow.start_tag.max(tenant.virtual_time);
-            flow.backlog_index = tenant.backlogged.len() as u32;
-            tenant.backlogged.push(index);
-        }
-        if tenant.waiting == 0 {
-            tenant.start_tag = tenant.start_tag.max(self.virtual_time);
-        }
-    }
-
     /// Removes a waiting item, wherever it stands; false if it does not wait.
     pub fn remove(&mut self, index: u32) -> bool {
         let waiting = self
@@ -259,31 +158,6 @@
         true
     }
 
-    fn unlink(&mut self, index: u32, item: Item) {
-        self.items[index as usize] = Item::VACANT;
-        let lane = &mut self.flows[item.flow as usize].lanes[usize::from(item.lane)];
-        match item.previous {
-            NONE => lane.head = item.next,
-            previous => self.items[previous as usize].next = item.next,
-        }
-        match item.next {
-            NONE => lane.tail = item.previous,
-            next => self.items[next as usize].previous = item.previous,
-        }
-    }
-
-    /// Takes a flow out of the backlogged flows of its tenant.
-    fn end_backlog(&mut self, index: u32) {
-        let flow = &mut self.flows[index as usize];
-        let position = flow.backlog_index;
-        flow.backlog_index = NONE;
-        let backlogged = &mut self.tenants[usize::from(flow.tenant)].backlogged;
-        backlogged.swap_remove(position as usize);
-        if let Some(moved) = backlogged.get(position as usize) {
-            self.flows[*moved as usize].backlog_index = position;
-        }
-    }
-
     /// Takes the next item to be admitted, and charges its expected cost.
     pub fn dequeue(&mut self) -> Option<DequeuedItem> {
         let tenant = self.next_tenant()?;
@@ -298,22 +172,6 @@
         Some(DequeuedItem { item, flow })
     }
 
-    fn next_tenant(&self) -> Option<usize> {
-        let backlogged = self
-            .tenants
-            .iter()
-            .enumerate()
-            .filter(|(_, tenant)| tenant.waiting > 0);
-        least_by(backlogged, |(_, tenant)| tenant.start_tag).map(|(index, _)| index)
-    }
-
-    fn next_lane(&self, flow: u32) -> Option<usize> {
-        let lanes = &self.flows[flow as usize].lanes;
-        least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| {
-            lanes[*lane].start_tag
-        })
-    }
-
     /// Advances the virtual times, and the start tags of a tenant, flow and lane by the cost of what is admitted.
     fn charge(&mut self, flow: u32, lane: usize, cost: f64) {
         let classes = self
@@ -332,7 +190,7 @@
         flow.lanes[lane].start_tag += cost / lane_weight;
     }
 
-    /// Counts a request in flight that this queue did not admit: one of a former queue.
+    /// Counts a request in flight: one that was dequeued here, or by a former queue.
     pub fn add_in_flight(&mut self, flow: u32) {
         self.update_load(flow, |flow, tenant| {
             flow.in_flight += 1;
@@ -354,30 +212,4 @@
             tenant.start_tag = (tenant.start_tag + correction / tenant.weight).max(tenant_floor);
         });
     }
-
-    /// The last item of the longest queue, in its lane of the least weight: the one to drop when the queue is full.
-    pub fn longest_queue_tail(&self) -> Option<u32> {
-        let load = |tenant: &TenantQueue| f64::from(tenant.waiting) / tenant.weight;
-        let backlogged = self.tenants.iter().filter(|tenant| tenant.waiting > 0);
-        let tenant = backlogged.max_by(|a, b| load(a).total_cmp(&load(b)))?;
-        let flow = tenant
-            .backlogged
-            .iter()
-            .copied()
-            .max_by_key(|flow| self.flows[*flow as usize].waiting)?;
-        let lanes = &self.flows[flow as usize].lanes;
-        let lane = least_by((0..LANES).filter(|lane| !lanes[*lane].is_empty()), |lane| {
-            self.lane_weight(*lane)
-        })?;
-        Some(lanes[lane].tail)
-    }
-
-    /// The weight of the first class of a lane.
-    fn lane_weight(&self, lane: usize) -> f64 {
-        let class = self
-            .class_lanes
-            .iter()
-            .find(|class| usize::from(class.lane) == lane);
-        class.map_or(0.0, |class| class.weight)
-    }
 }
