--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -1,36 +1,43 @@
 //! Encoding and sending of datagrams, with the rumors that they carry.
+//!
+//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; one to a member that this proxy does not consider
+//! alive says so, which is how that member comes to refute it.
 
 use super::budget::{BODY_RUMORS_SHARE, ESSENTIAL_SHARE};
-use super::peers::Recipient;
+use super::recipients::Recipient;
 use super::{Action, View};
 use crate::claim::{Claim, MemberState};
 use crate::wire::{self, Packet, Payload, ReceiverClaim, Record};
 
 /// What a record takes in a message besides its own encoding, at most.
 pub(super) const RECORD_OVERHEAD: usize = 4;
-/// The kind under which datagrams without a payload are counted.
+/// The kind under which metrics count datagrams without a payload.
 const RUMORS_ONLY: &str = "news";
 
 impl View {
-    pub(super) fn send(&mut self, to: Recipient, payload: Option<Payload>, out: &mut Vec<Action>) {
-        self.send_with_record(to, payload, None, out);
+    pub(super) fn send(
+        &mut self,
+        to: Recipient,
+        payload: Option<Payload>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.send_with_record(to, payload, None, actions);
     }
 
-    /// Sends a datagram. One with a record of its own carries no rumors.
+    /// Sends a datagram. One with a given record carries no rumors.
     pub(super) fn send_with_record(
         &mut self,
         to: Recipient,
         payload: Option<Payload>,
         record: Option<Record>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.budget.refill(self.now);
-        let may_carry =
-            record.is_none() && matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)));
+        let may_carry_rumors = record.is_none() && carries_rumors(payload.as_ref());
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Payload::name);
         let records = record.into_iter().collect();
-        let mut packet = self.packet(self.claim_held_of(to.name), payload, records);
-        // A member that is not known well may not know this front either.
+        let mut packet = self.packet(self.claim_about(to.name), payload, records);
+        // A member that is not known well may not know this proxy either.
         let introduces_itself = self
             .members
             .get(to.name)
@@ -39,25 +46,26 @@
             packet.records.push(self.own.record_with_body());
         }
         // Rumors to a member that may be dead would be wasted.
-        if may_carry && self.budget.has_share(ESSENTIAL_SHARE) && !self.is_unhealthy(to.name) {
+        if may_carry_rumors && self.budget.has_share(ESSENTIAL_SHARE) && !self.is_unhealthy(to.name)
+        {
             self.attach_rumors(&mut packet, introduces_itself);
         }
         self.encode_datagram(packet);
         self.charge_send_buffer(kind);
         self.counters.datagrams_sent += 1;
-        out.push(Action::SendDatagram {
+        actions.push(Action::SendDatagram {
             to: to.address,
             bytes: self.send_buffer.clone(),
         });
     }
 
-    /// What a datagram tells its receiver of itself, where that is not alive.
-    fn claim_held_of(&self, name: &str) -> Option<ReceiverClaim> {
+    /// What a datagram claims of its receiver, where that is not that it is alive.
+    fn claim_about(&self, name: &str) -> Option<ReceiverClaim> {
         let (claim, forgotten) = match self.members.get(name) {
             Some(member) if member.is_alive() => return None,
             Some(member) => (member.claim, false),
             None => (
-                Claim::alive(self.forgotten.start_of(name)?).with_state(MemberState::Dead),
+                Claim::alive(self.tombstones.start_of(name)?).with_state(MemberState::Dead),
                 true,
             ),
         };
@@ -69,7 +77,7 @@
         })
     }
 
-    /// Adds rumors as far as the datagram has room; those with published bodies only where the budget is ample.
+    /// Adds rumors as far as they fit into the datagram; those with published bodies only where the budget is ample.
     fn attach_rumors(&mut self, packet: &mut Packet, includes_own_record: bool) {
         let allows_bodies = self.budget.has_share(BODY_RUMORS_SHARE);
         let mut size = wire::encoded_length(packet);
@@ -106,8 +114,8 @@
 
     pub(super) fn packet(
         &self,
-        you: Option<ReceiverClaim>,
-        said: Option<Payload>,
+        receiver_claim: Option<ReceiverClaim>,
+        payload: Option<Payload>,
         records: Vec<Record>,
     ) -> Packet {
         Packet {
@@ -118,13 +126,13 @@
             nonce: self.own.nonce,
             address: self.own.body.address.clone(),
             revision: self.own.revision,
-            receiver_claim: you,
-            payload: said,
+            receiver_claim,
+            payload,
             records,
         }
     }
 
-    /// The record of this front or of a member, with its published body.
+    /// The record of this proxy or of a member, with its published body.
     pub(super) fn record_with_body(&self, name: &str) -> Option<Record> {
         if name == self.own.name {
             return Some(self.own.record_with_body());
@@ -134,3 +142,8 @@
             .map(|member| member.record_with_body(name, &self.own.name))
     }
 }
+
+/// Whether messages of this kind carry rumors: probes and their acks, which are frequent, and pushes.
+fn carries_rumors(payload: Option<&Payload>) -> bool {
+    matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)))
+}
