--- a/crates/proxy/src/net/subscription.rs
+++ b/crates/proxy/src/net/subscription.rs
@@ -2,14 +2,15 @@
 //!
 //! Invariant: after a panic nothing that it knew is relied on; it starts anew without a lease.
 
-use meadowrill_event_distribution::output::{Output, SubscriberStatus};
-use meadowrill_event_distribution::plan::{Identity, Plan};
-use meadowrill_event_distribution::subscriber::{CopyBound, Subscriber};
+use meadowrill_event_distribution::output::Output;
+use meadowrill_event_distribution::settings::{DistributionSettings, Identity};
+use meadowrill_event_distribution::status::SubscriberStatus;
+use meadowrill_event_distribution::subscriber::{FreshnessBound, Subscriber};
 use meadowrill_routing::host::catch_panic;
 use meadowrill_routing::interface::Micros;
 
 pub(crate) struct Subscription {
-    plan: Plan,
+    plan: DistributionSettings,
     me: Identity,
     seed: u64,
     subscriber: Subscriber,
@@ -19,7 +20,12 @@
 }
 
 impl Subscription {
-    pub(crate) fn new(plan: Plan, me: Identity, now: Micros, seed: u64) -> Subscription {
+    pub(crate) fn new(
+        plan: DistributionSettings,
+        me: Identity,
+        now: Micros,
+        seed: u64,
+    ) -> Subscription {
         let subscriber = Subscriber::new(plan.clone(), me.clone(), now, seed);
         Subscription {
             plan,
@@ -66,8 +72,8 @@
         self.subscriber.next_wake()
     }
 
-    pub(crate) fn copy_bound(&self, now: Micros) -> CopyBound {
-        self.subscriber.copy_bound(now)
+    pub(crate) fn copy_bound(&self, now: Micros) -> FreshnessBound {
+        self.subscriber.freshness_bound(now)
     }
 
     pub(crate) fn status(&self, now: Micros) -> SubscriberStatus {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -194,7 +194,7 @@
             });
             let status = self.feed.status(now);
             self.progress
-                .update(now, status.done, self.feed.published());
+                .update(now, status.in_force, self.feed.published());
         }
         if self.report_at.is_some_and(|at| now >= at) {
             self.report(now).log(&self.log);
@@ -228,7 +228,7 @@
                     let key = object.map_or(PurgeKey::Group(group), PurgeKey::Object);
                     let purge = Purge {
                         key,
-                        stamp: issued_at,
+                        timestamp: issued_at,
                     };
                     self.feed.publish(now, Event::Purge(purge));
                 }
@@ -256,7 +256,7 @@
         let status = self.feed.status(now);
         let done_age = self
             .progress
-            .stalled_for(now, status.done, self.feed.published());
+            .stalled_for(now, status.in_force, self.feed.published());
         FeedReport {
             name: self.settings.name().to_string(),
             upstream: self.feed.upstream(now),
@@ -275,7 +275,7 @@
     fn metrics(&self, now: Micros) -> String {
         let report = self.report(now);
         let mut registry = Registry::with_prefix(report::distribution::PREFIX);
-        if report.status.done.is_some() {
+        if report.status.in_force.is_some() {
             let help = "Time from when an event was told until it was in force everywhere";
             registry.register("in_force_seconds", help, self.progress.durations());
         }
