--- a/crates/proxy/src/net/discovery/error.rs
+++ b/crates/proxy/src/net/discovery/error.rs
@@ -89,10 +89,10 @@
 /// A line of the log.
 pub(crate) fn log_event(log: &Logger, event: &ContactEvent) {
     match event {
-        ContactEvent::Lost(loss) => warn!(log, "discovery service lost"; "why" => %loss),
+        ContactEvent::Lost(loss) => warn!(log, "discovery service lost"; "reason" => %loss),
         ContactEvent::Restored => warn!(log, "discovery service reached again"),
         ContactEvent::UnreadableLine(error) => {
-            warn!(log, "unreadable line from the discovery service"; "why" => %error)
+            warn!(log, "unreadable line from the discovery service"; "reason" => %error)
         }
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -174,7 +174,7 @@
             Key::Reload => self.reload(),
             Key::Report => self.report(now).log(&self.log),
             Key::Signal => {
-                info!(self.log, "ending");
+                info!(self.log, "shutting down");
                 self.ending = true;
             }
             // There are none of these here.
@@ -301,11 +301,11 @@
     fn reload(&mut self) {
         match self.settings.read_again() {
             Err(faulty) => {
-                error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
-                "what" => &faulty.what)
+                error!(self.log, "new settings rejected, keeping the current ones"; "key" => &faulty.key,
+                "reason" => &faulty.what)
             }
             Ok(fresh) => {
-                info!(self.log, "settings read again");
+                info!(self.log, "settings reloaded");
                 for key in self.settings.changed_keys(&fresh) {
                     warn!(self.log, "takes effect at the next start only"; "key" => key);
                 }
--- a/crates/proxy/src/report/admission.rs
+++ b/crates/proxy/src/report/admission.rs
@@ -204,23 +204,23 @@
 
 /// The same as lines of the log, one a tenant.
 pub(crate) fn log(log: &Logger, report: &AdmissionReport) {
-    info!(log, "door"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
+    info!(log, "admission control report"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
         "inside" => report.in_flight, "overdue" => report.overdue, "waiting" => report.waiting, "booked" => report.reserved,
         "kept" => report.reservations_redeemed, "missed" => report.reservations_expired,
         "unbooked" => report.reservations_refused);
-    for t in &report.tenants {
-        let loudest = t
+    for tenant in &report.tenants {
+        let heaviest = tenant
             .heaviest_clients
             .iter()
             .take(MAX_NAMED_CLIENTS)
             .map(|c| format!("{}:{}", c.address, c.recent_lookups));
-        let away = RejectReason::ALL
+        let rejected = RejectReason::ALL
             .into_iter()
-            .zip(t.counters.rejected)
+            .zip(tenant.counters.rejected)
             .filter(|(_, n)| *n > 0);
-        info!(log, "door, tenant"; "name" => &t.name, "waiting" => t.waiting, "inside" => t.in_flight,
-            "offered" => t.counters.offered, "let_in" => t.counters.admitted, "satisfied" => t.counters.satisfied,
-            "turned_away" => away.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
-            "loudest" => loudest.collect::<Vec<_>>().join(" "));
+        info!(log, "admission control report of a tenant"; "name" => &tenant.name, "waiting" => tenant.waiting, "inside" => tenant.in_flight,
+            "offered" => tenant.counters.offered, "let_in" => tenant.counters.admitted, "satisfied" => tenant.counters.satisfied,
+            "turned_away" => rejected.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
+            "loudest" => heaviest.collect::<Vec<_>>().join(" "));
     }
 }
--- a/crates/proxy/src/report/distribution.rs
+++ b/crates/proxy/src/report/distribution.rs
@@ -1,26 +1,29 @@
 //! What operators are told of the distribution of events: by a proxy of its subscription, by a relay of its subscribers. A
-//! table, the same as JSON, metrics, and lines of the log.
+//! table (`table`), the same as JSON (`json`), metrics (`metrics`), and lines of the log (`log`).
 
-use super::collector::{flag, label, unlabelled, Metric, MetricSnapshot};
+mod json;
+mod log;
+mod metrics;
+mod table;
+
+pub(crate) use self::log::log_notice;
+
+use self::json::{counters_json, late_json, position_json, subscriber_json};
+use self::metrics::{
+    counter_metrics, feed_gauges, gauge, seconds, subscriber_gauges, unsent_metric,
+    upstream_gauges, SUBSCRIBERS, UPSTREAM,
+};
+use self::table::{counter_rows, floor, late_text, milliseconds, position, subscriber_rows, Table};
+use super::collector::{unlabelled, Metric, MetricSnapshot};
 use crate::net::peers::Peers;
-use meadowrill_event_distribution::counters::{Counters, RejectReason};
+use meadowrill_event_distribution::counters::Counters;
 use meadowrill_event_distribution::event::LogPosition;
-use meadowrill_event_distribution::output::Notice;
-use meadowrill_event_distribution::status::{
-    DistributorStatus, LaggingSubscriber, SubscriberStatus,
-};
+use meadowrill_event_distribution::status::{DistributorStatus, SubscriberStatus};
 use meadowrill_routing::interface::Micros;
 use serde_json::{json, Value};
-use slog::{error, info, warn, Logger};
-use std::fmt::Write;
 
 /// Prefix of the names of metrics.
 pub(crate) const PREFIX: &str = "meadowrill_events";
-/// The sides of a member, as metrics tell them apart.
-const SUBSCRIBERS: &str = "subscribers";
-const UPSTREAM: &str = "upstream";
-/// Width of the first column of a table.
-const COLUMN: usize = 14;
 
 /// The report of a proxy on its subscription.
 pub(crate) struct SubscriptionReport<'a> {
@@ -51,7 +54,7 @@
         subscriber_rows(&mut table, &status, now);
         counter_rows(&mut table, &status.counters);
         table.row("unsent", &self.peers.datagrams.unsent.to_string());
-        table.0
+        table.into_text()
     }
 
     pub(crate) fn json(&self, now: Micros) -> String {
@@ -83,7 +86,7 @@
     pub status: DistributorStatus,
     /// How it follows the one that feeds it; none where it publishes.
     pub upstream: Option<SubscriberStatus>,
-    /// Where it publishes: for how long `done` has not got on, while something published is not in force everywhere.
+    /// Where it publishes: for how long `done` has not advanced while something published is not in force everywhere.
     pub done_age: Option<Micros>,
     /// Where it publishes: for how long the discovery service may have held events back.
     pub lag: Option<Micros>,
@@ -126,11 +129,11 @@
         counter_rows(&mut table, &status.counters);
         table.row("unsent", &self.unsent.to_string());
         if let Some(upstream) = &self.upstream {
-            table.0.push_str("follows\n");
+            table.heading("follows");
             subscriber_rows(&mut table, upstream, now);
             counter_rows(&mut table, &upstream.counters);
         }
-        table.0
+        table.into_text()
     }
 
     pub(crate) fn json(&self, now: Micros) -> String {
@@ -191,91 +194,9 @@
             ),
         ]
     }
-
-    /// As a line of the log.
-    pub(crate) fn log(&self, log: &Logger) {
-        let status = &self.status;
-        let late = status
-            .lagging
-            .iter()
-            .map(|late| late.name.as_str())
-            .collect::<Vec<_>>()
-            .join(" ");
-        info!(log, "events"; "head" => position(Some(status.head)),
-            "acknowledged" => position(Some(status.acknowledged)), "done" => position(status.in_force),
-            "subscribers" => status.subscribers, "leased" => status.leases, "late" => late,
-            "window_bytes" => status.window_bytes, "purges" => status.purges);
-    }
-}
-
-/// A column of names and one of values.
-#[derive(Default)]
-struct Table(String);
-
-impl Table {
-    fn row(&mut self, name: &str, value: &str) {
-        // Writing to a text cannot fail.
-        let _ = writeln!(self.0, "{name:<COLUMN$}{value}");
-    }
-}
-
-fn subscriber_rows(table: &mut Table, status: &SubscriberStatus, now: Micros) {
-    table.row("relay", &status.relay);
-    table.row(
-        "epoch",
-        &status
-            .position
-            .map_or("-".into(), |at| at.epoch.0.to_string()),
-    );
-    table.row("position", &position(status.relay_head));
-    table.row("watermark", &position(status.position));
-    table.row("lag", &format!("{} events", lag(status)));
-    table.row(
-        "lease",
-        &status
-            .lease_remaining
-            .map_or("none".into(), |left| format!("{} left", milliseconds(left))),
-    );
-    table.row(
-        "snapshot",
-        if status.fetching_snapshot {
-            "being fetched"
-        } else {
-            "-"
-        },
-    );
-    table.row("purges", &status.purges.to_string());
-    table.row("floor", &floor(status.purge_floor, now));
-}
-
-fn counter_rows(table: &mut Table, counters: &Counters) {
-    let datagrams = |count: u64, bytes: u64| format!("{count} datagrams, {bytes} bytes");
-    table.row("sent", &datagrams(counters.sent, counters.sent_bytes));
-    table.row(
-        "received",
-        &datagrams(counters.received, counters.received_bytes),
-    );
-    for (name, count) in counts(counters) {
-        table.row(name, &count.to_string());
-    }
-    let rejected = RejectReason::ALL
-        .iter()
-        .zip(counters.rejected)
-        .filter(|(_, count)| *count > 0);
-    let rejected: Vec<String> = rejected
-        .map(|(why, count)| format!("{} {count}", why.name()))
-        .collect();
-    table.row(
-        "rejected",
-        if rejected.is_empty() {
-            "-".into()
-        } else {
-            rejected.join(", ")
-        }
-        .as_str(),
-    );
 }
 
+/// Counters by their names in tables and JSON.
 fn counts(counters: &Counters) -> [(&'static str, u64); 8] {
     [
         ("events", counters.events),
@@ -289,67 +210,7 @@
     ]
 }
 
-fn subscriber_json(status: &SubscriberStatus, now: Micros) -> Value {
-    json!({
-        "relay": status.relay, "epoch": status.position.map(|at| at.epoch.0), "position": position_json(status.relay_head),
-        "watermark": position_json(status.position), "lag": lag(status), "lease_left_us": status.lease_remaining,
-        "fetching_snapshot": status.fetching_snapshot, "purges": status.purges, "floor_us": status.purge_floor,
-        "floor_age_us": status.purge_floor.map(|floor| now - floor), "counters": counters_json(&status.counters),
-    })
-}
-
-fn counters_json(counters: &Counters) -> Value {
-    let rejected = RejectReason::ALL.iter().zip(counters.rejected);
-    let rejected: serde_json::Map<String, Value> = rejected
-        .map(|(why, count)| (why.name().to_string(), count.into()))
-        .collect();
-    let mut all = json!({
-        "sent": counters.sent, "sent_bytes": counters.sent_bytes, "received": counters.received,
-        "received_bytes": counters.received_bytes, "rejected": rejected,
-    });
-    for (name, count) in counts(counters) {
-        all[name] = count.into();
-    }
-    all
-}
-
-fn late_text(late: &LaggingSubscriber, head: LogPosition) -> String {
-    let behind = late.acknowledged.filter(|at| at.epoch == head.epoch);
-    let behind = behind.map_or("of another epoch".into(), |at| {
-        format!(
-            "{} events behind",
-            head.position.saturating_sub(at.position)
-        )
-    });
-    let lease = late.lease_remaining.map_or("no lease".into(), |left| {
-        format!("lease {} left", milliseconds(left))
-    });
-    format!(
-        "{}: {behind}, {lease}, heard {} ago",
-        late.name,
-        milliseconds(late.since_heartbeat)
-    )
-}
-
-fn late_json(late: &LaggingSubscriber) -> Value {
-    json!({"name": late.name, "acknowledged": position_json(late.acknowledged),
-        "lease_left_us": late.lease_remaining, "heard_ago_us": late.since_heartbeat})
-}
-
-fn position(at: Option<LogPosition>) -> String {
-    at.map_or("-".into(), |at| {
-        format!("{} of epoch {}", at.position, at.epoch.0)
-    })
-}
-
-fn position_json(at: Option<LogPosition>) -> Value {
-    at.map_or(
-        Value::Null,
-        |at| json!({"epoch": at.epoch.0, "position": at.position}),
-    )
-}
-
-/// Events that the relay has told of and that are not applied.
+/// Events that the relay has announced and that are not applied.
 fn lag(status: &SubscriberStatus) -> u64 {
     let Some(head) = status.relay_head else {
         return 0;
@@ -360,187 +221,3 @@
         .map_or(0, |at| at.position);
     head.position.saturating_sub(applied)
 }
-
-fn floor(floor: Option<Micros>, now: Micros) -> String {
-    floor.map_or("-".into(), |floor| {
-        format!(
-            "copies older than {} are refused",
-            milliseconds(now - floor)
-        )
-    })
-}
-
-fn milliseconds(span: Micros) -> String {
-    format!("{} ms", span / 1000)
-}
-
-fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
-}
-
-fn gauge(name: &'static str, help: &'static str, value: f64) -> Metric<f64> {
-    (name, help, unlabelled(value))
-}
-
-fn unsent_metric(unsent: u64) -> Metric<u64> {
-    (
-        "unsent",
-        "Datagrams that the kernel did not take",
-        unlabelled(unsent),
-    )
-}
-
-/// The counts of both sides of a member: towards its subscribers, and towards the relay that it follows.
-fn counter_metrics(sides: &[(&str, &Counters)]) -> Vec<Metric<u64>> {
-    let labels = |side: &str| label("side", side);
-    let count = |name, help, of: fn(&Counters) -> u64| {
-        let values = sides
-            .iter()
-            .map(|(side, counters)| (labels(side), of(counters)));
-        (name, help, values.collect::<Vec<_>>())
-    };
-    let rejected = sides.iter().flat_map(|(side, counters)| {
-        let reasons = RejectReason::ALL.iter().zip(counters.rejected);
-        reasons
-            .map(|(why, count)| ([labels(side), label("why", why.name())].concat(), count))
-            .collect::<Vec<_>>()
-    });
-    vec![
-        count("datagrams_sent", "Datagrams sent", |c| c.sent),
-        count("bytes_sent", "Bytes sent", |c| c.sent_bytes),
-        count("datagrams_received", "Datagrams received", |c| c.received),
-        count("bytes_received", "Bytes received", |c| c.received_bytes),
-        count("applied", "Events applied", |c| c.events),
-        count("batches", "Batches of events", |c| c.batches),
-        count("gaps", "Batches with a gap before them", |c| c.gaps),
-        count("resent", "Batches sent again", |c| c.resend_requests),
-        count("resumptions", "Snapshots fetched, or handed out", |c| {
-            c.snapshots
-        }),
-        count("switches", "Times that another relay was asked", |c| {
-            c.relay_changes
-        }),
-        count("lapses", "Leases that ended and were not renewed", |c| {
-            c.expired_leases
-        }),
-        count("busy", "Subscribers that were told to come later", |c| {
-            c.busy
-        }),
-        ("rejected", "Datagrams dropped", rejected.collect()),
-    ]
-}
-
-fn subscriber_gauges(status: &SubscriberStatus) -> Vec<Metric<f64>> {
-    let (at, head) = (
-        status.position.unwrap_or_default(),
-        status.relay_head.unwrap_or_default(),
-    );
-    let mut gauges = upstream_gauges(status);
-    gauges.extend([
-        gauge(
-            "head",
-            "Events of its epoch that it was told of",
-            head.position as f64,
-        ),
-        gauge(
-            "watermark",
-            "Events of its epoch that it has applied",
-            at.position as f64,
-        ),
-        gauge("purges", "Purges that are kept", status.purges as f64),
-    ]);
-    gauges
-}
-
-fn feed_gauges(status: &DistributorStatus) -> Vec<Metric<f64>> {
-    vec![
-        gauge(
-            "subscribers",
-            "Subscribers that are served",
-            status.subscribers as f64,
-        ),
-        gauge(
-            "leased",
-            "Subscribers that hold a lease",
-            status.leases as f64,
-        ),
-        gauge(
-            "late",
-            "Subscribers that lag or have lost their lease, up to a bound",
-            status.lagging.len() as f64,
-        ),
-        gauge(
-            "window_bytes",
-            "Bytes of events that are kept for those who come back",
-            status.window_bytes as f64,
-        ),
-        gauge(
-            "head",
-            "Events of this epoch that are known",
-            status.head.position as f64,
-        ),
-        gauge(
-            "acknowledged",
-            "Events that all holders of a lease have applied",
-            status.acknowledged.position as f64,
-        ),
-        gauge("purges", "Purges that are kept", status.purges as f64),
-    ]
-}
-
-fn upstream_gauges(status: &SubscriberStatus) -> Vec<Metric<f64>> {
-    vec![
-        gauge(
-            "lag",
-            "Events that it was told of and has not applied",
-            lag(status) as f64,
-        ),
-        gauge(
-            "lease_held",
-            "1 while it holds a lease",
-            flag(status.lease_remaining.is_some()),
-        ),
-        gauge(
-            "lease_left_seconds",
-            "What is left of its lease",
-            seconds(status.lease_remaining.unwrap_or(0)),
-        ),
-        gauge(
-            "fetching_snapshot",
-            "1 while a snapshot is fetched",
-            flag(status.fetching_snapshot),
-        ),
-    ]
-}
-
-/// A line of the log.
-pub(crate) fn log_notice(log: &Logger, notice: &Notice) {
-    match notice {
-        Notice::LeaseAcquired { relay, without } => {
-            info!(log, "lease held"; "relay" => relay, "without_us" => without)
-        }
-        Notice::LeaseExpired { relay } => {
-            warn!(log, "lease lapsed: the age of copies is bounded"; "relay" => relay)
-        }
-        Notice::RelayChanged { from, to } => {
-            warn!(log, "turned to another relay"; "from" => from, "to" => to)
-        }
-        Notice::SnapshotStarted { relay } => info!(log, "snapshot begun"; "relay" => relay),
-        Notice::SnapshotCompleted {
-            purges,
-            took,
-            position: at,
-        } => {
-            info!(log, "snapshot done"; "purges" => purges, "took_us" => took, "at" => position(Some(*at)))
-        }
-        Notice::EpochStarted { position: at } => {
-            warn!(log, "new epoch of the publisher"; "at" => position(Some(*at)))
-        }
-        Notice::PurgeFloorRaised { floor } => {
-            error!(log, "no room for all purges: copies from before this stamp are refused"; "stamp_us" => floor)
-        }
-        Notice::SubscriberLeaseExpired { name } => {
-            warn!(log, "subscriber lost its lease"; "who" => name)
-        }
-    }
-}
