--- a/crates/proxy/src/http/request.rs
+++ b/crates/proxy/src/http/request.rs
@@ -1,4 +1,4 @@
-//! One attempt as an endpoint is asked for it. Each header of the wire is mapped to its term here:
+//! The request of one attempt. Each header of the wire is mapped to its term here:
 //!
 //! | wire | term |
 //! | --- | --- |
--- a/crates/proxy/src/http/response.rs
+++ b/crates/proxy/src/http/response.rs
@@ -15,7 +15,7 @@
 
 /// Headers that a response may have.
 const MAX_HEADERS: usize = 32;
-/// Status of a response that changes the protocol: final, and never asked for.
+/// Status of a response that changes the protocol: final, and never requested.
 const SWITCHING_PROTOCOLS: u16 = 101;
 /// Status of a response that says that the client's copy is current.
 const NOT_MODIFIED: u16 = 304;
--- a/crates/proxy/src/net/attempt_error.rs
+++ b/crates/proxy/src/net/attempt_error.rs
@@ -74,7 +74,7 @@
 }
 
 impl AttemptError {
-    /// What the decisions are told of it.
+    /// The outcome for the decisions.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         let cancelled = matches!(self.cause, Cause::Cancelled);
         match (self.progress, &self.cause) {
--- a/crates/proxy/src/net/clients/connection.rs
+++ b/crates/proxy/src/net/clients/connection.rs
@@ -35,7 +35,7 @@
     pub(super) muted: bool,
     /// The peer has ended its side.
     pub(super) half_closed: bool,
-    /// The peer was told to send nothing new.
+    /// The peer has been notified that nothing new is taken.
     going_away: bool,
     /// Our side is shut; the connection is closed at the peer's end, or at this moment.
     pub(super) draining_until: Option<Micros>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether new requests are rejected: the peer has gone, or was told to send none.
+    /// Whether new requests are rejected: the peer has gone, or was notified that none is taken.
     pub(super) fn rejects_requests(&self) -> bool {
         self.half_closed || self.going_away
     }
@@ -89,7 +89,7 @@
         self.stream.queue(&head, &[])
     }
 
-    /// Reports a fault of the connection and reads nothing more: what the client still wants it is to ask elsewhere.
+    /// Reports a fault of the connection and reads nothing more: the client has to send what is left to another proxy.
     pub(super) fn stop_reading(&mut self) -> io::Result<()> {
         self.muted = true;
         self.incomplete_since = None;
--- a/crates/proxy/src/net/discovery/codec.rs
+++ b/crates/proxy/src/net/discovery/codec.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Update {
     Endpoints {
-        /// The whole list, not only what has changed.
+        /// The complete list, not only what has changed.
         complete: bool,
         endpoints: Vec<EndpointRecord>,
     },
