--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,23 +1,26 @@
-//! The command line.
+//! The command line, and its commands but for serving.
 
 use crate::config::Config;
+use crate::error::Error;
+use crate::{relay, serve};
 use clap::{Parser, Subcommand};
+use meadowrill_test_servers::demo;
 use std::collections::BTreeMap;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::Shutdown;
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a running front may take to tell.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a running process may take to answer an operator.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A traffic router for a two-tier cache. Without a command it serves.
 #[derive(Debug, Parser)]
 #[command(name = "meadowrill", version)]
 pub(crate) struct Cli {
     #[command(subcommand)]
-    pub command: Option<Command>,
+    pub(crate) command: Option<Command>,
 }
 
 #[derive(Debug, Subcommand)]
@@ -49,7 +52,7 @@
         #[arg(long, global = true)]
         json: bool,
         #[command(subcommand)]
-        of: Option<Of>,
+        of: Option<FleetPart>,
     },
     /// Ask a running front, or relay, for its metrics, as scrapers read them
     Metrics {
@@ -66,7 +69,7 @@
 
 /// What the fronts share, and how events come
 #[derive(Debug, Subcommand)]
-pub(crate) enum Of {
+pub(crate) enum FleetPart {
     /// Events from relays: position, lease, lag; of a relay also who is late, and what is in force everywhere
     Events,
     /// What is held, by kind: records, bytes, and what is hearsay
@@ -80,61 +83,122 @@
     Ledger { mark: String, class: String },
 }
 
-/// Lines that one of two has and the other has not, by kind and name.
-pub(crate) fn diff(here: &str, there: &str) -> String {
-    fn by_name(text: &str) -> BTreeMap<(&str, &str), &str> {
-        let lines = text.lines().map(|line| line.splitn(3, ' '));
-        lines
-            .filter_map(|mut words| Some(((words.next()?, words.next()?), words.next()?)))
-            .collect()
+/// Runs a command; without one the proxy serves.
+pub(crate) fn run(
+    command: Option<Command>,
+    benchmark_counts: Option<fn() -> String>,
+) -> Result<(), Error> {
+    match command {
+        None => serve(None, benchmark_counts),
+        Some(Command::Serve { settings }) => serve(settings, benchmark_counts),
+        Some(Command::Relay { settings }) => relay::start(&settings),
+        Some(Command::Check { file }) => {
+            let kind = check(&file)?;
+            println!("{}: good {kind}", file.display());
+            Ok(())
+        }
+        Some(Command::Turns { socket }) => print_answer(&socket, "turns"),
+        Some(Command::Fleet { socket, json, of }) => fleet(&socket, json, of),
+        Some(Command::Metrics { socket }) => print_answer(&socket, "metrics"),
+        Some(Command::Demo { seconds }) => demo::run(seconds).map_err(Error::Demo),
+    }
+}
+
+fn fleet(socket: &Path, json: bool, part: Option<FleetPart>) -> Result<(), Error> {
+    match part {
+        None if json => print_answer(socket, "fleet json"),
+        None => print_answer(socket, "fleet"),
+        Some(FleetPart::Events) if json => print_answer(socket, "fleet events json"),
+        Some(FleetPart::Events) => print_answer(socket, "fleet events"),
+        Some(FleetPart::State) if json => print_answer(socket, "fleet state json"),
+        Some(FleetPart::State) => print_answer(socket, "fleet state"),
+        Some(FleetPart::Ledger { mark, class }) => {
+            print_answer(socket, &format!("fleet ledger {mark} {class}"))
+        }
+        Some(FleetPart::Diff { other }) => {
+            let here = query(socket, "fleet entries")?;
+            let there = query(&other, "fleet entries")?;
+            print!("{}", diff(&here, &there));
+            Ok(())
+        }
     }
-    let (here, there) = (by_name(here), by_name(there));
+}
+
+fn print_answer(socket: &Path, word: &str) -> Result<(), Error> {
+    print!("{}", query(socket, word)?);
+    Ok(())
+}
+
+/// Sends one word to the operators' socket of a running process. Returns the answer.
+fn query(socket: &Path, word: &str) -> Result<String, Error> {
+    exchange(socket, word).map_err(|error| Error::Path {
+        path: socket.to_path_buf(),
+        error,
+    })
+}
+
+fn exchange(socket: &Path, word: &str) -> io::Result<String> {
+    let mut stream = UnixStream::connect(socket)?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    stream.write_all(format!("{word}\n").as_bytes())?;
+    stream.shutdown(Shutdown::Write)?;
+    let mut text = String::new();
+    stream.read_to_string(&mut text)?;
+    Ok(text)
+}
+
+/// The entries of a replica by kind and name.
+fn entries(text: &str) -> BTreeMap<(&str, &str), &str> {
+    let lines = text.lines().map(|line| line.splitn(3, ' '));
+    lines
+        .filter_map(|mut words| Some(((words.next()?, words.next()?), words.next()?)))
+        .collect()
+}
+
+/// The entries that one of two replicas has and the other has not, or has otherwise.
+fn diff(here: &str, there: &str) -> String {
+    let (here, there) = (entries(here), entries(there));
     let mut text = String::new();
-    for (name, said) in &here {
+    for (name, value) in &here {
         match there.get(name) {
-            None => text += &format!("only here:  {} {} {said}\n", name.0, name.1),
-            Some(other) if other != said => {
-                text += &format!("differs:    {} {} {said} | {other}\n", name.0, name.1);
+            None => text += &format!("only here:  {} {} {value}\n", name.0, name.1),
+            Some(other) if other != value => {
+                text += &format!("differs:    {} {} {value} | {other}\n", name.0, name.1);
             }
             Some(_) => {}
         }
     }
-    for (name, said) in there.iter().filter(|(name, _)| !here.contains_key(*name)) {
-        text += &format!("only there: {} {} {said}\n", name.0, name.1);
+    for (name, value) in there.iter().filter(|(name, _)| !here.contains_key(*name)) {
+        text += &format!("only there: {} {} {value}\n", name.0, name.1);
     }
     text + &format!("{} here, {} there\n", here.len(), there.len())
 }
 
-/// What kind of file it was, or what is wrong with it.
-pub(crate) fn check(file: &Path) -> Result<&'static str, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+/// Checks a file. Returns what kind of file it is.
+fn check(file: &Path) -> Result<&'static str, Error> {
+    let text = std::fs::read_to_string(file).map_err(|error| Error::Path {
+        path: file.to_path_buf(),
+        error,
+    })?;
+    let file = file.to_path_buf();
     if text.trim_start().starts_with('{') {
-        // The platform gives name and address besides; any will do here.
-        let env = |name: &str| match name {
-            "BALANCER_NAME" => Some("front".to_string()),
-            "BALANCER_LISTEN" => Some("127.0.0.1:0".to_string()),
-            _ => None,
-        };
-        let read = Config::read(&text, env);
-        return read
-            .map(|_| "configuration")
-            .map_err(|f| format!("{}: {f}", file.display()));
+        match Config::read(&text, check_environment) {
+            Ok(_) => Ok("configuration"),
+            Err(error) => Err(Error::FaultyConfig { file, error }),
+        }
+    } else {
+        match meadowrill_settings::read(&text) {
+            Ok(_) => Ok("settings"),
+            Err(error) => Err(Error::FaultySettings { file, error }),
+        }
     }
-    let read = meadowrill_settings::read(&text);
-    read.map(|_| "settings")
-        .map_err(|f| format!("{}: {f}", file.display()))
 }
 
-/// One word to a running front, and its answer.
-pub(crate) fn operator(socket: &Path, word: &str) -> Result<String, String> {
-    let ask = || -> std::io::Result<String> {
-        let mut stream = UnixStream::connect(socket)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.write_all(format!("{word}\n").as_bytes())?;
-        stream.shutdown(Shutdown::Write)?;
-        let mut text = String::new();
-        stream.read_to_string(&mut text)?;
-        Ok(text)
-    };
-    ask().map_err(|e| format!("{}: {e}", socket.display()))
+/// The platform gives name and address in the environment; any will do for a check.
+fn check_environment(name: &str) -> Option<String> {
+    match name {
+        "BALANCER_NAME" => Some("front".to_string()),
+        "BALANCER_LISTEN" => Some("127.0.0.1:0".to_string()),
+        _ => None,
+    }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,458 +1,352 @@
-//! The one place where settings are read, checked and given defaults; a faulty key is named by its whole path.
+//! The one place where the platform's configuration is read, checked and given defaults; a faulty key is named by its
+//! whole path. The settings of operators come from a file of their own (`meadowrill_settings`).
+//!
+//! | key | unit, default | effect |
+//! | --- | --- | --- |
+//! | `name` | text; `BALANCER_NAME`, else `front` | the name of this proxy in the log and the fleet |
+//! | `listen` | address; `BALANCER_LISTEN` | where clients connect |
+//! | `journal` | address, required | the discovery service |
+//! | `seed` | 64 bits in hex, required | seed of random choices |
+//! | `log` | `error`, `warning`, `info` or `debug`; `info` | level of the log |
+//! | `known` | object with `entries`, required | the endpoint list as of `pos` |
+//! | `limits.memory_mb` | megabytes, 192 | two fifths of it are for buffers |
+//! | `limits.sockets` | count, 1024 | descriptors, shared out between clients and endpoints |
+//! | `flow_bytes_per_s` | bytes per second; as `specifics.flow_kb_per_s` | with that, what a byte counts as |
+//! | `settings` | object, required | handed to the router; the keys below are read here as well |
+//! | `settings.classes` | list, required | see `class` |
+//! | `settings.zones`, `settings.host_types` | names, none | names in the endpoint list, by index |
+//! | `settings.feedback.fields` | names, none | fields of load reports, by index |
+//! | `settings.specifics.flow_kb_per_s` | kilobytes per second, 1 | see `flow_bytes_per_s` |
+//! | `settings.limits.connect_timeout_s` | seconds, 0.4 | when a connection to an endpoint has failed |
+//! | `settings.limits.conn_idle_s` | seconds, 15 | how long endpoints keep an idle connection |
+//! | `settings.limits.max_open` | count, 20,000 | requests at one time |
+//! | `settings.limits.retry_after` | true or false, false | whether clients may be told to stay away |
+//! | `settings.limits.max_retry_after_s` | seconds, 0 | for how long at most |
+//! | `settings.limits.send_cap` | count, 1 | checked here, used by the router |
 
+mod class;
+mod error;
+mod level;
+mod node;
+
+pub(crate) use self::class::RequestClass;
+pub(crate) use self::error::ConfigError;
+pub(crate) use self::level::LogLevel;
+
+use self::class::read_classes;
+use self::node::{flatten, Node};
 use crate::{frame, ring};
-use meadowrill_admission::cost::LookupClass;
 use meadowrill_event_distribution::plan::TEXT_MOST;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::{Micros, Settings};
-use meadowrill_settings as own;
+use meadowrill_settings as operator;
 use serde_json::Value;
 use slog::Level;
-use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
-use std::sync::Arc;
-
-/// Where nothing is said: the least that the platform gives a front.
-const MEMORY_MB: f64 = 192.0;
-const SOCKETS: f64 = 1024.0;
-const CONNECT_TIMEOUT: f64 = 0.4;
-const CONN_IDLE: f64 = 15.0;
-const LONGEST: f64 = 10.0;
-const MAX_OPEN: f64 = 20_000.0;
-/// Our own settings, where no other file is named; they may be missing.
-const OWN: &str = "deploy/meadowrill.textproto";
-/// Descriptors that belong to no connection: standard streams, listener, poller, signals, journal, log.
-const SPARE: usize = 24;
-
-/// Of clients' connections one in so many may drain beside those that are served.
-const DRAINING: usize = 8;
-
-#[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Faulty {
-    pub key: String,
-    pub what: String,
-}
-
-impl fmt::Display for Faulty {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.what)
-    }
-}
-
-fn faulty(key: impl Into<String>, what: impl Into<String>) -> Faulty {
-    Faulty {
-        key: key.into(),
-        what: what.into(),
-    }
-}
-
-/// The level of the log, which may change while the log's own thread reads it.
-#[derive(Clone, Debug)]
-pub(crate) struct Shown(Arc<AtomicUsize>);
 
-impl Shown {
-    pub(crate) fn new(level: Level) -> Shown {
-        Shown(Arc::new(AtomicUsize::new(level.as_usize())))
-    }
-
-    pub(crate) fn shows(&self, level: Level) -> bool {
-        level.as_usize() <= self.0.load(Relaxed)
-    }
-}
+/// The least memory and descriptors that the platform gives a proxy.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const DEFAULT_DESCRIPTORS: f64 = 1024.0;
+const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.4;
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
+const DEFAULT_MAX_REQUESTS: f64 = 20_000.0;
+/// The name of a proxy that is given none.
+const DEFAULT_NAME: &str = "front";
+/// The settings of operators, where no other file is named; it may be missing.
+const DEFAULT_OPERATOR_PATH: &str = "deploy/meadowrill.textproto";
+/// Descriptors that belong to no connection: standard streams, listener, poller, signals, discovery, log.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Of the connections of clients one in so many may drain beside those that are served.
+const CLIENTS_PER_DRAINING: usize = 8;
+/// Fraction of the memory that buffers may fill; the rest is for the router's estimates, the allocator's slack and what
+/// a round moves.
+const BUFFER_FRACTION: f64 = 0.4;
+/// Keys that take effect at a start only.
+const FIXED_KEYS: [&str; 7] = [
+    "name",
+    "listen",
+    "seed",
+    "limits",
+    "settings",
+    "flow_bytes_per_s",
+    "link_bytes_per_s",
+];
 
+/// The configuration of one proxy.
 #[derive(Debug)]
 pub(crate) struct Config {
     path: PathBuf,
-    /// Where our own settings were named to be.
-    own_path: Option<PathBuf>,
-    /// Our own settings.
-    pub own: own::Settings,
-    /// As it was read, to tell what a later one changes.
-    text: Value,
-    pub name: String,
-    pub listen: SocketAddr,
-    pub journal: SocketAddr,
-    pub seed: u64,
-    /// What the module is handed.
-    pub settings: Settings,
-    pub known: Value,
-    pub log: Shown,
-    /// Names in the order of the settings: their places are what the module knows.
-    pub classes: Vec<Class>,
-    pub zones: Vec<String>,
-    pub machines: Vec<String>,
-    pub reports: Vec<String>,
-    /// What a byte on the sockets stands for in the settings' kilobytes: both flows are told.
-    pub kb_per_byte: f64,
-    pub connect_timeout: Micros,
-    pub conn_idle: Micros,
+    /// Where the settings of operators were named to be.
+    operator_path: Option<PathBuf>,
+    /// The settings of operators.
+    pub(crate) operator: operator::Settings,
+    /// As it was read, to find what a later one changes.
+    json: Value,
+    /// Name of this proxy.
+    pub(crate) name: String,
+    /// Where clients connect.
+    pub(crate) listen: SocketAddr,
+    /// Address of the discovery service.
+    pub(crate) discovery: SocketAddr,
+    /// Seed of random choices.
+    pub(crate) seed: u64,
+    /// What the router is given.
+    pub(crate) routing: Settings,
+    /// The endpoint list as it was when the configuration was written, with its position.
+    pub(crate) initial_list: Value,
+    pub(crate) log_level: LogLevel,
+    /// Names in the order of the settings: their index is what the router knows.
+    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) zones: Vec<String>,
+    pub(crate) endpoint_types: Vec<String>,
+    pub(crate) load_report_fields: Vec<String>,
+    /// How many of the settings' kilobytes a byte on the sockets stands for.
+    pub(crate) kilobytes_per_byte: f64,
+    /// When a connection to an endpoint has failed.
+    pub(crate) connect_timeout: Micros,
+    /// How long endpoints keep an idle connection.
+    pub(crate) idle_timeout: Micros,
     /// The longest that a client waits.
-    pub longest: Micros,
+    pub(crate) longest_deadline: Micros,
     /// The longest that a client may be told to stay away; 0 where it may be told nothing.
-    pub longest_away: Micros,
-    /// Ceilings: connections of each side and of clients that drain, lookups, bytes in rings.
-    pub clients: usize,
-    pub draining: usize,
-    pub caches: usize,
-    pub lookups: usize,
-    pub buffers: usize,
+    pub(crate) max_retry_after: Micros,
+    /// Connections of clients that are served.
+    pub(crate) max_client_connections: usize,
+    /// Connections of clients that drain.
+    pub(crate) max_draining_connections: usize,
+    /// Connections to endpoints.
+    pub(crate) max_endpoint_connections: usize,
+    /// Requests at one time.
+    pub(crate) max_requests: usize,
+    /// Bytes in buffers.
+    pub(crate) max_buffer_bytes: usize,
 }
 
-/// What bounds the lookups of a class.
-#[derive(Debug, PartialEq)]
-pub(crate) struct Class {
-    pub name: String,
-    pub deadline_ms: f64,
-    /// What admission control needs to know of it.
-    pub admission: LookupClass,
-    /// Its lookups carry a mark against repeats.
-    pub keyed: bool,
-    /// To run one twice is not the same as once.
-    pub effect: bool,
-    /// How long the origin drops repeats of a mark, whichever cache they come by; 0 where it does not.
-    pub window: Micros,
-}
-
-/// A part of the configuration with its path.
-struct Node<'a> {
-    value: Option<&'a Value>,
-    path: String,
-}
-
-impl<'a> Node<'a> {
-    fn get(&self, key: &str) -> Node<'a> {
-        let path = if self.path.is_empty() {
-            key.to_string()
-        } else {
-            format!("{}.{key}", self.path)
-        };
-        Node {
-            value: self.value.and_then(|v| v.get(key)),
-            path,
-        }
-    }
-
-    fn need(&self) -> Result<&'a Value, Faulty> {
-        self.value.ok_or_else(|| faulty(&self.path, "is missing"))
-    }
-
-    fn text(&self) -> Result<&'a str, Faulty> {
-        self.need()?
-            .as_str()
-            .ok_or_else(|| faulty(&self.path, "is not a text"))
-    }
-
-    fn address(&self) -> Result<SocketAddr, Faulty> {
-        let text = self.text()?;
-        text.parse().map_err(|_| {
-            faulty(
-                &self.path,
-                format!("{text:?} is not an address with a port"),
-            )
-        })
-    }
-
-    fn number(&self, default: f64, least: f64) -> Result<f64, Faulty> {
-        let Some(value) = self.value else {
-            return Ok(default);
-        };
-        let number = value
-            .as_f64()
-            .ok_or_else(|| faulty(&self.path, "is not a number"))?;
-        if number >= least {
-            Ok(number)
-        } else {
-            Err(faulty(&self.path, format!("{number} is below {least}")))
-        }
-    }
-
-    fn names(&self, of: Option<&str>) -> Result<Vec<String>, Faulty> {
-        let Some(value) = self.value else {
-            return Ok(Vec::new());
-        };
-        let items = value
-            .as_array()
-            .ok_or_else(|| faulty(&self.path, "is not a list"))?;
-        let name = |(at, item): (usize, &Value)| {
-            let item = of.map_or(Some(item), |of| item.get(of));
-            let what = || faulty(format!("{}.{at}", self.path), "has no name");
-            item.and_then(Value::as_str)
-                .map(str::to_string)
-                .ok_or_else(what)
-        };
-        items.iter().enumerate().map(name).collect()
-    }
+/// How descriptors are shared out.
+struct ConnectionLimits {
+    clients: usize,
+    draining: usize,
+    endpoints: usize,
 }
 
-/// Nested settings to the simulator's paths: lists of objects by count and place, lists of values by commas.
-fn flatten(value: &Value, path: &str, pairs: &mut Vec<(String, String)>) {
-    let scalar = |v: &Value| match v {
-        Value::String(text) => text.replace([' ', ','], "_"),
-        other => other.to_string(),
-    };
-    match value {
-        Value::Object(fields) => {
-            for (key, value) in fields {
-                let path = if path.is_empty() {
-                    key.clone()
-                } else {
-                    format!("{path}.{key}")
-                };
-                flatten(value, &path, pairs);
-            }
-        }
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((format!("{path}.count"), items.len().to_string()));
-            for (at, item) in items.iter().enumerate() {
-                flatten(item, &format!("{path}.{at}"), pairs);
-            }
-        }
-        Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(scalar).collect();
-            pairs.push((path.to_string(), items.join(",")));
+impl ConnectionLimits {
+    /// Clients hold a third of the descriptors at most; a little more lets them cross a close.
+    fn new(descriptors: usize) -> ConnectionLimits {
+        let clients = (descriptors - RESERVED_DESCRIPTORS) * 2 / 5;
+        let draining = (clients / CLIENTS_PER_DRAINING).max(1);
+        ConnectionLimits {
+            clients,
+            draining,
+            endpoints: descriptors - RESERVED_DESCRIPTORS - clients - draining,
         }
-        Value::Null => {}
-        other => pairs.push((path.to_string(), scalar(other))),
     }
 }
 
-/// Our own settings: a file that is named must be there.
-fn read_own(path: Option<&Path>) -> Result<own::Settings, Faulty> {
-    match path {
-        Some(path) => read_settings(path),
-        None if Path::new(OWN).exists() => read_settings(Path::new(OWN)),
-        None => Ok(own::Settings::default()),
-    }
-}
-
-/// The settings file at this path.
-pub(crate) fn read_settings(path: &Path) -> Result<own::Settings, Faulty> {
-    let text = std::fs::read_to_string(path);
-    let text = text.map_err(|e| faulty("settings file", format!("{}: {e}", path.display())))?;
-    own::read(&text).map_err(|f| {
-        faulty(
-            f.key,
-            format!("{}, line {}: {}", path.display(), f.line, f.what),
-        )
-    })
-}
-
 impl Config {
-    pub(crate) fn load(path: PathBuf, own_path: Option<PathBuf>) -> Result<Config, Faulty> {
-        let text = std::fs::read_to_string(&path);
-        let text =
-            text.map_err(|e| faulty("BALANCER_CONFIG", format!("{}: {e}", path.display())))?;
-        let own = read_own(own_path.as_deref())?;
+    /// Reads the configuration, and the settings of operators.
+    pub(crate) fn load(
+        path: PathBuf,
+        operator_path: Option<PathBuf>,
+    ) -> Result<Config, ConfigError> {
+        let text = std::fs::read_to_string(&path)
+            .map_err(|e| ConfigError::new("BALANCER_CONFIG", format!("{}: {e}", path.display())))?;
+        let operator = read_default_settings(operator_path.as_deref())?;
         let config = Config {
             path,
-            own_path,
-            own,
+            operator_path,
+            operator,
             ..Config::read(&text, |name| std::env::var(name).ok())?
         };
         let name_fits = (1..=TEXT_MOST).contains(&config.name.len());
-        if config.own.events.is_some() && !name_fits {
-            return Err(faulty(
-                "name",
-                format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events"),
-            ));
+        if config.operator.events.is_some() && !name_fits {
+            let problem = format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events");
+            return Err(ConfigError::new("name", problem));
         }
         Ok(config)
     }
 
     /// The files as they stand now, checked as at the start.
-    pub(crate) fn again(&self) -> Result<Config, Faulty> {
-        Config::load(self.path.clone(), self.own_path.clone())
+    pub(crate) fn read_again(&self) -> Result<Config, ConfigError> {
+        Config::load(self.path.clone(), self.operator_path.clone())
     }
 
-    /// Takes over what may change while the front runs; the keys of what else has changed are returned.
-    /// `known` is that of a start: the journal service tells what came after.
-    pub(crate) fn renew(&mut self, fresh: Config) -> Vec<&'static str> {
-        self.journal = fresh.journal;
-        self.log.0.store(fresh.log.0.load(Relaxed), Relaxed);
-        let own = std::mem::replace(&mut self.own, fresh.own);
-        let mut later = Vec::new();
-        if own.log != self.own.log {
-            later.push("log.form");
-        }
-        if own.socket != self.own.socket {
-            later.push("operators.socket");
-        }
-        if own.fleet != self.own.fleet {
-            later.push("fleet");
-        }
-        if own.replica != self.own.replica {
-            later.push("fleet.replica");
-        }
-        if (&own.events, &own.region) != (&self.own.events, &self.own.region) {
-            later.push("fleet.events");
-        }
-        let fixed = [
-            "name",
-            "listen",
-            "seed",
-            "limits",
-            "settings",
-            "flow_bytes_per_s",
-            "link_bytes_per_s",
-        ];
-        later.extend(
-            fixed
-                .into_iter()
-                .filter(|key| self.text.get(key) != fresh.text.get(key)),
-        );
+    /// Takes over what may change while the proxy runs. Returns the keys of what else has changed. `known` stays that of
+    /// the start: discovery told what came after.
+    pub(crate) fn replace(&mut self, new: Config) -> Vec<&'static str> {
+        self.discovery = new.discovery;
+        self.log_level.copy_from(&new.log_level);
+        let mut later = fixed_operator_keys(&self.operator, &new.operator);
+        self.operator = new.operator;
+        let changed = |key: &&'static str| self.json.get(key) != new.json.get(key);
+        later.extend(FIXED_KEYS.into_iter().filter(changed));
         later
     }
 
-    /// From the text of the configuration; name and address from the environment where it tells none.
-    pub(crate) fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
-        let json: Value =
-            serde_json::from_str(text).map_err(|e| faulty("BALANCER_CONFIG", e.to_string()))?;
-        let root = Node {
-            value: Some(&json),
-            path: String::new(),
-        };
-        let address = |key: &str, variable: &str| match (root.get(key).value, env(variable)) {
-            (None, Some(text)) => text
-                .parse()
-                .map_err(|_| faulty(variable, "is not an address with a port")),
-            _ => root.get(key).address(),
-        };
-        let name = match (root.get("name").value, env("BALANCER_NAME")) {
-            (None, Some(name)) => name,
-            (None, None) => "front".to_string(),
-            _ => root.get("name").text()?.to_string(),
-        };
-        let seed = root.get("seed").text()?;
-        let seed = u64::from_str_radix(seed, 16)
-            .map_err(|_| faulty("seed", "is not a hex number of 64 bits"))?;
+    /// Reads the text of the configuration; name and address from the environment where it names none.
+    pub(crate) fn read(
+        text: &str,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, ConfigError> {
+        let json: Value = serde_json::from_str(text)
+            .map_err(|e| ConfigError::new("BALANCER_CONFIG", e.to_string()))?;
+        let root = Node::root(&json);
+        let name = read_name(&root.get("name"), env("BALANCER_NAME"))?;
+        let seed = read_seed(&root.get("seed"))?;
         let limits = root.get("limits");
-        let memory = limits.get("memory_mb").number(MEMORY_MB, 32.0)? * 1e6;
-        let sockets = limits.get("sockets").number(SOCKETS, 64.0)? as usize;
-        let told = root.get("settings");
-        if !told.need()?.is_object() {
-            return Err(faulty("settings", "is not an object"));
-        }
-        let classes = told.get("classes").names(Some("name"))?;
-        if classes.is_empty() {
-            return Err(faulty("settings.classes", "names no class"));
+        let memory = limits.get("memory_mb").number(DEFAULT_MEMORY_MB, 32.0)? * 1e6;
+        let descriptors = limits.get("sockets").number(DEFAULT_DESCRIPTORS, 64.0)? as usize;
+        let settings = root.get("settings");
+        if !settings.required()?.is_object() {
+            return Err(settings.fault("is not an object"));
         }
-        let class = |(at, name): (usize, String)| {
-            let class = told
-                .get("classes")
-                .value
-                .and_then(|classes| classes.get(at));
-            let class = Node {
-                value: class,
-                path: format!("settings.classes.{at}"),
-            };
-            let deadline_ms = class.get("deadline_s").number(LONGEST, 0.001)? * 1e3;
-            // What is told and not understood is no reason to guess: an effect might come twice.
-            let repeat = class.get("repeat");
-            let repeat = match repeat.value.map(|told| (told.as_str(), repeat.path)) {
-                None => None,
-                Some((Some(told @ ("safe" | "keyed" | "unsafe")), _)) => Some(told),
-                Some((_, path)) => return Err(faulty(path, "is neither safe, keyed nor unsafe")),
-            };
-            let keyed = repeat == Some("keyed");
-            let effect = repeat.is_some_and(|repeat| repeat != "safe");
-            let all = class.get("group").value.is_some_and(|group| group == "all");
-            let ttl = class.get("key_ttl_s").number(0.0, 0.0)?;
-            let window = if keyed && all { host::micros(ttl) } else { 0 };
-            let admission = LookupClass {
-                worth: class.get("worth").number(1.0, 0.0)?,
-                latency_budget: host::micros(class.get("goal_time_s").number(1.0, 0.0)?),
-                budget_stretch: class.get("aim_stretch").number(0.0, 0.0)?,
-            };
-            Ok(Class {
-                name,
-                deadline_ms,
-                admission,
-                keyed,
-                effect,
-                window,
-            })
-        };
-        let classes = classes
-            .into_iter()
-            .enumerate()
-            .map(class)
-            .collect::<Result<Vec<_>, _>>()?;
-        let longest = classes
-            .iter()
-            .map(|class| class.deadline_ms)
-            .fold(0.0, f64::max);
+        let classes = read_classes(&settings.get("classes"))?;
         let mut pairs = Vec::new();
-        flatten(told.need()?, "", &mut pairs);
-        let bounds = told.get("limits");
+        flatten(settings.required()?, "", &mut pairs);
+        let bounds = settings.get("limits");
         bounds.get("send_cap").number(1.0, 1.0)?;
-        // Clients hold a third of the descriptors at most; a little more lets them cross a close.
-        let clients = (sockets - SPARE) * 2 / 5;
-        let draining = (clients / DRAINING).max(1);
-        let kb_per_s = told
-            .get("specifics")
-            .get("flow_kb_per_s")
-            .number(1.0, 0.0)?;
-        let bytes_per_s = root
-            .get("flow_bytes_per_s")
-            .number((kb_per_s * 1e3).max(1.0), 1.0)?;
-        let known = root.get("known");
-        if !known.need()?["entries"].is_array() {
-            return Err(faulty("known.entries", "is not a list"));
-        }
-        let log = match root
-            .get("log")
-            .value
-            .map(|level| level.as_str().and_then(|l| l.parse::<Level>().ok()))
-        {
-            None => Level::Info,
-            Some(Some(level)) => level,
-            Some(None) => return Err(faulty("log", "is no level: error, warning, info or debug")),
-        };
-        let advises = bounds
-            .get("retry_after")
-            .value
-            .is_some_and(|told| told == true);
-        let longest_away = bounds.get("max_retry_after_s").number(0.0, 0.0)?;
+        let connections = ConnectionLimits::new(descriptors);
+        let kilobytes_per_byte = read_kilobytes_per_byte(&root, &settings)?;
+        let initial_list = read_initial_list(&root.get("known"))?;
+        let log_level = read_log_level(&root.get("log"))?;
+        let max_retry_after = read_max_retry_after(&bounds)?;
         Ok(Config {
             path: PathBuf::new(),
-            own_path: None,
-            own: own::Settings::default(),
-            longest_away: if advises {
-                host::micros(longest_away)
-            } else {
-                0
-            },
+            operator_path: None,
+            operator: operator::Settings::default(),
+            max_retry_after,
             name,
-            log: Shown::new(log),
-            listen: address("listen", "BALANCER_LISTEN")?,
-            journal: root.get("journal").address()?,
+            log_level: LogLevel::new(log_level),
+            listen: read_listen(&root.get("listen"), env("BALANCER_LISTEN"))?,
+            discovery: root.get("journal").address()?,
             seed,
-            settings: host::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
-            known: known.need()?.clone(),
+            routing: host::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
+            initial_list,
+            longest_deadline: longest_deadline(&classes),
             classes,
-            zones: told.get("zones").names(None)?,
-            machines: told.get("host_types").names(None)?,
-            reports: told.get("feedback").get("fields").names(None)?,
-            kb_per_byte: kb_per_s / bytes_per_s,
+            zones: settings.get("zones").names(None)?,
+            endpoint_types: settings.get("host_types").names(None)?,
+            load_report_fields: settings.get("feedback").get("fields").names(None)?,
+            kilobytes_per_byte,
             connect_timeout: host::micros(
                 bounds
                     .get("connect_timeout_s")
-                    .number(CONNECT_TIMEOUT, 0.001)?,
+                    .number(DEFAULT_CONNECT_TIMEOUT_S, 0.001)?,
             ),
-            conn_idle: host::micros(bounds.get("conn_idle_s").number(CONN_IDLE, 0.0)?),
-            longest: host::micros(longest / 1e3),
-            clients,
-            draining,
-            caches: sockets - SPARE - clients - draining,
-            lookups: bounds.get("max_open").number(MAX_OPEN, 1.0)? as usize,
-            // The rest is for the module's memories, the allocator's slack and what a round moves.
-            buffers: (memory * 0.4) as usize - ring::spare_bytes(frame::LONGEST),
-            text: json,
+            idle_timeout: host::micros(
+                bounds
+                    .get("conn_idle_s")
+                    .number(DEFAULT_IDLE_TIMEOUT_S, 0.0)?,
+            ),
+            max_client_connections: connections.clients,
+            max_draining_connections: connections.draining,
+            max_endpoint_connections: connections.endpoints,
+            max_requests: bounds.get("max_open").number(DEFAULT_MAX_REQUESTS, 1.0)? as usize,
+            max_buffer_bytes: (memory * BUFFER_FRACTION) as usize
+                - ring::spare_bytes(frame::LONGEST),
+            json,
         })
     }
 }
 
+fn read_listen(listen: &Node, env: Option<String>) -> Result<SocketAddr, ConfigError> {
+    match (listen.value, env) {
+        (None, Some(text)) => text
+            .parse()
+            .map_err(|_| ConfigError::new("BALANCER_LISTEN", "is not an address with a port")),
+        _ => listen.address(),
+    }
+}
+
+fn read_name(name: &Node, env: Option<String>) -> Result<String, ConfigError> {
+    match (name.value, env) {
+        (None, Some(name)) => Ok(name),
+        (None, None) => Ok(DEFAULT_NAME.to_string()),
+        _ => Ok(name.text()?.to_string()),
+    }
+}
+
+fn read_seed(seed: &Node) -> Result<u64, ConfigError> {
+    u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.fault("is not a hex number of 64 bits"))
+}
+
+/// The settings name a flow in kilobytes, the platform the same in bytes on the sockets.
+fn read_kilobytes_per_byte(root: &Node, settings: &Node) -> Result<f64, ConfigError> {
+    let specifics = settings.get("specifics");
+    let kb_per_s = specifics.get("flow_kb_per_s").number(1.0, 0.0)?;
+    let default = (kb_per_s * 1e3).max(1.0);
+    let bytes_per_s = root.get("flow_bytes_per_s").number(default, 1.0)?;
+    Ok(kb_per_s / bytes_per_s)
+}
+
+fn read_initial_list(known: &Node) -> Result<Value, ConfigError> {
+    let list = known.required()?;
+    if list["entries"].is_array() {
+        Ok(list.clone())
+    } else {
+        Err(known.get("entries").fault("is not a list"))
+    }
+}
+
+fn read_log_level(log: &Node) -> Result<Level, ConfigError> {
+    let Some(value) = log.value else {
+        return Ok(Level::Info);
+    };
+    let level = value.as_str().and_then(|text| text.parse().ok());
+    level.ok_or_else(|| log.fault("is no level: error, warning, info or debug"))
+}
+
+fn read_max_retry_after(bounds: &Node) -> Result<Micros, ConfigError> {
+    let seconds = bounds.get("max_retry_after_s").number(0.0, 0.0)?;
+    let advises = bounds.get("retry_after").is_true();
+    Ok(if advises { host::micros(seconds) } else { 0 })
+}
+
+fn longest_deadline(classes: &[RequestClass]) -> Micros {
+    let deadlines = classes.iter().map(|class| class.deadline_ms);
+    host::micros(deadlines.fold(0.0, f64::max) / 1e3)
+}
+
+/// The keys of the operators' settings that differ, and take effect at a start only.
+fn fixed_operator_keys(old: &operator::Settings, new: &operator::Settings) -> Vec<&'static str> {
+    let mut keys = Vec::new();
+    if old.log != new.log {
+        keys.push("log.form");
+    }
+    if old.socket != new.socket {
+        keys.push("operators.socket");
+    }
+    if old.fleet != new.fleet {
+        keys.push("fleet");
+    }
+    if old.replica != new.replica {
+        keys.push("fleet.replica");
+    }
+    if (&old.events, &old.region) != (&new.events, &new.region) {
+        keys.push("fleet.events");
+    }
+    keys
+}
+
+/// The settings of operators: a file that is named must be there.
+fn read_default_settings(path: Option<&Path>) -> Result<operator::Settings, ConfigError> {
+    let default = Path::new(DEFAULT_OPERATOR_PATH);
+    match path {
+        Some(path) => read_settings(path),
+        None if default.exists() => read_settings(default),
+        None => Ok(operator::Settings::default()),
+    }
+}
+
+/// The settings of operators in this file.
+pub(crate) fn read_settings(path: &Path) -> Result<operator::Settings, ConfigError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| ConfigError::new("settings file", format!("{}: {e}", path.display())))?;
+    operator::read(&text).map_err(|fault| {
+        let place = format!("{}, line {}", path.display(), fault.line);
+        ConfigError::new(fault.key, format!("{place}: {}", fault.what))
+    })
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -5,14 +5,14 @@
     "settings":{"classes":[{"name":"a","deadline_s":2.5}],"zones":["x y","b"],"tenants":[],
     "limits":{"cancel":true},"specifics":{"report_x1":"one, two","max_age_s":[0.0,8.0]}}}"#;
 
-fn read(text: &str) -> Result<Config, Faulty> {
+fn read(text: &str) -> Result<Config, ConfigError> {
     Config::read(text, |_| None)
 }
 
 #[test]
-fn nested_settings_become_the_plain_map() {
+fn nested_settings_are_flattened_for_the_router() {
     let config = read(GOOD).unwrap();
-    let get = |name: &str| config.settings.get(name).map(String::as_str);
+    let get = |name: &str| config.routing.get(name).map(String::as_str);
     assert_eq!(get("classes.count"), Some("1"));
     assert_eq!(get("classes.0.name"), Some("a"));
     assert_eq!(get("zones"), Some("x_y,b"));
@@ -23,17 +23,21 @@
         (Some("true"), Some(""))
     );
     assert_eq!(
-        (config.longest, config.connect_timeout),
+        (config.longest_deadline, config.connect_timeout),
         (2_500_000, 400_000)
     );
     assert!(
-        config.clients + config.draining + config.caches + SPARE == 1024
-            && config.clients > 1024 / 3
+        config.max_client_connections
+            + config.max_draining_connections
+            + config.max_endpoint_connections
+            + RESERVED_DESCRIPTORS
+            == 1024
+            && config.max_client_connections > 1024 / 3
     );
 }
 
 #[test]
-fn the_faulty_key_is_named() {
+fn a_fault_names_the_whole_path_of_its_key() {
     let cases = [
         ("\"sockets\":1024", "\"sockets\":\"many\"", "limits.sockets"),
         ("\"memory_mb\":192", "\"memory_mb\":1", "limits.memory_mb"),
--- /dev/null
+++ b/crates/proxy/src/proxy.rs
@@ -0,0 +1,220 @@
+//! The proxy on sockets: the event loop round the router. It decides nothing itself; time limits are those that the
+//! router or the settings give.
+//!
+//! The way of a request:
+//!
+//! 1. A frame is read and becomes a request in the table (`client_requests`); an invalid one fails at once.
+//! 2. Admission control lets it in, queues it or rejects it (`admission`), at once or in a later round.
+//! 3. One with an effect waits for its claim at the ledger, where state is shared (`effect_claims`).
+//! 4. At the end of the round the router handles its arrival and asks for an attempt (`routing`).
+//! 5. The attempt goes out (`attempts`), at once on an idle connection, else once its connection is up and the router
+//!    has agreed again.
+//! 6. The attempt ends: the router is told, and the first success is the response (`outcomes`). The router may ask for
+//!    further attempts, or for a final answer (`response`).
+//! 7. It leaves the table once it has its response, and no attempt is in flight (`request_table`).
+//!
+//! Each part of [`Proxy`] has its state in a struct of its own, in the module that changes it.
+
+mod admission;
+mod attempts;
+pub(crate) mod availability;
+mod client_requests;
+mod downstream;
+mod effect_claims;
+mod endpoint_list;
+mod endpoints;
+mod event_loop;
+mod event_subscription;
+mod membership;
+mod operators;
+mod outcomes;
+mod reload;
+mod request_table;
+mod response;
+mod routing;
+mod shared_state;
+mod shutdown;
+mod snapshot;
+mod timers;
+
+use self::admission::Admission;
+use self::attempts::Upstream;
+use self::availability::Availability;
+use self::downstream::Downstream;
+use self::endpoint_list::Discovery;
+use self::endpoints::EndpointDirectory;
+use self::membership::Fleet;
+use self::operators::OperatorInterface;
+use self::request_table::RequestTable;
+use self::routing::RouterQueue;
+use self::shutdown::Shutdown;
+use self::timers::{Timer, Timers};
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::net::caches::Caches;
+use crate::net::clients::Clients;
+use crate::net::fronts::Fronts;
+use crate::net::journal::Journal;
+use crate::net::operators::Operators;
+use crate::net::{Gathered, Key, Poll};
+use crate::report::Metrics;
+use calloop::EventLoop;
+use meadowrill_admission::controller::AdmissionController;
+use meadowrill_admission::identity::IdentityResolver;
+use meadowrill_admission::request::CapacityLimits;
+use meadowrill_routing::interface::Micros;
+use meadowrill_routing::router::Router;
+use slog::Logger;
+use std::io;
+use std::net::TcpListener;
+use std::path::Path;
+
+/// Interval of housekeeping.
+const HOUSEKEEPING_INTERVAL: Micros = 250_000;
+
+/// One proxy process.
+pub(crate) struct Proxy {
+    config: Config,
+    log: Logger,
+    clock: Clock,
+    poll: Poll,
+    timers: Timers,
+    downstream: Downstream,
+    requests: RequestTable,
+    admission: Admission,
+    routing: RouterQueue,
+    upstream: Upstream,
+    endpoints: EndpointDirectory,
+    discovery: Discovery,
+    fleet: Fleet,
+    operators: OperatorInterface,
+    metrics: Metrics,
+    availability: Availability,
+    shutdown: Shutdown,
+    /// When the snapshot of the shared state was written last, or the start.
+    snapshot_at: Micros,
+}
+
+impl Proxy {
+    /// Sets all parts up; the first requests are accepted once [`Proxy::run`] is called. `benchmark_counts` adds what a
+    /// benchmark's build counts.
+    ///
+    /// # Errors
+    ///
+    /// Returns the fault of a socket that cannot be opened.
+    pub(crate) fn new(
+        config: Config,
+        listener: TcpListener,
+        events: &EventLoop<'static, Gathered>,
+        log: Logger,
+        benchmark_counts: Option<fn() -> String>,
+    ) -> io::Result<Proxy> {
+        let poll = Poll::new(events)?;
+        let downstream = open_downstream(&config, listener, &poll)?;
+        let clock = Clock::start();
+        let now = clock.now();
+        let operators = open_operators(&config, &poll)?;
+        let peers = open_fleet(&config, now, &poll)?;
+        let mut proxy = Proxy {
+            timers: Timers::default(),
+            downstream,
+            requests: RequestTable::default(),
+            admission: new_admission(&config, now),
+            routing: new_router(&config),
+            upstream: Upstream::new(Caches::new(
+                config.max_endpoint_connections,
+                config.idle_timeout,
+            )),
+            endpoints: EndpointDirectory::default(),
+            discovery: new_discovery(&config),
+            fleet: Fleet::new(peers),
+            operators: OperatorInterface {
+                operators,
+                benchmark_counts,
+            },
+            metrics: Metrics::default(),
+            availability: Availability::default(),
+            shutdown: Shutdown::default(),
+            snapshot_at: now,
+            poll,
+            clock,
+            log,
+            config,
+        };
+        proxy.start(now);
+        Ok(proxy)
+    }
+
+    /// Takes in what is known before the first request, and sets the first timers.
+    fn start(&mut self, now: Micros) {
+        self.subscribe_to_relays(now);
+        // Where state is shared, other proxies are asked for it first.
+        self.downstream.clients.ready = !self.fleet.shares_state();
+        self.apply_initial_list(now);
+        self.restore_snapshot(now);
+        self.dispatch_events(now);
+        self.timers.set(now, Timer::Housekeeping);
+        self.apply_operator_settings(now);
+        self.with_fleet(now, |_, _| {});
+    }
+}
+
+fn open_downstream(config: &Config, listener: TcpListener, poll: &Poll) -> io::Result<Downstream> {
+    listener.set_nonblocking(true)?;
+    let token = poll.watch(listener.try_clone()?, Key::Door)?;
+    Ok(Downstream {
+        clients: Clients::new(
+            config.max_client_connections,
+            config.max_draining_connections,
+            config.longest_deadline,
+        ),
+        listener: Some((listener, token)),
+        accept_pending: true,
+        events: Vec::new(),
+    })
+}
+
+fn open_operators(config: &Config, poll: &Poll) -> io::Result<Option<Operators>> {
+    let path = config.operator.socket.as_ref();
+    path.map(|path| Operators::listen(Path::new(path), poll))
+        .transpose()
+}
+
+fn open_fleet(config: &Config, now: Micros, poll: &Poll) -> io::Result<Option<Fronts>> {
+    let replica = config.operator.replica.as_ref();
+    let plan = config.operator.fleet.as_ref();
+    plan.map(|plan| Fronts::listen(plan, replica, &config.name, now, config.seed, poll))
+        .transpose()
+}
+
+fn new_admission(config: &Config, now: Micros) -> Admission {
+    let settings = &config.operator.turns;
+    let classes: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
+    let limits = CapacityLimits {
+        lookups: config.max_requests,
+        bytes: config.max_buffer_bytes,
+        max_retry_after: config.max_retry_after,
+    };
+    Admission {
+        controller: AdmissionController::new(settings.clone(), &classes, limits, config.seed, now),
+        identities: IdentityResolver::new(settings, config.seed),
+        events: Vec::new(),
+    }
+}
+
+fn new_router(config: &Config) -> RouterQueue {
+    let mut actions = Vec::new();
+    let router = Router::new(config.seed, &config.routing, &mut actions);
+    RouterQueue::new(router, actions)
+}
+
+fn new_discovery(config: &Config) -> Discovery {
+    let position = config.initial_list["pos"].as_u64().unwrap_or(0);
+    Discovery {
+        journal: Journal::new(config.discovery, position),
+        lag_since: None,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/proxy/src/proxy/attempts.rs
@@ -0,0 +1,159 @@
+//! Attempts go out: a request for an endpoint is worded, written or queued behind its connection, and given deadlines.
+
+use super::request_table::{AttemptHandle, ProxiedRequest};
+use super::timers::Timer;
+use super::Proxy;
+use crate::http;
+use crate::net::caches::{Caches, Ended, Out};
+use crate::net::{Cause, Fault, Key, Reach};
+use meadowrill_routing::interface::{EndpointIndex, Fill, Micros};
+use std::collections::BTreeSet;
+
+/// Connections to endpoints, and the attempts on them.
+pub(super) struct Upstream {
+    pub(super) caches: Caches,
+    /// Connections whose responses stay with the kernel until buffers have room again.
+    pub(super) paused_reads: BTreeSet<Key>,
+    /// Serial number of the last attempt.
+    last_serial: u64,
+    /// Empty buffers: ends of attempts, attempts whose connection is up, the bytes of a request.
+    pub(super) ended: Vec<Ended>,
+    pub(super) connected: Vec<Out>,
+    request_bytes: Vec<u8>,
+}
+
+impl Upstream {
+    pub(super) fn new(caches: Caches) -> Upstream {
+        Upstream {
+            caches,
+            paused_reads: BTreeSet::new(),
+            last_serial: 0,
+            ended: Vec::new(),
+            connected: Vec::new(),
+            request_bytes: Vec::new(),
+        }
+    }
+}
+
+impl Proxy {
+    /// Starts the next attempt of a request. One that cannot go out ends at once, as never sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        id: u32,
+        endpoint: EndpointIndex,
+        timeout: Micros,
+        fill: Option<Fill>,
+        now: Micros,
+    ) {
+        let shares_state = self.fleet.shares_state();
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if shares_state {
+            let source = fill.map_or(endpoint, |fill| fill.source);
+            request.sources.push(source);
+        }
+        let upstream = &mut self.upstream;
+        upstream.last_serial += 1;
+        let attempt = Out {
+            lookup: id,
+            send: request.attempts.len() as u8,
+            at: now,
+            serial: upstream.last_serial,
+        };
+        let left = request.deadline - now;
+        let timeout = if timeout == 0 {
+            left
+        } else {
+            timeout.min(left)
+        };
+        let may_go = request.awaits_response && timeout > 0;
+        let address = self.endpoints.address(endpoint).filter(|_| may_go);
+        let Some(address) = address else {
+            request.attempts.push(None);
+            let fault = Fault {
+                reach: Reach::Unsent,
+                cause: Cause::TimeUp,
+            };
+            return upstream.caches.refuse(attempt, endpoint, fault);
+        };
+        let parent = fill.filter(|fill| fill.source != endpoint);
+        let parent = parent.map(|fill| self.endpoints.id(fill.source));
+        upstream.request_bytes.clear();
+        upstream_request(request, &address.host, parent, fill, timeout)
+            .write(&mut upstream.request_bytes);
+        let connection = upstream.caches.send(
+            endpoint,
+            address.socket,
+            &upstream.request_bytes,
+            attempt,
+            &mut self.poll,
+        );
+        let handle = connection.map(|connection| AttemptHandle {
+            connection,
+            serial: attempt.serial,
+        });
+        request.attempts.push(handle);
+        if let Some(handle) = handle {
+            self.set_attempt_deadlines(handle, timeout, now);
+        }
+    }
+
+    fn set_attempt_deadlines(&mut self, attempt: AttemptHandle, timeout: Micros, now: Micros) {
+        self.timers
+            .set(now + timeout, Timer::AttemptTimeout(attempt));
+        let caches = &self.upstream.caches;
+        if caches.connecting(attempt.connection, attempt.serial) {
+            let at = now + self.config.connect_timeout;
+            self.timers.set(at, Timer::ConnectTimeout(attempt));
+        }
+    }
+
+    /// Ends an attempt, if it is still in flight.
+    pub(super) fn fail_attempt(&mut self, attempt: AttemptHandle, cause: Cause) {
+        let (connection, serial) = (attempt.connection, attempt.serial);
+        self.upstream
+            .caches
+            .fail(connection, serial, cause, &self.poll);
+    }
+
+    /// The connection of an attempt has taken too long to come up, unless it is up.
+    pub(super) fn connect_timed_out(&mut self, attempt: AttemptHandle) {
+        let caches = &self.upstream.caches;
+        if caches.connecting(attempt.connection, attempt.serial) {
+            self.fail_attempt(attempt, Cause::TimeUp);
+        }
+    }
+}
+
+/// The request that an endpoint gets. `parent` is the id of the source, where that is another endpoint.
+fn upstream_request<'a>(
+    request: &'a ProxiedRequest,
+    host: &'a str,
+    parent: Option<&'a str>,
+    fill: Option<Fill>,
+    timeout: Micros,
+) -> http::Ask<'a> {
+    let message = &request.message;
+    // Rounded down, as the limit guards against copies from before a purge; but 0 would lift it.
+    let max_age_ms = fill
+        .filter(|fill| fill.max_age > 0)
+        .map_or(0, |fill| (fill.max_age / 1000).max(1));
+    http::Ask {
+        host,
+        verb: &message.verb,
+        item: &message.item,
+        slice: message.slice,
+        txn: &message.txn,
+        wait_ms: (timeout / 1000).max(1),
+        unique: message.unique.as_deref(),
+        upstream: parent,
+        retain: fill.map_or(0, |fill| fill.retention),
+        oldest_ms: max_age_ms,
+        ride: fill.is_some_and(|fill| fill.join),
+        have_only: fill.is_some_and(|fill| fill.cached_only),
+        update: fill.is_some_and(|fill| fill.revalidate),
+        known: message.seen.as_deref(),
+        body: &message.body,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/client_requests.rs
@@ -0,0 +1,247 @@
+//! What clients do: a request arrives, its client ends its side, or leaves.
+
+use super::request_table::{AttemptHandle, ClaimState, ProxiedRequest};
+use super::response::Response;
+use super::Proxy;
+use crate::frame;
+use crate::net::clients::Heard;
+use crate::net::Cause;
+use meadowrill_admission::identity::RequestOrigin;
+use meadowrill_admission::request::{Completion, Decision, LookupRequest};
+use meadowrill_routing::interface::{Event, Micros};
+use slog::debug;
+use smallvec::SmallVec;
+use std::fmt;
+use std::net::IpAddr;
+
+/// What rounding may add to the time limit that a client names, in milliseconds.
+const DEADLINE_ROUNDING_MS: f64 = 1.0;
+
+/// Why a request is invalid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum InvalidRequest {
+    UnknownClass,
+    DeadlineTooLong,
+    MissingIdempotencyKey,
+    IdInUse,
+}
+
+impl fmt::Display for InvalidRequest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            InvalidRequest::UnknownClass => "unknown class",
+            InvalidRequest::DeadlineTooLong => "deadline too long for its class",
+            InvalidRequest::MissingIdempotencyKey => "no idempotency key",
+            InvalidRequest::IdInUse => "id in use for another request",
+        })
+    }
+}
+
+impl std::error::Error for InvalidRequest {}
+
+/// Where a request came in.
+#[derive(Clone, Copy)]
+struct Origin {
+    client: u64,
+    address: IpAddr,
+    stream: u32,
+}
+
+impl Proxy {
+    /// Handles what clients have done since the last call.
+    pub(super) fn handle_client_events(&mut self, now: Micros) {
+        let mut events = std::mem::take(&mut self.downstream.events);
+        self.downstream.clients.heard(&mut events);
+        for event in events.drain(..) {
+            match event {
+                Heard::Bad { client, fault } => {
+                    debug!(self.log, "bad frame"; "client" => client, "reason" => %fault);
+                }
+                Heard::Left { lookup } => self.client_left(lookup, now),
+                Heard::HalfClosed { lookup } => self.client_half_closed(lookup, now),
+                Heard::Asked {
+                    lookup,
+                    client,
+                    from,
+                    stream,
+                    request,
+                } => {
+                    let origin = Origin {
+                        client,
+                        address: from,
+                        stream,
+                    };
+                    self.receive_request(lookup, origin, request, now);
+                }
+            }
+        }
+        self.downstream.events = events;
+    }
+
+    /// A request was read: it enters the table and, if it is valid, admission control.
+    fn receive_request(
+        &mut self,
+        id: u32,
+        origin: Origin,
+        message: Box<frame::Request>,
+        now: Micros,
+    ) {
+        let buffered = self.poll.tally.bytes() + self.requests.body_bytes() + message.body.len();
+        let class = self.validate(&message);
+        let identity = self.admission.identities.resolve(RequestOrigin {
+            address: origin.address,
+            connection: origin.client,
+            tenant_field: message.tenant.as_deref(),
+            client_field: message.desk.as_deref(),
+        });
+        let request = new_request(origin, message, class.ok(), now);
+        let arrival = LookupRequest {
+            id,
+            identity,
+            class: request.class,
+            size_kb: request.message.size_kb,
+            bytes: request.message.body.len() as u32,
+            expires: request.deadline,
+        };
+        self.requests.insert(id, request, class.is_ok());
+        if let Err(reason) = class {
+            debug!(self.log, "invalid request"; "client" => origin.client, "reason" => %reason);
+            self.respond(id, &Response::Failed, now);
+            self.downstream
+                .clients
+                .blame(origin.client, now, &self.poll);
+            return;
+        }
+        let decision = self.admission.controller.admit(now, arrival, buffered);
+        self.apply_admission(id, decision, now);
+    }
+
+    fn apply_admission(&mut self, id: u32, decision: Decision, now: Micros) {
+        match decision {
+            Decision::Admitted(ticket) => {
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.ticket = Some(ticket);
+                }
+                self.submit_request(id, now);
+            }
+            Decision::Queued(ticket) => {
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.ticket = Some(ticket);
+                }
+            }
+            Decision::Rejected(rejection) => self.reject_by_admission(id, rejection, now),
+        }
+    }
+
+    /// The class of a request that the settings allow. Caches answer others with an error, which would count against
+    /// them, and what is far out of range would stay in the router's estimates.
+    fn validate(&self, message: &frame::Request) -> Result<usize, InvalidRequest> {
+        let classes = &self.config.classes;
+        let index = classes.iter().position(|class| class.name == message.verb);
+        let index = index.ok_or(InvalidRequest::UnknownClass)?;
+        let class = &classes[index];
+        if message.limit_ms > class.deadline_ms + DEADLINE_ROUNDING_MS {
+            return Err(InvalidRequest::DeadlineTooLong);
+        }
+        if class.requires_idempotency_key && message.unique.is_none() {
+            return Err(InvalidRequest::MissingIdempotencyKey);
+        }
+        let same_id = self.requests.by_client_id(message.id);
+        match same_id.filter(|request| request.awaits_response) {
+            Some(request) if !is_repeat(&request.message, message) => Err(InvalidRequest::IdInUse),
+            _ => Ok(index),
+        }
+    }
+
+    /// Nobody waits any more: the request is given up. The router is told if it knows of it.
+    fn client_left(&mut self, id: u32, now: Micros) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.awaits_response = false;
+        let ticket = request.ticket.take();
+        let was_queued = ticket.is_some_and(|ticket| self.admission.controller.cancel(now, ticket));
+        let claim_pending = request.claim == ClaimState::Pending;
+        if !was_queued && !claim_pending {
+            self.routing.queue(Event::ClientLeft { id });
+        }
+        self.end_claim(id, None, now);
+        self.cancel_unwritten_attempts(id);
+        self.requests.note_maybe_finished(id);
+    }
+
+    /// A client has ended its side. What has not gone out yet never will: the router is told, and what it does not know
+    /// of is rejected here.
+    fn client_half_closed(&mut self, id: u32, now: Micros) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if !request.awaits_response {
+            return;
+        }
+        request.counts_for_availability = false;
+        let ticket = request.ticket.as_ref();
+        let queued = ticket.is_some_and(|ticket| self.admission.controller.is_waiting(ticket));
+        if queued || request.claim == ClaimState::Pending {
+            if let Some(ticket) = request.ticket.take() {
+                self.admission.controller.cancel(now, ticket);
+            }
+            return self.reject_request(id, 0, now);
+        }
+        self.routing.queue(Event::ClientHalfClosed { id });
+        self.cancel_unwritten_attempts(id);
+    }
+
+    /// Ends the attempts of a request that wait for their connection: they were not written.
+    fn cancel_unwritten_attempts(&mut self, id: u32) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let caches = &mut self.upstream.caches;
+        let in_flight = request.attempts.iter().copied().flatten();
+        let unwritten: SmallVec<[AttemptHandle; 2]> = in_flight
+            .filter(|attempt| caches.unwritten(attempt.connection, attempt.serial))
+            .collect();
+        for attempt in unwritten {
+            let (connection, serial) = (attempt.connection, attempt.serial);
+            caches.fail(connection, serial, Cause::Withdrawn, &self.poll);
+        }
+    }
+
+    /// Removes a request that has its response once no attempt is in flight, and keeps its buffer for another.
+    pub(super) fn remove_if_finished(&mut self, id: u32) {
+        if let Some(request) = self.requests.remove_finished(id) {
+            self.downstream.clients.give_back(request.message);
+        }
+    }
+}
+
+/// Whether a request with the id of another asks for the same.
+fn is_repeat(first: &frame::Request, second: &frame::Request) -> bool {
+    (first.object, first.slice, &first.verb) == (second.object, second.slice, &second.verb)
+}
+
+/// A request as it enters the table; without a class it is invalid.
+fn new_request(
+    origin: Origin,
+    message: Box<frame::Request>,
+    class: Option<usize>,
+    now: Micros,
+) -> ProxiedRequest {
+    let deadline = now + (message.limit_ms * 1e3) as Micros;
+    ProxiedRequest {
+        client: origin.client,
+        stream: origin.stream,
+        message,
+        class: class.unwrap_or(0),
+        deadline,
+        awaits_response: true,
+        counts_for_availability: class.is_some(),
+        ticket: None,
+        completion: Completion::default(),
+        attempts: SmallVec::new(),
+        claim: ClaimState::None,
+        ended_attempt_may_have_run: false,
+        sources: SmallVec::new(),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/downstream.rs
@@ -0,0 +1,52 @@
+//! Connections of clients: where they are accepted, and what came on them.
+
+use super::Proxy;
+use crate::net::calls::add;
+use crate::net::clients::{Clients, Heard};
+use calloop::RegistrationToken;
+use meadowrill_routing::interface::Micros;
+use slog::warn;
+use std::io;
+use std::net::TcpListener;
+
+/// The listener and the connections of clients.
+pub(super) struct Downstream {
+    pub(super) clients: Clients,
+    /// None once the proxy takes no more connections.
+    pub(super) listener: Option<(TcpListener, RegistrationToken)>,
+    /// Connections may be waiting to be accepted.
+    pub(super) accept_pending: bool,
+    /// An empty buffer for what clients have done.
+    pub(super) events: Vec<Heard>,
+}
+
+impl Proxy {
+    /// Accepts the connections that wait, as far as the ceiling on clients allows.
+    pub(super) fn accept_clients(&mut self, now: Micros) {
+        let downstream = &mut self.downstream;
+        while downstream.accept_pending && downstream.clients.room(now, &mut self.poll) {
+            let Some((listener, _)) = &downstream.listener else {
+                return;
+            };
+            add(&self.poll.calls.connections, 1);
+            match listener.accept() {
+                Ok((stream, from)) => {
+                    let accepted =
+                        downstream
+                            .clients
+                            .accept(stream, from.ip(), now, &mut self.poll);
+                    if let Err(e) = accepted {
+                        warn!(self.log, "client connection dropped"; "error" => %e);
+                    }
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => {
+                    downstream.accept_pending = false;
+                    if e.kind() != io::ErrorKind::WouldBlock {
+                        warn!(self.log, "accept failed"; "error" => %e);
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/event_loop.rs
@@ -0,0 +1,225 @@
+//! The event loop. One round:
+//!
+//! 1. wait until a socket is ready or a timer is due;
+//! 2. read what is ready, in the order of [`Key`]: invalidations and the endpoint list first, so that no request that is
+//!    read after one is served by what stood before; then responses of endpoints, so that no timeout overtakes one that
+//!    is there; then clients;
+//! 3. fire the timers that are due, and accept connections;
+//! 4. hand the events of the round to the router, and carry out its actions (`routing`).
+//!
+//! A panic ends what was being handled, its connection or its request; the loop goes on.
+
+use super::timers::Timer;
+use super::{Proxy, HOUSEKEEPING_INTERVAL};
+use crate::net::calls::add;
+use crate::net::fronts::Fronts;
+use crate::net::{Cause, Gathered, Key};
+use crate::report;
+use calloop::{EventLoop, Readiness};
+use meadowrill_routing::host::catch_panic;
+use meadowrill_routing::interface::{Event, Micros};
+use slog::{error, info};
+use std::io;
+use std::time::Duration;
+
+/// Calls to the kernel that the library's poller needs in a round: time, re-arming, the wait, its note, re-arming that.
+const LIBRARY_CALLS: u64 = 5;
+
+impl Proxy {
+    /// Runs until a shutdown is complete.
+    ///
+    /// # Errors
+    ///
+    /// Returns the fault of a wait that cannot be repeated.
+    pub(crate) fn run(&mut self, events: &mut EventLoop<'static, Gathered>) -> io::Result<()> {
+        let mut ready = Vec::new();
+        while !self.is_finished() {
+            self.wait(events, &mut ready)?;
+            let now = self.clock.now();
+            self.handle_ready(&mut ready, now);
+            self.dispatch_events(now);
+        }
+        if let Some(writer) = self.write_snapshot(self.clock.now()) {
+            // A panic there was logged by its hook.
+            let _ = writer.join();
+        }
+        info!(self.log, "ended");
+        Ok(())
+    }
+
+    /// Waits until something is ready or a timer is due.
+    pub(super) fn wait(
+        &mut self,
+        events: &mut EventLoop<'static, Gathered>,
+        ready: &mut Gathered,
+    ) -> io::Result<()> {
+        let timer = self.timers.next_due(&self.upstream.caches);
+        let admission = self.admission.controller.next_deadline();
+        let next = [timer, admission].into_iter().flatten().min();
+        let next = next.map_or(HOUSEKEEPING_INTERVAL, |at| at - self.clock.now());
+        let pause = if self.has_work() {
+            0
+        } else {
+            next.max(0) as u64
+        };
+        if self.poll.wait(Duration::from_micros(pause), ready)? {
+            add(&self.poll.calls.waits, LIBRARY_CALLS);
+            events
+                .dispatch(Some(Duration::ZERO), ready)
+                .map_err(io::Error::other)?;
+        }
+        Ok(())
+    }
+
+    /// Whether something is left over from the last round.
+    fn has_work(&self) -> bool {
+        self.routing.has_events()
+            || self.requests.any_maybe_finished()
+            || self.downstream.clients.waits()
+            || self.fleet.has_input()
+    }
+
+    /// Handles all that is ready, and the timers that are due.
+    pub(super) fn handle_ready(&mut self, ready: &mut Gathered, now: Micros) {
+        self.add_leftovers(ready);
+        ready.sort_unstable_by_key(|(key, _)| *key);
+        for (key, readiness) in ready.drain(..) {
+            if let Err(panic) = catch_panic(|| self.handle_source(key, readiness, now)) {
+                error!(self.log, "panic at a connection"; "key" => ?key, "text" => %panic);
+                self.drop_source(key, now);
+            }
+        }
+        let rest = catch_panic(|| {
+            self.collect_attempt_events(now);
+            self.fire_timers(now);
+            self.accept_clients(now);
+            self.handle_client_events(now);
+            self.poll_admission(now);
+        });
+        if let Err(panic) = rest {
+            error!(self.log, "panic in a round"; "text" => %panic);
+        }
+    }
+
+    /// Adds what was left unread in the last round.
+    fn add_leftovers(&mut self, ready: &mut Gathered) {
+        if self.has_buffer_room() {
+            let resumed = std::mem::take(&mut self.upstream.paused_reads);
+            ready.extend(resumed.into_iter().map(|key| (key, Readiness::EMPTY)));
+        }
+        if self.fleet.has_input() {
+            ready.push((Key::Datagrams, Readiness::EMPTY));
+        }
+        let unread = self.downstream.clients.more();
+        let unread = unread.into_iter().map(Key::Client);
+        ready.extend(unread.map(|key| (key, Readiness::EMPTY)));
+    }
+
+    fn has_buffer_room(&self) -> bool {
+        self.poll.tally.bytes() < self.config.max_buffer_bytes
+    }
+
+    fn handle_source(&mut self, key: Key, ready: Readiness, now: Micros) {
+        match key {
+            Key::Door => self.downstream.accept_pending = true,
+            Key::Signal => self.begin_shutdown(now),
+            Key::Reload => self.reload(now),
+            Key::Datagrams => self.with_fleet(now, |peers, poll| peers.read(now, poll)),
+            Key::Chunks => self.with_fleet(now, |peers, poll| peers.streams.accept(now, poll)),
+            Key::Stream(number) => {
+                self.with_fleet(now, |peers, poll| peers.stream(number, ready, now, poll));
+            }
+            Key::Report => report::log(&self.log, &self.admission.controller.report()),
+            Key::Operators => {
+                if let Some(operators) = &mut self.operators.operators {
+                    operators.accept(&mut self.poll);
+                }
+            }
+            Key::Operator(number) => self.answer_operator(number, now),
+            Key::Journal(_) => self.with_discovery(now, |journal, poll, updates| {
+                journal.handle(key, ready, now, poll, updates);
+            }),
+            Key::Cache(number) => self.read_endpoint(number, ready, now),
+            // Each is dealt with before the next is read: together they could hold more than there is.
+            Key::Client(number) => {
+                let clients = &mut self.downstream.clients;
+                clients.handle(number, ready, now, &mut self.poll);
+                self.handle_client_events(now);
+            }
+        }
+    }
+
+    /// An endpoint's connection is ready. Without room its response stays with the kernel until others have left:
+    /// memory is bounded, while requests go on being written and timeouts go on.
+    fn read_endpoint(&mut self, number: u64, ready: Readiness, now: Micros) {
+        let room = self.has_buffer_room();
+        if !room {
+            self.upstream.paused_reads.insert(Key::Cache(number));
+        }
+        let caches = &mut self.upstream.caches;
+        caches.handle(number, ready, room, &mut self.poll);
+        self.collect_attempt_events(now);
+    }
+
+    /// Drops a connection at which there was a panic.
+    fn drop_source(&mut self, key: Key, now: Micros) {
+        match key {
+            Key::Client(number) => self.downstream.clients.drop(number, &self.poll),
+            Key::Cache(number) => self.upstream.caches.panicked(number, &self.poll),
+            Key::Journal(_) => {
+                let journal = &mut self.discovery.journal;
+                journal.lose("panic", &self.poll, &mut Vec::new());
+            }
+            Key::Operator(number) => {
+                if let Some(operators) = &mut self.operators.operators {
+                    operators.drop(number, &self.poll);
+                }
+            }
+            Key::Stream(number) => self.with_fleet(now, |peers: &mut Fronts, poll| {
+                // What was left for it is found by the next comparison.
+                peers.streams.drop(number, poll);
+            }),
+            Key::Door
+            | Key::Datagrams
+            | Key::Chunks
+            | Key::Operators
+            | Key::Reload
+            | Key::Report
+            | Key::Signal => {}
+        }
+    }
+
+    fn fire_timers(&mut self, now: Micros) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Router(timer) => self.routing.queue(Event::TimerFired { timer }),
+                Timer::AttemptTimeout(attempt) => self.fail_attempt(attempt, Cause::TimeUp),
+                Timer::ConnectTimeout(attempt) => self.connect_timed_out(attempt),
+                Timer::Housekeeping => self.housekeeping(now),
+                Timer::AdmissionReport => {
+                    report::log(&self.log, &self.admission.controller.report());
+                    self.apply_operator_settings(now);
+                }
+                Timer::Shutdown => self.stop_accepting(now),
+                Timer::Fleet(at) => self.fleet_timer_fired(at, now),
+            }
+        }
+        self.collect_attempt_events(now);
+    }
+
+    /// What is done regularly.
+    fn housekeeping(&mut self, now: Micros) {
+        self.downstream.accept_pending = true;
+        self.upstream.caches.sweep(now, &self.poll);
+        self.downstream.clients.sweep(now, &mut self.poll);
+        self.with_discovery(now, |journal, poll, updates| {
+            journal.keep_up(now, poll, updates);
+        });
+        if !self.shutdown.begun {
+            self.check_availability(now);
+            self.write_snapshot(now);
+        }
+        let next = now + HOUSEKEEPING_INTERVAL;
+        self.timers.set(next, Timer::Housekeeping);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/membership.rs
@@ -0,0 +1,128 @@
+//! The view of the fleet in the loop: when it is polled, and what is logged of its changes. Nothing of this runs without
+//! `fleet { ... }` in the settings.
+
+use super::timers::Timer;
+use super::Proxy;
+use crate::net::events::Subscription;
+use crate::net::fronts::Fronts;
+use crate::net::Poll;
+use meadowrill_event_distribution::subscriber::CopyBound;
+use meadowrill_membership::claim::State;
+use meadowrill_membership::view::Change;
+use meadowrill_replication::replica::Replica;
+use meadowrill_routing::interface::Micros;
+use slog::{error, info, warn, Logger};
+
+/// The other proxies of the fleet, and what depends on them.
+pub(super) struct Fleet {
+    /// The exchange with them; none without a fleet in the settings.
+    pub(super) peers: Option<Fronts>,
+    /// When it is to be polled next, as the timer is set.
+    pub(super) wake_at: Micros,
+    /// Which copies may be served, as the router knows it; none before the first bound, and without a subscription.
+    pub(super) copy_bound: Option<CopyBound>,
+}
+
+impl Fleet {
+    pub(super) fn new(peers: Option<Fronts>) -> Fleet {
+        Fleet {
+            peers,
+            wake_at: 0,
+            copy_bound: None,
+        }
+    }
+
+    /// The replica of the shared state, where the settings ask for one.
+    pub(super) fn replica(&self) -> Option<&Replica> {
+        self.peers.as_ref()?.replica.as_ref()
+    }
+
+    pub(super) fn shares_state(&self) -> bool {
+        self.replica().is_some()
+    }
+
+    /// The subscription to relays, where the settings name some.
+    pub(super) fn subscription(&self) -> Option<&Subscription> {
+        self.peers.as_ref()?.subscription.as_ref()
+    }
+
+    pub(super) fn subscription_mut(&mut self) -> Option<&mut Subscription> {
+        self.peers.as_mut()?.subscription.as_mut()
+    }
+
+    pub(super) fn subscribes(&self) -> bool {
+        self.subscription().is_some()
+    }
+
+    /// Whether datagrams wait to be read.
+    pub(super) fn has_input(&self) -> bool {
+        self.peers.as_ref().is_some_and(Fronts::waits)
+    }
+
+    /// Whether this proxy is no longer, or never was, a member.
+    pub(super) fn has_left(&self) -> bool {
+        self.peers.as_ref().is_none_or(Fronts::left)
+    }
+}
+
+impl Proxy {
+    /// Takes one step with the other proxies, and carries out what comes of it.
+    pub(super) fn with_fleet(&mut self, now: Micros, step: impl FnOnce(&mut Fronts, &mut Poll)) {
+        let Some(peers) = &mut self.fleet.peers else {
+            return;
+        };
+        step(peers, &mut self.poll);
+        for change in peers.changes() {
+            log_change(&self.log, change);
+        }
+        self.perform_subscription_outputs(now);
+        self.perform_replica_effects(now);
+        let Some(peers) = &self.fleet.peers else {
+            return;
+        };
+        let next = peers.next();
+        if self.fleet.wake_at != next {
+            self.fleet.wake_at = next;
+            self.timers.set(next, Timer::Fleet(next));
+        }
+    }
+
+    /// A timer of the fleet fired. One that was set for a moment which is no longer the next is passed over.
+    pub(super) fn fleet_timer_fired(&mut self, at: Micros, now: Micros) {
+        if at == self.fleet.wake_at {
+            self.fleet.wake_at = 0;
+            self.with_fleet(now, |peers, poll| peers.tick(now, poll));
+        }
+    }
+}
+
+/// Texts and fields are matched by the checks of `crates/fault-injection`.
+fn log_change(log: &Logger, change: Change) {
+    match change {
+        Change::Member {
+            name,
+            from,
+            to,
+            start,
+            incarnation,
+            why,
+            by,
+        } => {
+            let from = from.map_or("unknown", State::name);
+            info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => ?why, "by" => by,
+                "start" => start, "incarnation" => incarnation);
+        }
+        Change::Values { name } => info!(log, "member says more of itself"; "who" => name),
+        Change::Forgotten { name } => info!(log, "member forgotten"; "who" => name),
+        Change::Refuted { by } => warn!(log, "was held to fail, spoke up"; "by" => by),
+        Change::WasAway { span } => warn!(log, "was away"; "us" => span),
+        Change::Joined => info!(log, "joined the fleet"),
+        Change::Passed { start } => {
+            warn!(log, "went past another start of its name"; "start" => start)
+        }
+        Change::GaveWay { to } => {
+            error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => to);
+        }
+        Change::Gone { confirmed } => info!(log, "left the fleet"; "confirmed" => confirmed),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/operators.rs
@@ -0,0 +1,110 @@
+//! What operators are answered on their socket, by the word that they send.
+
+use super::availability::Availability;
+use super::membership::Fleet;
+use super::Proxy;
+use crate::net::calls::Calls;
+use crate::net::fronts::Fronts;
+use crate::net::operators::Operators;
+use crate::report::{self, Metrics};
+use meadowrill_admission::controller::AdmissionController;
+use meadowrill_replication::replica::Replica;
+use meadowrill_routing::interface::Micros;
+
+/// The operators' socket, and what a benchmark's build adds.
+pub(super) struct OperatorInterface {
+    /// None without a socket in the settings.
+    pub(super) operators: Option<Operators>,
+    /// Further counts of a benchmark's build.
+    pub(super) benchmark_counts: Option<fn() -> String>,
+}
+
+/// What answers are made of.
+struct Answers<'a> {
+    admission: &'a AdmissionController,
+    metrics: &'a Metrics,
+    availability: &'a Availability,
+    fleet: &'a Fleet,
+    calls: &'a Calls,
+    benchmark_counts: Option<fn() -> String>,
+    now: Micros,
+}
+
+impl Proxy {
+    /// Reads from an operator's connection, and answers once the word is there.
+    pub(super) fn answer_operator(&mut self, number: u64, now: Micros) {
+        let answers = Answers {
+            admission: &self.admission.controller,
+            metrics: &self.metrics,
+            availability: &self.availability,
+            fleet: &self.fleet,
+            calls: &self.poll.calls,
+            benchmark_counts: self.operators.benchmark_counts,
+            now,
+        };
+        if let Some(operators) = &mut self.operators.operators {
+            operators.handle(number, &self.poll, |word| answers.answer(word));
+        }
+    }
+}
+
+impl Answers<'_> {
+    fn answer(&self, word: &str) -> String {
+        let (now, peers) = (self.now, self.fleet.peers.as_ref());
+        match word {
+            "turns" => report::table(&self.admission.report()),
+            "metrics" => self
+                .metrics
+                .text(self.admission, self.availability, peers, now),
+            "fleet events" => events_report(peers, |events| events.table(now)),
+            "fleet events json" => events_report(peers, |events| events.json(now)),
+            "fleet" => fleet_report(peers, |peers| report::fleet::table(peers.view(), now)),
+            "fleet json" => fleet_report(peers, |peers| report::fleet::json(peers.view(), now)),
+            "counts" => self.counts(),
+            _ => match word.strip_prefix("fleet ") {
+                Some(part) => replica_report(self.fleet.replica(), part, now),
+                None => "turns, metrics, fleet or counts\n".to_string(),
+            },
+        }
+    }
+
+    fn counts(&self) -> String {
+        let further = self
+            .benchmark_counts
+            .map_or(String::new(), |counts| counts());
+        format!("{}{further}", self.calls.text())
+    }
+}
+
+fn fleet_report(peers: Option<&Fronts>, report: impl FnOnce(&Fronts) -> String) -> String {
+    match peers {
+        None => "no fleet in the settings\n".to_string(),
+        Some(peers) => report(peers),
+    }
+}
+
+fn events_report(
+    peers: Option<&Fronts>,
+    report: impl FnOnce(report::events::SubscriptionReport) -> String,
+) -> String {
+    match peers.and_then(report::events::SubscriptionReport::new) {
+        None => "no fleet { events { } } in the settings\n".to_string(),
+        Some(events) => report(events),
+    }
+}
+
+/// A part of the shared state: `state`, `state json`, `entries`, or `ledger` with the key of an effect.
+fn replica_report(replica: Option<&Replica>, part: &str, now: Micros) -> String {
+    let Some(replica) = replica else {
+        return "no fleet { replica { } } in the settings\n".to_string();
+    };
+    match part {
+        "state" => report::shared::state(replica, now),
+        "state json" => report::shared::state_json(replica),
+        "entries" => report::shared::entries(replica),
+        _ => match part.strip_prefix("ledger ") {
+            Some(key) => report::shared::story(replica, key, now),
+            None => "state, entries or ledger KEY\n".to_string(),
+        },
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/reload.rs
@@ -0,0 +1,64 @@
+//! Reload: a new configuration takes effect at once where it can change under way, all or nothing.
+
+use super::Proxy;
+use crate::frame;
+use meadowrill_admission::config::{AdmissionConfig, ClientKey};
+use meadowrill_admission::identity::IdentityResolver;
+use meadowrill_routing::interface::Micros;
+use slog::{error, info, warn};
+
+impl Proxy {
+    /// Reads the configuration again. A faulty one changes nothing.
+    pub(super) fn reload(&mut self, now: Micros) {
+        let new = match self.config.read_again() {
+            Ok(new) => new,
+            Err(fault) => {
+                return error!(self.log, "new configuration rejected, keeping the current one"; "key" => &fault.key,
+                    "reason" => &fault.problem);
+            }
+        };
+        let former = self.config.operator.turns.clone();
+        for key in self.config.replace(new) {
+            warn!(self.log, "takes effect at the next start only"; "key" => key);
+        }
+        info!(self.log, "configuration reloaded"; "discovery" => %self.config.discovery);
+        if former != self.config.operator.turns {
+            self.reconfigure_admission(now);
+        }
+        self.apply_operator_settings(now);
+        let address = self.config.discovery;
+        self.with_discovery(now, |journal, poll, updates| {
+            journal.move_to(address, now, poll, updates);
+        });
+    }
+
+    fn reconfigure_admission(&mut self, now: Micros) {
+        let controller = &mut self.admission.controller;
+        info!(self.log, "admission control reconfigured"; "queued" => controller.waiting(),
+            "in_flight" => controller.open());
+        let settings = &self.config.operator.turns;
+        controller.reconfigure(now, settings.clone());
+        self.admission.identities = IdentityResolver::new(settings, self.config.seed);
+    }
+
+    /// Applies the settings of operators that are kept outside admission control: which fields of a request name tenant
+    /// and client, and when the next report is due.
+    pub(super) fn apply_operator_settings(&mut self, now: Micros) {
+        let AdmissionConfig {
+            tenant_field,
+            client_key,
+            ..
+        } = &self.config.operator.turns;
+        let client_field = match client_key {
+            ClientKey::Field(name) => Some(name.clone()),
+            ClientKey::Address | ClientKey::Connection => None,
+        };
+        self.downstream.clients.who = frame::Who {
+            tenant: tenant_field.clone(),
+            desk: client_field,
+        };
+        let interval_s = self.config.operator.report_every;
+        let next = interval_s.map(|interval_s| now + (interval_s * 1e6) as Micros);
+        self.timers.set_admission_report(next);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/snapshot.rs
@@ -0,0 +1,80 @@
+//! Snapshots of the shared state: read once before the first request, written every so often and at the end.
+//!
+//! A snapshot is written aside and moved into place, by a thread of its own: packing and the disk take their time.
+
+use super::Proxy;
+use meadowrill_routing::interface::Micros;
+use slog::{info, warn};
+use std::fs::File;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+use std::thread::{self, JoinHandle};
+
+/// Microseconds in a second, in which the settings give the interval.
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+impl Proxy {
+    /// Restores the shared state from its snapshot; what it holds counts as told.
+    pub(super) fn restore_snapshot(&mut self, now: Micros) {
+        let Some(path) = self.snapshot_path() else {
+            return;
+        };
+        let bytes = match std::fs::read(&path) {
+            Ok(bytes) => bytes,
+            Err(e) if e.kind() == io::ErrorKind::NotFound => {
+                return info!(self.log, "no snapshot yet")
+            }
+            Err(e) => return warn!(self.log, "snapshot rejected"; "reason" => %e),
+        };
+        let Some(peers) = &mut self.fleet.peers else {
+            return;
+        };
+        let restored = peers.share(|replica, acts| {
+            let restored = replica.restore(now, &bytes);
+            replica.recall(acts);
+            restored
+        });
+        match restored {
+            Some(Ok((records, age))) => {
+                info!(self.log, "snapshot restored"; "records" => records, "age_us" => age);
+            }
+            Some(Err(fault)) => {
+                warn!(self.log, "snapshot rejected"; "reason" => fault.name());
+            }
+            None => {}
+        }
+    }
+
+    fn snapshot_path(&self) -> Option<PathBuf> {
+        let replica = self.config.operator.replica.as_ref()?;
+        replica.snapshot.as_ref().map(PathBuf::from)
+    }
+
+    /// Starts to write a snapshot if one is due; in a shutdown it always is.
+    pub(super) fn write_snapshot(&mut self, now: Micros) -> Option<JoinHandle<()>> {
+        let path = self.snapshot_path()?;
+        let settings = self.config.operator.replica.as_ref();
+        let interval_s = settings.map_or(0, |replica| replica.snapshot_every);
+        let due = now >= self.snapshot_at + interval_s as Micros * MICROS_PER_SECOND;
+        if !due && !self.shutdown.begun {
+            return None;
+        }
+        self.snapshot_at = now;
+        let pack = self.fleet.replica()?.snapshot(now);
+        let log = self.log.clone();
+        Some(thread::spawn(move || {
+            if let Err(e) = replace_file(&path, pack) {
+                warn!(log, "snapshot not written"; "reason" => %e);
+            }
+        }))
+    }
+}
+
+/// Replaces a file as a whole: a crash leaves the former.
+fn replace_file(path: &Path, content: impl FnOnce() -> Vec<u8>) -> io::Result<()> {
+    let aside = path.with_extension("aside");
+    let mut file = File::create(&aside)?;
+    file.write_all(&content())?;
+    file.sync_all()?;
+    std::fs::rename(&aside, path)
+}
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,7 +8,8 @@
 use self::feed::Feed;
 use self::settings::RelaySettings;
 use crate::clock::Clock;
-use crate::config::Shown;
+use crate::config::LogLevel;
+use crate::error::Error;
 use crate::logging::Log;
 use crate::net::datagrams::Datagrams;
 use crate::net::journal::{Change, Journal, News};
@@ -33,10 +34,10 @@
 const SOCKET_BUFFER: usize = 4 << 20;
 
 /// Runs a relay until it is told to end.
-pub(crate) fn start(path: &Path) -> Result<(), String> {
-    let settings = RelaySettings::load(path).map_err(|faulty| faulty.to_string())?;
+pub(crate) fn start(path: &Path) -> Result<(), Error> {
+    let settings = RelaySettings::load(path)?;
     let mut events = crate::event_loop()?;
-    let level = Shown::new(slog::Level::Info);
+    let level = LogLevel::new(slog::Level::Info);
     let logging = Log::start(
         settings.own.log,
         level,
@@ -48,7 +49,7 @@
         Relay::new(settings, &events, log.clone()).and_then(|mut relay| relay.run(&mut events));
     let ended = ended.map_err(|e| {
         crit!(log, "ended"; "error" => %e);
-        e.to_string()
+        Error::Io(e)
     });
     logging.end();
     ended
@@ -293,7 +294,7 @@
         match self.settings.again() {
             Err(faulty) => {
                 error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
-                "what" => &faulty.what)
+                "what" => &faulty.problem)
             }
             Ok(fresh) => {
                 info!(self.log, "settings read again");
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -1,6 +1,6 @@
 //! What a relay needs of the settings file.
 
-use crate::config::{read_settings, Faulty};
+use crate::config::{read_settings, ConfigError};
 use meadowrill_event_distribution::plan::Plan;
 use meadowrill_membership::plan::Plan as Fleet;
 use meadowrill_routing::interface::Micros;
@@ -19,11 +19,11 @@
 }
 
 impl RelaySettings {
-    pub(super) fn load(path: &Path) -> Result<RelaySettings, Faulty> {
+    pub(super) fn load(path: &Path) -> Result<RelaySettings, ConfigError> {
         let own = read_settings(path)?;
-        let missing = |key: &str| Faulty {
+        let missing = |key: &str| ConfigError {
             key: key.to_string(),
-            what: format!("{}: is missing, and a relay needs it", path.display()),
+            problem: format!("{}: is missing, and a relay needs it", path.display()),
         };
         Ok(RelaySettings {
             path: path.to_path_buf(),
@@ -35,7 +35,7 @@
     }
 
     /// The file as it stands now.
-    pub(super) fn again(&self) -> Result<RelaySettings, Faulty> {
+    pub(super) fn again(&self) -> Result<RelaySettings, ConfigError> {
         RelaySettings::load(&self.path)
     }
 
--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -6,8 +6,8 @@
 pub(crate) mod fleet;
 pub(crate) mod shared;
 
-use crate::front::availability::Availability;
 use crate::net::fronts::Fronts;
+use crate::proxy::availability::Availability;
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_admission::report::{AdmissionReport, ClientReport, TenantCounters, TenantReport};
 use meadowrill_admission::request::RejectReason;
@@ -87,7 +87,7 @@
             self.waits.clone(),
         );
         registry.register_collector(Box::new(AdmissionCollector(door.report())));
-        let mut own = Registry::with_prefix("meadowrill_proxy");
+        let mut own = Registry::with_prefix("meadowrill_front");
         own.register_collector(Box::new(availability::Seen::new(availability)));
         let mut registries = vec![registry, own];
         if let Some(fronts) = fronts {
--- a/crates/proxy/src/report/availability.rs
+++ b/crates/proxy/src/report/availability.rs
@@ -1,6 +1,6 @@
 //! What operators are told of the front's own service: whether it serves nobody, and since when.
 
-use crate::front::availability::Availability;
+use crate::proxy::availability::Availability;
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::gauge::ConstGauge;
--- a/crates/proxy/src/report/events.rs
+++ b/crates/proxy/src/report/events.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 
 /// Of the names of metrics.
-pub(crate) const PREFIX: &str = "meadowrill_event_distribution";
+pub(crate) const PREFIX: &str = "meadowrill_events";
 /// The sides of a member, as metrics tell them apart.
 const SUBSCRIBERS: &str = "subscribers";
 const UPSTREAM: &str = "upstream";
