--- a/crates/event-distribution/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -1,5 +1,5 @@
 //! Distribution of numbered events from one publisher through relays to every subscriber, with proof that they are in
-//! force everywhere. Datagrams and time in, datagrams and outputs out; no I/O and no clock (docs/events.md).
+//! force everywhere. Datagrams and time in, datagrams and outputs out; no I/O and no clock (docs/event-distribution.md).
 //!
 //! - [`publisher::Publisher`] numbers events and knows up to which one they are in force everywhere.
 //! - [`relay::Relay`] follows the publisher, or another relay, and feeds subscribers.
@@ -13,6 +13,7 @@
 )]
 
 mod budget;
+pub mod counters;
 pub mod distributor;
 mod early;
 pub mod event;
@@ -20,14 +21,14 @@
 pub mod leases;
 pub mod log;
 pub mod output;
-pub mod plan;
 pub mod publisher;
 pub mod purges;
 pub mod relay;
+pub mod settings;
+pub mod status;
 pub mod subscriber;
+pub mod time;
 pub mod wire;
 
-/// A moment or a span, in whole microseconds. Moments are of the local clock, which only moves forward.
-pub type Micros = i64;
-
 pub use meadowrill_membership::mutant;
+pub use time::Micros;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -36,7 +36,7 @@
 use self::class::read_classes;
 use self::node::{flatten, Node};
 use crate::{frame, ring};
-use meadowrill_event_distribution::plan::TEXT_MOST;
+use meadowrill_event_distribution::settings::MAX_TEXT_BYTES;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::{Micros, Settings};
 use meadowrill_settings as operator;
@@ -158,9 +158,9 @@
             operator,
             ..Config::read(&text, |name| std::env::var(name).ok())?
         };
-        let name_fits = (1..=TEXT_MOST).contains(&config.name.len());
+        let name_fits = (1..=MAX_TEXT_BYTES).contains(&config.name.len());
         if config.operator.events.is_some() && !name_fits {
-            let problem = format!("has to be of 1 to {TEXT_MOST} bytes with fleet.events");
+            let problem = format!("has to be of 1 to {MAX_TEXT_BYTES} bytes with fleet.events");
             return Err(ConfigError::new("name", problem));
         }
         Ok(config)
--- a/crates/proxy/src/proxy/event_subscription.rs
+++ b/crates/proxy/src/proxy/event_subscription.rs
@@ -64,7 +64,7 @@
             PurgeKey::Object(object) => (Some(object), 0),
             PurgeKey::Group(group) => (None, group),
         };
-        let age = now - purge.stamp;
+        let age = now - purge.timestamp;
         self.metrics.purge_applied(age as f64 / 1e6);
         let event = Event::Invalidated { object, group, age };
         self.handle_at_once(now, event)
@@ -77,15 +77,15 @@
             return;
         };
         let bound = subscription.copy_bound(self.clock.now());
-        if self.fleet.copy_bound == Some(bound) {
+        if self.fleet.freshness_bound == Some(bound) {
             return;
         }
         let event = Event::FreshnessBound {
             not_before: bound.not_before,
-            max_age: bound.age,
+            max_age: bound.max_age,
         };
         if self.handle_at_once(now, event) {
-            self.fleet.copy_bound = Some(bound);
+            self.fleet.freshness_bound = Some(bound);
         }
     }
 
--- a/crates/proxy/src/proxy/membership.rs
+++ b/crates/proxy/src/proxy/membership.rs
@@ -6,7 +6,7 @@
 use crate::net::events::Subscription;
 use crate::net::fronts::Fronts;
 use crate::net::Poll;
-use meadowrill_event_distribution::subscriber::CopyBound;
+use meadowrill_event_distribution::subscriber::FreshnessBound;
 use meadowrill_membership::claim::State;
 use meadowrill_membership::view::Change;
 use meadowrill_replication::replica::Replica;
@@ -20,7 +20,7 @@
     /// When it is to be polled next, as the timer is set.
     pub(super) wake_at: Micros,
     /// Which copies may be served, as the router knows it; none before the first bound, and without a subscription.
-    pub(super) copy_bound: Option<CopyBound>,
+    pub(super) freshness_bound: Option<FreshnessBound>,
 }
 
 impl Fleet {
@@ -28,7 +28,7 @@
         Fleet {
             peers,
             wake_at: 0,
-            copy_bound: None,
+            freshness_bound: None,
         }
     }
 
--- a/crates/proxy/src/proxy/tests.rs
+++ b/crates/proxy/src/proxy/tests.rs
@@ -3,8 +3,10 @@
 use super::*;
 use crate::clock::Clock;
 use meadowrill_event_distribution::output::Output;
-use meadowrill_event_distribution::plan::{Identity, Plan as EventsPlan, RelayAddress, RelayPlan};
 use meadowrill_event_distribution::publisher::Publisher;
+use meadowrill_event_distribution::settings::{
+    DistributionSettings as EventsPlan, Identity, RelayAddress, RelayLimits,
+};
 use meadowrill_test_servers::{ask, config, header, ok, Cache, Journal, Seen, HANG, OBJECT};
 use slog::{o, Discard};
 use std::io::{ErrorKind, Read, Write};
@@ -40,7 +42,7 @@
             zone: String::new(),
         };
         let clock = Clock::start();
-        let publisher = Publisher::new(plan.clone(), RelayPlan::default(), me, clock.now(), 1);
+        let publisher = Publisher::new(plan.clone(), RelayLimits::default(), me, clock.now(), 1);
         (
             TestPublisher {
                 socket,
@@ -120,7 +122,7 @@
         let subscription = self.proxy.fleet.subscription().unwrap();
         subscription
             .status(self.proxy.clock.now())
-            .lease_left
+            .lease_remaining
             .is_some()
     }
 
@@ -181,7 +183,14 @@
         bed.proxy.wait(&mut bed.events, &mut gathered).unwrap();
     }
     assert!(bed.has_lease());
-    let lease = bed.proxy.config.operator.events.as_ref().unwrap().lease;
+    let lease = bed
+        .proxy
+        .config
+        .operator
+        .events
+        .as_ref()
+        .unwrap()
+        .lease_duration;
     bed.run_round(gathered, 2 * lease);
     let mut request = None;
     let end = Instant::now() + HANG;
@@ -192,7 +201,14 @@
     }
     let (again, bound) = request.unwrap();
     assert_eq!(again, connection);
-    let copy_age = bed.proxy.config.operator.events.as_ref().unwrap().copy_age;
+    let copy_age = bed
+        .proxy
+        .config
+        .operator
+        .events
+        .as_ref()
+        .unwrap()
+        .max_copy_age;
     assert!(
         bound.is_some_and(|bound| bound as Micros * 1000 <= copy_age),
         "{bound:?}"
