--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -35,7 +35,7 @@
 
 use self::class::read_classes;
 use self::node::{flatten, Node};
-use crate::{frame, ring};
+use crate::{buffer, frame};
 use meadowrill_event_distribution::settings::MAX_TEXT_BYTES;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::{Micros, Settings};
@@ -243,7 +243,7 @@
             max_endpoint_connections: connections.endpoints,
             max_requests: bounds.get("max_open").number(DEFAULT_MAX_REQUESTS, 1.0)? as usize,
             max_buffer_bytes: (memory * BUFFER_FRACTION) as usize
-                - ring::spare_bytes(frame::LONGEST),
+                - buffer::spare_bytes(frame::MAX_FRAME),
             json,
         })
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,11 +11,7 @@
 //! | `relay` | the command that hands on events |
 //! | `report` | tables, metrics and log lines for operators |
 
-#![allow(
-    clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
-)]
-
+mod buffer;
 mod cli;
 mod clock;
 mod config;
@@ -27,8 +23,7 @@
 mod proxy;
 mod relay;
 mod report;
-mod ring;
-mod sorted;
+mod sorted_vec;
 
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Readiness};
@@ -94,7 +89,7 @@
 
 /// Makes the event loop, which receives signals as well. To be called before the log's thread starts, so that it leaves
 /// signals to the loop.
-fn event_loop() -> Result<EventLoop<'static, net::Gathered>, Error> {
+fn event_loop() -> Result<EventLoop<'static, net::ReadyEvents>, Error> {
     let events =
         EventLoop::try_new().map_err(|e| Error::EventLoop(io::Error::other(e.to_string())))?;
     let signals = Signals::new(&[
@@ -104,7 +99,7 @@
         Signal::SIGUSR1,
     ])
     .map_err(|e| Error::Signals(io::Error::other(e.to_string())))?;
-    let received = |event: calloop::signals::Event, _: &mut (), ready: &mut net::Gathered| {
+    let received = |event: calloop::signals::Event, _: &mut (), ready: &mut net::ReadyEvents| {
         let key = match event.signal() {
             Signal::SIGHUP => net::Key::Reload,
             Signal::SIGUSR1 => net::Key::Report,
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -51,12 +51,12 @@
 use self::timers::{Timer, Timers};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::net::caches::Caches;
 use crate::net::clients::Clients;
-use crate::net::fronts::Fronts;
-use crate::net::journal::Journal;
+use crate::net::discovery::DiscoveryClient;
+use crate::net::endpoints::EndpointConnections;
 use crate::net::operators::Operators;
-use crate::net::{Gathered, Key, Poll};
+use crate::net::peers::Peers;
+use crate::net::{Key, Poll, ReadyEvents};
 use crate::report::Metrics;
 use calloop::EventLoop;
 use meadowrill_admission::controller::AdmissionController;
@@ -105,7 +105,7 @@
     pub(crate) fn new(
         config: Config,
         listener: TcpListener,
-        events: &EventLoop<'static, Gathered>,
+        events: &EventLoop<'static, ReadyEvents>,
         log: Logger,
         benchmark_counts: Option<fn() -> String>,
     ) -> io::Result<Proxy> {
@@ -121,7 +121,7 @@
             requests: RequestTable::default(),
             admission: new_admission(&config, now),
             routing: new_router(&config),
-            upstream: Upstream::new(Caches::new(
+            upstream: Upstream::new(EndpointConnections::new(
                 config.max_endpoint_connections,
                 config.idle_timeout,
             )),
@@ -161,7 +161,7 @@
 
 fn open_downstream(config: &Config, listener: TcpListener, poll: &Poll) -> io::Result<Downstream> {
     listener.set_nonblocking(true)?;
-    let token = poll.watch(listener.try_clone()?, Key::Door)?;
+    let token = poll.watch(listener.try_clone()?, Key::Listener)?;
     Ok(Downstream {
         clients: Clients::new(
             config.max_client_connections,
@@ -180,10 +180,10 @@
         .transpose()
 }
 
-fn open_fleet(config: &Config, now: Micros, poll: &Poll) -> io::Result<Option<Fronts>> {
+fn open_fleet(config: &Config, now: Micros, poll: &Poll) -> io::Result<Option<Peers>> {
     let replica = config.operator.replica.as_ref();
     let plan = config.operator.fleet.as_ref();
-    plan.map(|plan| Fronts::listen(plan, replica, &config.name, now, config.seed, poll))
+    plan.map(|plan| Peers::listen(plan, replica, &config.name, now, config.seed, poll))
         .transpose()
 }
 
@@ -211,7 +211,7 @@
 fn new_discovery(config: &Config) -> Discovery {
     let position = config.initial_list["pos"].as_u64().unwrap_or(0);
     Discovery {
-        journal: Journal::new(config.discovery, position),
+        client: DiscoveryClient::new(config.discovery, position),
         lag_since: None,
     }
 }
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -42,9 +42,9 @@
         self.routing.queue(Event::RequestArrived(Request {
             id,
             object: message.object,
-            part: message.slice,
+            part: message.part,
             size_kb: message.size_kb,
-            group: message.set,
+            group: message.group,
             class: *class,
             deadline: *deadline,
         }));
@@ -54,7 +54,7 @@
     /// whatever its class.
     pub(super) fn reject_by_admission(&mut self, id: u32, rejection: Rejection, now: Micros) {
         if let Some(request) = self.requests.get(id) {
-            debug!(self.log, "request rejected by admission control"; "request" => request.message.txn.as_str(),
+            debug!(self.log, "request rejected by admission control"; "request" => request.message.request_id.as_str(),
                 "client" => request.client, "reason" => %rejection.reason,
                 "retry_after_ms" => rejection.retry_after / 1000, "reserved" => rejection.reserved);
         }
@@ -70,7 +70,7 @@
                 AdmissionEvent::Admitted { id, tenant, waited } => {
                     let tenants = &self.admission.controller.config().tenants;
                     let tenant = tenants.get(usize::from(tenant)).map_or("", |t| &t.name);
-                    self.metrics.waited(tenant, waited as f64 / 1e6);
+                    self.metrics.observe_wait(tenant, waited as f64 / 1e6);
                     debug!(self.log, "request admitted from the queue"; "id" => id, "waited_us" => waited);
                     self.submit_request(id, now);
                 }
--- a/crates/proxy/src/proxy/availability.rs
+++ b/crates/proxy/src/proxy/availability.rs
@@ -116,10 +116,10 @@
 
     /// Looks for the begin of an outage; part of housekeeping.
     pub(super) fn check_availability(&mut self, now: Micros) {
-        let caches = &self.upstream.caches;
+        let connections = &self.upstream.connections;
         let outage = self
             .availability
-            .begin_outage(now, |since| caches.any_taken(since));
+            .begin_outage(now, |since| connections.any_accepted_since(since));
         if let Some(outage) = outage {
             warn!(self.log, "no endpoint has accepted a request; reporting not ready";
                 "refused_for_us" => now - outage.since, "refused" => outage.refused);
--- a/crates/proxy/src/proxy/downstream.rs
+++ b/crates/proxy/src/proxy/downstream.rs
@@ -1,8 +1,8 @@
 //! Connections of clients: where they are accepted, and what came on them.
 
 use super::Proxy;
-use crate::net::calls::add;
-use crate::net::clients::{Clients, Heard};
+use crate::net::clients::{ClientEvent, Clients};
+use crate::net::syscalls::increment;
 use calloop::RegistrationToken;
 use meadowrill_routing::interface::Micros;
 use slog::warn;
@@ -17,18 +17,18 @@
     /// Connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
     /// An empty buffer for what clients have done.
-    pub(super) events: Vec<Heard>,
+    pub(super) events: Vec<ClientEvent>,
 }
 
 impl Proxy {
     /// Accepts the connections that wait, as far as the ceiling on clients allows.
     pub(super) fn accept_clients(&mut self, now: Micros) {
         let downstream = &mut self.downstream;
-        while downstream.accept_pending && downstream.clients.room(now, &mut self.poll) {
+        while downstream.accept_pending && downstream.clients.make_room(now, &mut self.poll) {
             let Some((listener, _)) = &downstream.listener else {
                 return;
             };
-            add(&self.poll.calls.connections, 1);
+            increment(&self.poll.syscalls.connections, 1);
             match listener.accept() {
                 Ok((stream, from)) => {
                     let accepted =
--- a/crates/proxy/src/proxy/effect_claims.rs
+++ b/crates/proxy/src/proxy/effect_claims.rs
@@ -18,7 +18,7 @@
             return false;
         };
         let class = &self.config.classes[request.class];
-        let key = request.message.unique.as_ref();
+        let key = request.message.idempotency_key.as_ref();
         let Some(key) = key.filter(|_| class.has_effect) else {
             return false;
         };
@@ -32,12 +32,13 @@
             return false;
         };
         let token = u64::from(id);
-        let claimed = peers.share(|replica, acts| replica.ask(now, token, &key, terms, acts));
+        let claimed =
+            peers.with_replica(|replica, acts| replica.ask(now, token, &key, terms, acts));
         if claimed != Some(true) {
             return false;
         }
         request.claim = ClaimState::Pending;
-        self.with_fleet(now, |peers, poll| peers.carry(now, poll));
+        self.with_fleet(now, |peers, poll| peers.dispatch(now, poll));
         true
     }
 
@@ -53,7 +54,7 @@
         let Some(request) = request.filter(|request| request.awaits_response) else {
             return;
         };
-        debug!(self.log, "ledger decided on a claim"; "request" => request.message.txn.as_str(),
+        debug!(self.log, "ledger decided on a claim"; "request" => request.message.request_id.as_str(),
             "decision" => ?decision);
         request.claim = ClaimState::None;
         match decision {
@@ -95,12 +96,12 @@
         match claim {
             ClaimState::None => return,
             ClaimState::Pending => {
-                peers.share(|replica, acts| replica.left(now, token, acts));
+                peers.with_replica(|replica, acts| replica.left(now, token, acts));
             }
             ClaimState::Granted { .. } => {
-                peers.share(|replica, acts| replica.end(now, token, end, acts));
+                peers.with_replica(|replica, acts| replica.end(now, token, end, acts));
             }
         }
-        self.with_fleet(now, |peers, poll| peers.carry(now, poll));
+        self.with_fleet(now, |peers, poll| peers.dispatch(now, poll));
     }
 }
--- a/crates/proxy/src/proxy/endpoint_list.rs
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -1,15 +1,15 @@
 //! What discovery tells: the list of endpoints, and invalidations.
 
 use super::Proxy;
-use crate::net::journal::{self, Change, Journal, Member, News};
+use crate::net::discovery::{self, log_event, DiscoveryClient, EndpointRecord, Notice, Update};
 use crate::net::Poll;
 use meadowrill_routing::host::stable_id;
 use meadowrill_routing::interface::{EndpointEntry, EndpointStatus, EndpointUpdate, Event, Micros};
-use slog::{info, warn};
+use slog::info;
 
 /// The connection to the discovery service.
 pub(super) struct Discovery {
-    pub(super) journal: Journal,
+    pub(super) client: DiscoveryClient,
     /// Since when the service may have kept something back, as the router knows it; none while it is up to date.
     pub(super) lag_since: Option<Micros>,
 }
@@ -19,9 +19,8 @@
     pub(super) fn apply_initial_list(&mut self, now: Micros) {
         let initial = std::mem::take(&mut self.config.initial_list);
         for entry in initial["entries"].as_array().into_iter().flatten() {
-            let update = journal::entry(entry).map(|line| line.change).transpose();
-            if let Some(update) = update {
-                self.apply_discovery(update, now);
+            if let Some(notice) = discovery::known_entry(entry) {
+                self.apply_notice(notice, now);
             }
         }
     }
@@ -30,13 +29,13 @@
     pub(super) fn with_discovery(
         &mut self,
         now: Micros,
-        step: impl FnOnce(&mut Journal, &mut Poll, &mut Vec<News>),
+        step: impl FnOnce(&mut DiscoveryClient, &mut Poll, &mut Vec<Notice>),
     ) {
-        let mut updates = Vec::new();
-        step(&mut self.discovery.journal, &mut self.poll, &mut updates);
-        let any = !updates.is_empty();
-        for update in updates {
-            self.apply_discovery(update, now);
+        let mut notices = Vec::new();
+        step(&mut self.discovery.client, &mut self.poll, &mut notices);
+        let any = !notices.is_empty();
+        for notice in notices {
+            self.apply_notice(notice, now);
         }
         self.update_discovery_lag();
         if any {
@@ -48,45 +47,48 @@
     /// Tells the router of a lag, behind the updates: until they are applied what may have been kept back holds. Where
     /// invalidations come from relays, the lease on their subscription stands for them.
     fn update_discovery_lag(&mut self) {
-        let lag = self.discovery.journal.behind();
+        let lag = self.discovery.client.lag_since();
         let since = lag.filter(|_| !self.fleet.subscribes());
         if since != std::mem::replace(&mut self.discovery.lag_since, since) {
             self.routing.queue(Event::DiscoveryLag { since });
         }
     }
 
-    fn apply_discovery(&mut self, update: News, now: Micros) {
-        match update {
-            Err(what) => warn!(self.log, "journal"; "what" => what),
-            Ok(Change::Purge {
+    fn apply_notice(&mut self, notice: Notice, now: Micros) {
+        match notice {
+            Notice::Event(event) => log_event(&self.log, &event),
+            Notice::Update(Update::Invalidation {
                 object,
                 group,
-                stamp,
+                issued_at,
             }) => {
-                self.share_purge(object, group, stamp, now);
+                self.share_purge(object, group, issued_at, now);
                 self.routing.queue(Event::Invalidated {
                     object,
                     group,
-                    age: now - stamp,
+                    age: now - issued_at,
                 });
             }
-            Ok(Change::Hosts { complete, members }) => {
-                self.update_endpoints(complete, members, now);
+            Notice::Update(Update::Endpoints {
+                complete,
+                endpoints,
+            }) => {
+                self.update_endpoints(complete, endpoints, now);
             }
         }
     }
 
     /// The list has changed, or was told as a whole.
-    fn update_endpoints(&mut self, complete: bool, members: Vec<Member>, now: Micros) {
-        info!(self.log, "endpoint list updated"; "complete" => complete, "endpoints" => members.len());
-        let members: Vec<Member> = members
+    fn update_endpoints(&mut self, complete: bool, records: Vec<EndpointRecord>, now: Micros) {
+        info!(self.log, "endpoint list updated"; "complete" => complete, "endpoints" => records.len());
+        let records: Vec<EndpointRecord> = records
             .into_iter()
-            .map(|member| self.share_endpoint(member, now))
+            .map(|record| self.share_endpoint(record, now))
             .collect();
-        let ids: Vec<String> = members.iter().map(|member| member.id.clone()).collect();
-        let entries = members
+        let ids: Vec<String> = records.iter().map(|record| record.id.clone()).collect();
+        let entries = records
             .into_iter()
-            .map(|member| self.update_endpoint(member))
+            .map(|record| self.update_endpoint(record))
             .collect();
         let update = if complete {
             EndpointUpdate::Snapshot(entries)
@@ -100,29 +102,29 @@
     }
 
     /// Notes the address of an endpoint, and words its entry for the router.
-    pub(super) fn update_endpoint(&mut self, member: Member) -> EndpointEntry {
-        let endpoint = self.endpoints.get_or_insert(&member.id);
-        if let Some(address) = member.address {
+    pub(super) fn update_endpoint(&mut self, record: EndpointRecord) -> EndpointEntry {
+        let endpoint = self.endpoints.get_or_insert(&record.id);
+        if let Some(address) = record.address {
             self.endpoints.set_address(endpoint, address);
         }
-        if member.standing != EndpointStatus::Ready {
-            self.upstream.caches.forget(endpoint, &self.poll);
+        if record.status != EndpointStatus::Ready {
+            self.upstream.connections.close_idle(endpoint, &self.poll);
         }
-        let stable = stable_id(&member.id);
+        let stable = stable_id(&record.id);
         let address = self.endpoints.address(endpoint);
         // The router's lines name endpoints by their stable ids; here they can be looked up.
-        info!(self.log, "endpoint updated"; "status" => ?member.standing,
-            "address" => address.map(|address| address.host.as_str()), "id" => &member.id, "type" => &member.flavor,
-            "zone" => &member.locality, "stable_id" => format!("{stable:012x}"));
+        info!(self.log, "endpoint updated"; "status" => ?record.status,
+            "address" => address.map(|address| address.host.as_str()), "id" => &record.id, "type" => &record.machine_kind,
+            "zone" => &record.zone, "stable_id" => format!("{stable:012x}"));
         EndpointEntry {
             endpoint,
             stable_id: stable,
-            machine_kind: name_index(&self.config.endpoint_types, &member.flavor),
-            started_at: member.up_since,
-            zone: name_index(&self.config.zones, &member.locality),
-            cell: member.cell,
-            weight: member.size,
-            status: member.standing,
+            machine_kind: name_index(&self.config.endpoint_types, &record.machine_kind),
+            started_at: record.started_at,
+            zone: name_index(&self.config.zones, &record.zone),
+            cell: record.cell,
+            weight: record.weight,
+            status: record.status,
         }
     }
 }
--- a/crates/proxy/src/proxy/event_loop.rs
+++ b/crates/proxy/src/proxy/event_loop.rs
@@ -11,9 +11,10 @@
 
 use super::timers::Timer;
 use super::{Proxy, HOUSEKEEPING_INTERVAL};
-use crate::net::calls::add;
-use crate::net::fronts::Fronts;
-use crate::net::{Cause, Gathered, Key};
+use crate::net::discovery::Loss;
+use crate::net::peers::Peers;
+use crate::net::syscalls::increment;
+use crate::net::{Cause, Key, ReadyEvents};
 use crate::report;
 use calloop::{EventLoop, Readiness};
 use meadowrill_routing::host::catch_panic;
@@ -22,7 +23,7 @@
 use std::io;
 use std::time::Duration;
 
-/// Calls to the kernel that the library's poller needs in a round: time, re-arming, the wait, its note, re-arming that.
+/// Syscalls to the kernel that the library's poller needs in a round: time, re-arming, the wait, its note, re-arming that.
 const LIBRARY_CALLS: u64 = 5;
 
 impl Proxy {
@@ -31,7 +32,7 @@
     /// # Errors
     ///
     /// Returns the fault of a wait that cannot be repeated.
-    pub(crate) fn run(&mut self, events: &mut EventLoop<'static, Gathered>) -> io::Result<()> {
+    pub(crate) fn run(&mut self, events: &mut EventLoop<'static, ReadyEvents>) -> io::Result<()> {
         let mut ready = Vec::new();
         while !self.is_finished() {
             self.wait(events, &mut ready)?;
@@ -50,10 +51,10 @@
     /// Waits until something is ready or a timer is due.
     pub(super) fn wait(
         &mut self,
-        events: &mut EventLoop<'static, Gathered>,
-        ready: &mut Gathered,
+        events: &mut EventLoop<'static, ReadyEvents>,
+        ready: &mut ReadyEvents,
     ) -> io::Result<()> {
-        let timer = self.timers.next_due(&self.upstream.caches);
+        let timer = self.timers.next_due(&self.upstream.connections);
         let admission = self.admission.controller.next_deadline();
         let next = [timer, admission].into_iter().flatten().min();
         let next = next.map_or(HOUSEKEEPING_INTERVAL, |at| at - self.clock.now());
@@ -63,7 +64,7 @@
             next.max(0) as u64
         };
         if self.poll.wait(Duration::from_micros(pause), ready)? {
-            add(&self.poll.calls.waits, LIBRARY_CALLS);
+            increment(&self.poll.syscalls.waits, LIBRARY_CALLS);
             events
                 .dispatch(Some(Duration::ZERO), ready)
                 .map_err(io::Error::other)?;
@@ -75,12 +76,12 @@
     fn has_work(&self) -> bool {
         self.routing.has_events()
             || self.requests.any_maybe_finished()
-            || self.downstream.clients.waits()
+            || self.downstream.clients.has_unread()
             || self.fleet.has_input()
     }
 
     /// Handles all that is ready, and the timers that are due.
-    pub(super) fn handle_ready(&mut self, ready: &mut Gathered, now: Micros) {
+    pub(super) fn handle_ready(&mut self, ready: &mut ReadyEvents, now: Micros) {
         self.add_leftovers(ready);
         ready.sort_unstable_by_key(|(key, _)| *key);
         for (key, readiness) in ready.drain(..) {
@@ -102,7 +103,7 @@
     }
 
     /// Adds what was left unread in the last round.
-    fn add_leftovers(&mut self, ready: &mut Gathered) {
+    fn add_leftovers(&mut self, ready: &mut ReadyEvents) {
         if self.has_buffer_room() {
             let resumed = std::mem::take(&mut self.upstream.paused_reads);
             ready.extend(resumed.into_iter().map(|key| (key, Readiness::EMPTY)));
@@ -110,40 +111,46 @@
         if self.fleet.has_input() {
             ready.push((Key::Datagrams, Readiness::EMPTY));
         }
-        let unread = self.downstream.clients.more();
+        let unread = self.downstream.clients.take_unread();
         let unread = unread.into_iter().map(Key::Client);
         ready.extend(unread.map(|key| (key, Readiness::EMPTY)));
     }
 
     fn has_buffer_room(&self) -> bool {
-        self.poll.tally.bytes() < self.config.max_buffer_bytes
+        self.poll.buffer_memory.bytes() < self.config.max_buffer_bytes
     }
 
     fn handle_source(&mut self, key: Key, ready: Readiness, now: Micros) {
         match key {
-            Key::Door => self.downstream.accept_pending = true,
+            Key::Listener => self.downstream.accept_pending = true,
             Key::Signal => self.begin_shutdown(now),
             Key::Reload => self.reload(now),
-            Key::Datagrams => self.with_fleet(now, |peers, poll| peers.read(now, poll)),
-            Key::Chunks => self.with_fleet(now, |peers, poll| peers.streams.accept(now, poll)),
+            Key::Datagrams => {
+                self.with_fleet(now, |peers, poll| peers.receive_datagrams(now, poll))
+            }
+            Key::StreamListener => {
+                self.with_fleet(now, |peers, poll| peers.streams.accept(now, poll))
+            }
             Key::Stream(number) => {
-                self.with_fleet(now, |peers, poll| peers.stream(number, ready, now, poll));
+                self.with_fleet(now, |peers, poll| {
+                    peers.handle_stream(number, ready, now, poll)
+                });
             }
-            Key::Report => report::log(&self.log, &self.admission.controller.report()),
+            Key::Report => report::admission::log(&self.log, &self.admission.controller.report()),
             Key::Operators => {
                 if let Some(operators) = &mut self.operators.operators {
                     operators.accept(&mut self.poll);
                 }
             }
             Key::Operator(number) => self.answer_operator(number, now),
-            Key::Journal(_) => self.with_discovery(now, |journal, poll, updates| {
-                journal.handle(key, ready, now, poll, updates);
+            Key::Discovery(_) => self.with_discovery(now, |client, poll, notices| {
+                client.handle_ready(key, ready, now, poll, notices);
             }),
-            Key::Cache(number) => self.read_endpoint(number, ready, now),
+            Key::Endpoint(number) => self.read_endpoint(number, ready, now),
             // Each is dealt with before the next is read: together they could hold more than there is.
             Key::Client(number) => {
                 let clients = &mut self.downstream.clients;
-                clients.handle(number, ready, now, &mut self.poll);
+                clients.handle_ready(number, ready, now, &mut self.poll);
                 self.handle_client_events(now);
             }
         }
@@ -154,34 +161,34 @@
     fn read_endpoint(&mut self, number: u64, ready: Readiness, now: Micros) {
         let room = self.has_buffer_room();
         if !room {
-            self.upstream.paused_reads.insert(Key::Cache(number));
+            self.upstream.paused_reads.insert(Key::Endpoint(number));
         }
-        let caches = &mut self.upstream.caches;
-        caches.handle(number, ready, room, &mut self.poll);
+        let connections = &mut self.upstream.connections;
+        connections.handle_ready(number, ready, room, &mut self.poll);
         self.collect_attempt_events(now);
     }
 
     /// Drops a connection at which there was a panic.
     fn drop_source(&mut self, key: Key, now: Micros) {
         match key {
-            Key::Client(number) => self.downstream.clients.drop(number, &self.poll),
-            Key::Cache(number) => self.upstream.caches.panicked(number, &self.poll),
-            Key::Journal(_) => {
-                let journal = &mut self.discovery.journal;
-                journal.lose("panic", &self.poll, &mut Vec::new());
+            Key::Client(number) => self.downstream.clients.disconnect(number, &self.poll),
+            Key::Endpoint(number) => self.upstream.connections.fail_panicked(number, &self.poll),
+            Key::Discovery(_) => {
+                let client = &mut self.discovery.client;
+                client.disconnect(Loss::Panicked, &self.poll, &mut Vec::new());
             }
             Key::Operator(number) => {
                 if let Some(operators) = &mut self.operators.operators {
-                    operators.drop(number, &self.poll);
+                    operators.disconnect(number, &self.poll);
                 }
             }
-            Key::Stream(number) => self.with_fleet(now, |peers: &mut Fronts, poll| {
+            Key::Stream(number) => self.with_fleet(now, |peers: &mut Peers, poll| {
                 // What was left for it is found by the next comparison.
-                peers.streams.drop(number, poll);
+                peers.streams.close(number, poll);
             }),
-            Key::Door
+            Key::Listener
             | Key::Datagrams
-            | Key::Chunks
+            | Key::StreamListener
             | Key::Operators
             | Key::Reload
             | Key::Report
@@ -193,11 +200,11 @@
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Router(timer) => self.routing.queue(Event::TimerFired { timer }),
-                Timer::AttemptTimeout(attempt) => self.fail_attempt(attempt, Cause::TimeUp),
+                Timer::AttemptTimeout(attempt) => self.fail_attempt(attempt, Cause::TimedOut),
                 Timer::ConnectTimeout(attempt) => self.connect_timed_out(attempt),
                 Timer::Housekeeping => self.housekeeping(now),
                 Timer::AdmissionReport => {
-                    report::log(&self.log, &self.admission.controller.report());
+                    report::admission::log(&self.log, &self.admission.controller.report());
                     self.apply_operator_settings(now);
                 }
                 Timer::Shutdown => self.stop_accepting(now),
@@ -210,10 +217,10 @@
     /// What is done regularly.
     fn housekeeping(&mut self, now: Micros) {
         self.downstream.accept_pending = true;
-        self.upstream.caches.sweep(now, &self.poll);
-        self.downstream.clients.sweep(now, &mut self.poll);
-        self.with_discovery(now, |journal, poll, updates| {
-            journal.keep_up(now, poll, updates);
+        self.upstream.connections.close_expired(now, &self.poll);
+        self.downstream.clients.close_stale(now, &mut self.poll);
+        self.with_discovery(now, |client, poll, notices| {
+            client.maintain(now, poll, notices);
         });
         if !self.shutdown.begun {
             self.check_availability(now);
--- a/crates/proxy/src/proxy/event_subscription.rs
+++ b/crates/proxy/src/proxy/event_subscription.rs
@@ -4,7 +4,7 @@
 //! a lease the age of copies is bounded, by the clock at the moment of the decision.
 
 use super::Proxy;
-use crate::report::events::log_notice;
+use crate::report::distribution::log_notice;
 use meadowrill_event_distribution::event::{Event as Distributed, Purge, PurgeKey};
 use meadowrill_event_distribution::output::Output;
 use meadowrill_routing::host::stable_id;
@@ -65,7 +65,7 @@
             PurgeKey::Group(group) => (None, group),
         };
         let age = now - purge.timestamp;
-        self.metrics.purge_applied(age as f64 / 1e6);
+        self.metrics.observe_purge_age(age as f64 / 1e6);
         let event = Event::Invalidated { object, group, age };
         self.handle_at_once(now, event)
     }
--- a/crates/proxy/src/proxy/membership.rs
+++ b/crates/proxy/src/proxy/membership.rs
@@ -3,8 +3,8 @@
 
 use super::timers::Timer;
 use super::Proxy;
-use crate::net::events::Subscription;
-use crate::net::fronts::Fronts;
+use crate::net::peers::Peers;
+use crate::net::subscription::Subscription;
 use crate::net::Poll;
 use meadowrill_event_distribution::subscriber::FreshnessBound;
 use meadowrill_membership::claim::State;
@@ -16,7 +16,7 @@
 /// The other proxies of the fleet, and what depends on them.
 pub(super) struct Fleet {
     /// The exchange with them; none without a fleet in the settings.
-    pub(super) peers: Option<Fronts>,
+    pub(super) peers: Option<Peers>,
     /// When it is to be polled next, as the timer is set.
     pub(super) wake_at: Micros,
     /// Which copies may be served, as the router knows it; none before the first bound, and without a subscription.
@@ -24,7 +24,7 @@
 }
 
 impl Fleet {
-    pub(super) fn new(peers: Option<Fronts>) -> Fleet {
+    pub(super) fn new(peers: Option<Peers>) -> Fleet {
         Fleet {
             peers,
             wake_at: 0,
@@ -56,23 +56,23 @@
 
     /// Whether datagrams wait to be read.
     pub(super) fn has_input(&self) -> bool {
-        self.peers.as_ref().is_some_and(Fronts::waits)
+        self.peers.as_ref().is_some_and(Peers::has_unread_datagrams)
     }
 
     /// Whether this proxy is no longer, or never was, a member.
     pub(super) fn has_left(&self) -> bool {
-        self.peers.as_ref().is_none_or(Fronts::left)
+        self.peers.as_ref().is_none_or(Peers::has_left)
     }
 }
 
 impl Proxy {
     /// Takes one step with the other proxies, and carries out what comes of it.
-    pub(super) fn with_fleet(&mut self, now: Micros, step: impl FnOnce(&mut Fronts, &mut Poll)) {
+    pub(super) fn with_fleet(&mut self, now: Micros, step: impl FnOnce(&mut Peers, &mut Poll)) {
         let Some(peers) = &mut self.fleet.peers else {
             return;
         };
         step(peers, &mut self.poll);
-        for change in peers.changes() {
+        for change in peers.take_changes() {
             log_change(&self.log, change);
         }
         self.perform_subscription_outputs(now);
@@ -80,7 +80,7 @@
         let Some(peers) = &self.fleet.peers else {
             return;
         };
-        let next = peers.next();
+        let next = peers.next_wake();
         if self.fleet.wake_at != next {
             self.fleet.wake_at = next;
             self.timers.set(next, Timer::Fleet(next));
--- a/crates/proxy/src/proxy/operators.rs
+++ b/crates/proxy/src/proxy/operators.rs
@@ -3,9 +3,9 @@
 use super::availability::Availability;
 use super::membership::Fleet;
 use super::Proxy;
-use crate::net::calls::Calls;
-use crate::net::fronts::Fronts;
 use crate::net::operators::Operators;
+use crate::net::peers::Peers;
+use crate::net::syscalls::SyscallCounters;
 use crate::report::{self, Metrics};
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_replication::replica::Replica;
@@ -25,7 +25,7 @@
     metrics: &'a Metrics,
     availability: &'a Availability,
     fleet: &'a Fleet,
-    calls: &'a Calls,
+    syscalls: &'a SyscallCounters,
     benchmark_counts: Option<fn() -> String>,
     now: Micros,
 }
@@ -38,12 +38,12 @@
             metrics: &self.metrics,
             availability: &self.availability,
             fleet: &self.fleet,
-            calls: &self.poll.calls,
+            syscalls: &self.poll.syscalls,
             benchmark_counts: self.operators.benchmark_counts,
             now,
         };
         if let Some(operators) = &mut self.operators.operators {
-            operators.handle(number, &self.poll, |word| answers.answer(word));
+            operators.handle_ready(number, &self.poll, |word| answers.answer(word));
         }
     }
 }
@@ -52,10 +52,10 @@
     fn answer(&self, word: &str) -> String {
         let (now, peers) = (self.now, self.fleet.peers.as_ref());
         match word {
-            "turns" => report::table(&self.admission.report()),
+            "turns" => report::admission::table(&self.admission.report()),
             "metrics" => self
                 .metrics
-                .text(self.admission, self.availability, peers, now),
+                .encode(self.admission, self.availability, peers, now),
             "fleet events" => events_report(peers, |events| events.table(now)),
             "fleet events json" => events_report(peers, |events| events.json(now)),
             "fleet" => fleet_report(peers, |peers| report::fleet::table(peers.view(), now)),
@@ -72,11 +72,11 @@
         let further = self
             .benchmark_counts
             .map_or(String::new(), |counts| counts());
-        format!("{}{further}", self.calls.text())
+        format!("{}{further}", self.syscalls.report())
     }
 }
 
-fn fleet_report(peers: Option<&Fronts>, report: impl FnOnce(&Fronts) -> String) -> String {
+fn fleet_report(peers: Option<&Peers>, report: impl FnOnce(&Peers) -> String) -> String {
     match peers {
         None => "no fleet in the settings\n".to_string(),
         Some(peers) => report(peers),
@@ -84,10 +84,10 @@
 }
 
 fn events_report(
-    peers: Option<&Fronts>,
-    report: impl FnOnce(report::events::SubscriptionReport) -> String,
+    peers: Option<&Peers>,
+    report: impl FnOnce(report::distribution::SubscriptionReport) -> String,
 ) -> String {
-    match peers.and_then(report::events::SubscriptionReport::new) {
+    match peers.and_then(report::distribution::SubscriptionReport::new) {
         None => "no fleet { events { } } in the settings\n".to_string(),
         Some(events) => report(events),
     }
@@ -99,11 +99,11 @@
         return "no fleet { replica { } } in the settings\n".to_string();
     };
     match part {
-        "state" => report::shared::state(replica, now),
-        "state json" => report::shared::state_json(replica),
-        "entries" => report::shared::entries(replica),
+        "state" => report::replication::summary(replica, now),
+        "state json" => report::replication::summary_json(replica),
+        "entries" => report::replication::entries(replica),
         _ => match part.strip_prefix("ledger ") {
-            Some(key) => report::shared::story(replica, key, now),
+            Some(key) => report::replication::key_history(replica, key, now),
             None => "state, entries or ledger KEY\n".to_string(),
         },
     }
--- a/crates/proxy/src/proxy/outcomes.rs
+++ b/crates/proxy/src/proxy/outcomes.rs
@@ -3,8 +3,8 @@
 use super::response::Response;
 use super::Proxy;
 use crate::http;
-use crate::net::caches::{ending, report, Ended};
-use crate::net::Fault;
+use crate::net::endpoints::{load_report, response_outcome, EndedAttempt};
+use crate::net::AttemptError;
 use meadowrill_admission::request::Completion;
 use meadowrill_routing::host::cache_status;
 use meadowrill_routing::interface::{AttemptEnd, AttemptOutcome, CacheStatus, Event, Micros};
@@ -17,37 +17,39 @@
     /// Handles attempts that have ended, and those whose connection has come up.
     pub(super) fn collect_attempt_events(&mut self, now: Micros) {
         let mut ended = std::mem::take(&mut self.upstream.ended);
-        self.upstream.caches.ended(&mut ended);
+        self.upstream.connections.take_ended(&mut ended);
         for attempt in ended.drain(..) {
             self.attempt_ended(&attempt, now);
             // Only now may the body's place be used again.
-            self.upstream.caches.release(attempt.conn, now, &self.poll);
+            self.upstream
+                .connections
+                .release(attempt.connection, now, &self.poll);
         }
         self.upstream.ended = ended;
         // Decided upon again now that they can be written: the list, purges, a limit or the client may have moved on.
         let mut connected = std::mem::take(&mut self.upstream.connected);
-        self.upstream.caches.connected(&mut connected);
+        self.upstream.connections.take_connected(&mut connected);
         for attempt in connected.drain(..) {
             self.routing.queue(Event::AttemptConnected {
-                id: attempt.lookup,
-                attempt: attempt.send,
+                id: attempt.request,
+                attempt: attempt.attempt,
             });
         }
         self.upstream.connected = connected;
     }
 
     /// An attempt has ended: its outcome is recorded; the first success of a request is its response.
-    fn attempt_ended(&mut self, ended: &Ended, now: Micros) {
-        let id = ended.out.lookup;
+    fn attempt_ended(&mut self, ended: &EndedAttempt, now: Micros) {
+        let id = ended.attempt.request;
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if let Some(attempt) = request.attempts.get_mut(usize::from(ended.out.send)) {
+        if let Some(attempt) = request.attempts.get_mut(usize::from(ended.attempt.attempt)) {
             *attempt = None;
         }
         let outcome = match &ended.result {
-            Ok(head) => ending(head, request.message.seen.as_deref()),
-            Err(fault) => fault.ending(),
+            Ok(head) => response_outcome(head, request.message.known_version.as_deref()),
+            Err(fault) => fault.outcome(),
         };
         match &ended.result {
             Ok(head) if outcome != AttemptOutcome::Success => {
@@ -66,7 +68,7 @@
         if self.fleet.shares_state() {
             self.record_attempt_end(&end);
         }
-        if ended.taken(outcome) {
+        if ended.was_accepted(outcome) {
             self.record_service(now);
         }
         end.finished = self
@@ -78,13 +80,18 @@
     }
 
     /// What the router is told of the end of an attempt; not yet whether its request is finished.
-    fn describe_end(&self, ended: &Ended, outcome: AttemptOutcome, now: Micros) -> AttemptEnd {
+    fn describe_end(
+        &self,
+        ended: &EndedAttempt,
+        outcome: AttemptOutcome,
+        now: Micros,
+    ) -> AttemptEnd {
         let mut end = AttemptEnd {
-            id: ended.out.lookup,
-            attempt: ended.out.send,
-            endpoint: ended.peer,
+            id: ended.attempt.request,
+            attempt: ended.attempt.attempt,
+            endpoint: ended.endpoint,
             outcome,
-            elapsed: now - ended.out.at,
+            elapsed: now - ended.attempt.started_at,
             finished: false,
             cache_status: CacheStatus::Unknown,
             first_byte: None,
@@ -92,17 +99,23 @@
             load_report: Vec::new(),
         };
         if let Ok(head) = &ended.result {
-            end.cache_status = cache_status(head.note);
-            end.first_byte = head.source_ms.map(|ms| (ms * 1e3) as Micros);
-            end.size_kb = head.body as f64 * self.config.kilobytes_per_byte;
-            end.load_report = report(&head.load, &self.config.load_report_fields);
+            end.cache_status = cache_status(head.cache_status);
+            end.first_byte = head.first_byte_ms.map(|ms| (ms * 1e3) as Micros);
+            end.size_kb = head.body_length as f64 * self.config.kilobytes_per_byte;
+            end.load_report = load_report(&head.load_report, &self.config.load_report_fields);
         }
         end
     }
 
     /// A success is the response of its request, if the client still waits; the ledger is told the result.
-    fn respond_with(&mut self, ended: &Ended, head: &http::Answer, end: &AttemptEnd, now: Micros) {
-        let id = ended.out.lookup;
+    fn respond_with(
+        &mut self,
+        ended: &EndedAttempt,
+        head: &http::Response,
+        end: &AttemptEnd,
+        now: Micros,
+    ) {
+        let id = ended.attempt.request;
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -116,30 +129,38 @@
         };
         let current = head.status == NOT_MODIFIED;
         if request.awaits_response && request.has_claim() {
-            let body = self.upstream.caches.body(ended.conn, head).to_vec();
+            let body = self
+                .upstream
+                .connections
+                .response_body(ended.connection, head)
+                .to_vec();
             self.end_claim(id, Some((current, body)), now);
         }
         if let Some(recipient) = self.end_wait(id, now) {
-            let body = self.upstream.caches.body(ended.conn, head);
+            let body = self
+                .upstream
+                .connections
+                .response_body(ended.connection, head);
             let response = Response::Success { current, body };
             recipient.send(&response, &mut self.downstream.clients, now, &self.poll);
         }
     }
 
-    fn log_unsuccessful(&self, ended: &Ended, head: &http::Answer) {
-        let Some(request) = self.requests.get(ended.out.lookup) else {
+    fn log_unsuccessful(&self, ended: &EndedAttempt, head: &http::Response) {
+        let Some(request) = self.requests.get(ended.attempt.request) else {
             return;
         };
-        debug!(self.log, "attempt unsuccessful"; "request" => request.message.txn.as_str(),
-            "endpoint" => self.endpoints.id(ended.peer), "class" => request.message.verb.as_str(),
-            "status" => head.status, "cache_status" => head.note);
+        debug!(self.log, "attempt unsuccessful"; "request" => request.message.request_id.as_str(),
+            "endpoint" => self.endpoints.id(ended.endpoint), "class" => request.message.class.as_str(),
+            "status" => head.status, "cache_status" => head.cache_status);
     }
 
-    fn log_failed(&self, ended: &Ended, fault: &Fault, now: Micros) {
-        let Some(request) = self.requests.get(ended.out.lookup) else {
+    fn log_failed(&self, ended: &EndedAttempt, error: &AttemptError, now: Micros) {
+        let Some(request) = self.requests.get(ended.attempt.request) else {
             return;
         };
-        debug!(self.log, "attempt failed"; "request" => request.message.txn.as_str(),
-            "endpoint" => self.endpoints.id(ended.peer), "elapsed_us" => now - ended.out.at, "reason" => %fault);
+        debug!(self.log, "attempt failed"; "request" => request.message.request_id.as_str(),
+            "endpoint" => self.endpoints.id(ended.endpoint), "elapsed_us" => now - ended.attempt.started_at, "source" => %error.source(), "retry_safe" => error.is_retry_safe(),
+            "reason" => %error);
     }
 }
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -27,8 +27,8 @@
         }
         self.apply_operator_settings(now);
         let address = self.config.discovery;
-        self.with_discovery(now, |journal, poll, updates| {
-            journal.move_to(address, now, poll, updates);
+        self.with_discovery(now, |client, poll, notices| {
+            client.change_address(address, now, poll, notices);
         });
     }
 
@@ -53,9 +53,9 @@
             ClientKey::Field(name) => Some(name.clone()),
             ClientKey::Address | ClientKey::Connection => None,
         };
-        self.downstream.clients.who = frame::Who {
+        self.downstream.clients.identity_fields = frame::IdentityFields {
             tenant: tenant_field.clone(),
-            desk: client_field,
+            client: client_field,
         };
         let interval_s = self.config.operator.report_every;
         let next = interval_s.map(|interval_s| now + (interval_s * 1e6) as Micros);
--- a/crates/proxy/src/proxy/response.rs
+++ b/crates/proxy/src/proxy/response.rs
@@ -7,10 +7,6 @@
 use crate::net::Poll;
 use meadowrill_routing::interface::Micros;
 
-/// Response field: the copy that the client named is still current.
-const CURRENT_FIELD: (&str, &str) = ("current", "1");
-/// Response field: how long to stay away, in milliseconds.
-const RETRY_AFTER_FIELD: &str = "later";
 /// Advice below this, in microseconds, cannot be expressed and is left out.
 const LEAST_RETRY_AFTER: Micros = 1_000;
 
@@ -44,19 +40,19 @@
         let whose = (self.client, self.stream, self.id);
         match response {
             Response::Success { current, body } => {
-                let fields = [CURRENT_FIELD];
+                let fields = [frame::NOT_MODIFIED];
                 let fields = if *current { &fields[..] } else { &[] };
-                clients.answer(whose, (frame::SATISFIED, fields, body), now, poll);
+                clients.send_response(whose, (frame::SUCCESS, fields, body), now, poll);
             }
             Response::Rejected { retry_after } if *retry_after >= LEAST_RETRY_AFTER => {
                 let milliseconds = (retry_after / 1000).to_string();
-                let fields = [(RETRY_AFTER_FIELD, milliseconds.as_str())];
-                clients.answer(whose, (frame::NACKED, &fields, &[]), now, poll);
+                let fields = [(frame::RETRY_AFTER_MS, milliseconds.as_str())];
+                clients.send_response(whose, (frame::REJECTED, &fields, &[]), now, poll);
             }
             Response::Rejected { .. } => {
-                clients.answer(whose, (frame::NACKED, &[], &[]), now, poll);
+                clients.send_response(whose, (frame::REJECTED, &[], &[]), now, poll);
             }
-            Response::Failed => clients.answer(whose, (frame::FAILED, &[], &[]), now, poll),
+            Response::Failed => clients.send_response(whose, (frame::FAILED, &[], &[]), now, poll),
         }
     }
 }
--- a/crates/proxy/src/proxy/routing.rs
+++ b/crates/proxy/src/proxy/routing.rs
@@ -130,21 +130,23 @@
             Action::Fail { id } => self.respond(id, &Response::Failed, now),
             Action::CancelAttempt { id, attempt } => {
                 if let Some(attempt) = self.requests.attempt(id, attempt) {
-                    self.fail_attempt(attempt, Cause::Withdrawn);
+                    self.fail_attempt(attempt, Cause::Cancelled);
                 }
             }
             Action::WriteAttempt { id, attempt } => {
                 if let Some(attempt) = self.requests.attempt(id, attempt) {
-                    self.upstream
-                        .caches
-                        .write(attempt.connection, attempt.serial, &self.poll);
+                    self.upstream.connections.write_attempt(
+                        attempt.connection,
+                        attempt.serial,
+                        &self.poll,
+                    );
                 }
             }
             Action::SetTimer { at, timer } => self.timers.set(at, Timer::Router(timer)),
             // Discovery pushes its updates.
             Action::PollDiscovery => {}
             Action::ReleaseEndpoint { endpoint } => {
-                self.upstream.caches.forget(endpoint, &self.poll);
+                self.upstream.connections.close_idle(endpoint, &self.poll);
                 self.endpoints.release(endpoint);
             }
             Action::Log(event) => self.log_decision(event),
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -2,7 +2,7 @@
 //! they learned is handed to the router. Nothing of this runs without `fleet { replica { ... } }` in the settings.
 
 use super::Proxy;
-use crate::net::journal::Member;
+use crate::net::discovery::EndpointRecord;
 use meadowrill_replication::kinds;
 use meadowrill_replication::replica::{sight_of_machine, thing, Act, Thing, Told};
 use meadowrill_routing::interface::{
@@ -22,12 +22,13 @@
             return;
         };
         let lags = peers
-            .share(|replica, _| std::mem::take(&mut replica.counts.lags))
+            .with_replica(|replica, _| std::mem::take(&mut replica.counts.lags))
             .unwrap_or_default();
         for (kind, lag) in lags {
-            self.metrics.lagged(kind.name(), lag as f64 / 1e6);
+            self.metrics
+                .observe_replication_lag(kind.name(), lag as f64 / 1e6);
         }
-        for effect in peers.take_acts() {
+        for effect in peers.take_replica_acts() {
             match effect {
                 Act::Word(decision) => self.apply_claim_decision(decision, now),
                 Act::Purged {
@@ -118,45 +119,49 @@
         machine: &kinds::Machine,
     ) {
         let status = status_of_phase(phase);
-        let member = Member {
+        let record = EndpointRecord {
             id: id.to_string(),
             address: machine.address.parse().ok(),
-            locality: machine.locality.clone(),
-            flavor: machine.flavor.clone(),
+            zone: machine.locality.clone(),
+            machine_kind: machine.flavor.clone(),
             cell: machine.cell as u16,
-            standing: status,
-            size: machine.size,
-            up_since: start,
+            status,
+            weight: machine.size,
+            started_at: start,
         };
-        if member.address.is_none() && status != EndpointStatus::Removed {
+        if record.address.is_none() && status != EndpointStatus::Removed {
             return;
         }
-        let entry = self.update_endpoint(member);
+        let entry = self.update_endpoint(record);
         let update = EndpointUpdate::Delta(vec![entry]);
         self.routing.queue(Event::EndpointsUpdated(update));
     }
 
     /// Shares what discovery tells of an endpoint. Returns it with the later status, where others know of one.
-    pub(super) fn share_endpoint(&mut self, mut member: Member, now: Micros) -> Member {
+    pub(super) fn share_endpoint(
+        &mut self,
+        mut record: EndpointRecord,
+        now: Micros,
+    ) -> EndpointRecord {
         let Some(peers) = &mut self.fleet.peers else {
-            return member;
+            return record;
         };
         let machine = kinds::Machine {
-            address: member.address.map_or(String::new(), |at| at.to_string()),
-            locality: member.locality.clone(),
-            flavor: member.flavor.clone(),
-            cell: u32::from(member.cell),
-            size: member.size,
+            address: record.address.map_or(String::new(), |at| at.to_string()),
+            locality: record.zone.clone(),
+            flavor: record.machine_kind.clone(),
+            cell: u32::from(record.cell),
+            size: record.weight,
         };
-        let phase = phase_of_status(member.standing);
-        peers.share(|replica, _| {
-            replica.put_machine(now, &member.id, member.up_since, phase, &machine);
-            let shared = replica.standing(&member.id);
-            if let Some((_, phase)) = shared.filter(|(start, _)| *start == member.up_since) {
-                member.standing = status_of_phase(phase);
+        let phase = phase_of_status(record.status);
+        peers.with_replica(|replica, _| {
+            replica.put_machine(now, &record.id, record.started_at, phase, &machine);
+            let shared = replica.standing(&record.id);
+            if let Some((_, phase)) = shared.filter(|(start, _)| *start == record.started_at) {
+                record.status = status_of_phase(phase);
             }
         });
-        member
+        record
     }
 
     /// Shares an invalidation of discovery; but where invalidations come from relays, that is their only way.
@@ -169,7 +174,7 @@
     ) {
         let peers = self.fleet.peers.as_mut();
         if let Some(peers) = peers.filter(|peers| peers.subscription.is_none()) {
-            peers.share(|replica, _| replica.put_purge(now, object, group, stamp));
+            peers.with_replica(|replica, _| replica.put_purge(now, object, group, stamp));
         }
     }
 
@@ -179,8 +184,8 @@
             return;
         };
         let message = &request.message;
-        peers.share(|replica, _| {
-            replica.saw_part(now, message.object, message.slice);
+        peers.with_replica(|replica, _| {
+            replica.saw_part(now, message.object, message.part);
             replica.used(message.tenant.as_deref().unwrap_or(""), message.size_kb);
         });
     }
@@ -198,10 +203,10 @@
             end.outcome,
             AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
         );
-        peers.share(|replica, _| replica.saw_end(endpoint, failed, None));
+        peers.with_replica(|replica, _| replica.saw_end(endpoint, failed, None));
         if let (Some(source), Some(time)) = (source, end.first_byte) {
             let source = self.endpoints.id(source);
-            peers.share(|replica, _| replica.saw_end(source, false, Some(time)));
+            peers.with_replica(|replica, _| replica.saw_end(source, false, Some(time)));
         }
     }
 }
--- a/crates/proxy/src/proxy/shutdown.rs
+++ b/crates/proxy/src/proxy/shutdown.rs
@@ -8,14 +8,14 @@
 
 use super::timers::Timer;
 use super::{Proxy, HOUSEKEEPING_INTERVAL};
-use crate::net::clients::DRAIN;
+use crate::net::clients::DRAIN_TIMEOUT;
 use meadowrill_routing::interface::Micros;
 use slog::info;
 
 /// How long after the signal connections and requests may still come in (the platform says 0.6 s).
 const LINGER: Micros = 700_000;
 /// How long last responses are left to be read by slow clients: connections that drain are left their time.
-const LAST_RESPONSES: Micros = DRAIN + HOUSEKEEPING_INTERVAL;
+const LAST_RESPONSES: Micros = DRAIN_TIMEOUT + HOUSEKEEPING_INTERVAL;
 
 /// How far the shutdown has come.
 #[derive(Default)]
--- a/crates/proxy/src/proxy/snapshot.rs
+++ b/crates/proxy/src/proxy/snapshot.rs
@@ -29,7 +29,7 @@
         let Some(peers) = &mut self.fleet.peers else {
             return;
         };
-        let restored = peers.share(|replica, acts| {
+        let restored = peers.with_replica(|replica, acts| {
             let restored = replica.restore(now, &bytes);
             replica.recall(acts);
             restored
--- a/crates/proxy/src/proxy/tests.rs
+++ b/crates/proxy/src/proxy/tests.rs
@@ -70,7 +70,7 @@
 
 /// A proxy in this process, with one cache, one client and a publisher.
 struct TestBed {
-    events: EventLoop<'static, Gathered>,
+    events: EventLoop<'static, ReadyEvents>,
     proxy: Proxy,
     publisher: TestPublisher,
     cache: Cache,
@@ -111,7 +111,7 @@
     }
 
     /// What a round does with what is ready, with the process stopped for so long before the router is asked.
-    fn run_round(&mut self, mut gathered: Gathered, stopped: Micros) {
+    fn run_round(&mut self, mut gathered: ReadyEvents, stopped: Micros) {
         let now = self.proxy.clock.now();
         self.proxy.handle_ready(&mut gathered, now);
         self.proxy.clock.skip(stopped);
--- a/crates/proxy/src/proxy/timers.rs
+++ b/crates/proxy/src/proxy/timers.rs
@@ -4,7 +4,7 @@
 //! that have ended are dropped once they come first, as each would wake the loop for nothing.
 
 use super::request_table::AttemptHandle;
-use crate::net::caches::Caches;
+use crate::net::endpoints::EndpointConnections;
 use meadowrill_routing::interface::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -49,12 +49,12 @@
     }
 
     /// The moment of the next timer.
-    pub(super) fn next_due(&mut self, caches: &Caches) -> Option<Micros> {
+    pub(super) fn next_due(&mut self, connections: &EndpointConnections) -> Option<Micros> {
         loop {
             let Reverse((at, timer)) = *self.queue.peek()?;
             match timer {
                 Timer::AttemptTimeout(attempt) | Timer::ConnectTimeout(attempt)
-                    if !caches.out(attempt.connection, attempt.serial) =>
+                    if !connections.is_in_flight(attempt.connection, attempt.serial) =>
                 {
                     self.queue.pop();
                 }
