--- /dev/null
+++ b/crates/membership/tests/recorded/trace.rs
@@ -0,0 +1,129 @@
+//! The text form of what a view reports, a hash that is the same everywhere, and the comparison with a recording.
+
+use meadowrill_membership::view::{Change, ClaimSource, View};
+use std::fmt::Write;
+use std::path::PathBuf;
+
+/// FNV-1a, chained over several pieces.
+pub(crate) fn hash(start: u64, bytes: &[u8]) -> u64 {
+    bytes.iter().fold(start, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
+}
+
+pub(crate) fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+pub(crate) fn change(change: &Change) -> String {
+    match change {
+        Change::MemberChanged {
+            name,
+            from,
+            to,
+            start,
+            incarnation,
+            source: why,
+            accuser: by,
+        } => {
+            let source = match why {
+                ClaimSource::MemberItself => "itself",
+                ClaimSource::OwnProbe => "probe",
+                ClaimSource::Rumor => "rumor",
+                ClaimSource::AntiEntropy => "exchange",
+            };
+            let from = from.map_or("unknown", |state| state.name());
+            let to = to.name();
+            format!("member {name} {from} {to} {start} {incarnation} {source} {by}")
+        }
+        Change::BodyReplaced { name } => format!("body {name}"),
+        Change::Forgotten { name } => format!("forgotten {name}"),
+        Change::Refuted { accuser: by } => format!("refuted {by}"),
+        Change::ProcessPaused { duration: span } => format!("paused {span}"),
+        Change::Joined => "joined".to_string(),
+        Change::StartAdvanced { start } => format!("start {start}"),
+        Change::Withdrawn { other_address: to } => format!("withdrew {to}"),
+        Change::DepartureCompleted {
+            confirmations: confirmed,
+        } => format!("left {confirmed}"),
+    }
+}
+
+/// What a view has counted.
+pub(crate) fn counts(view: &View) -> String {
+    let counts = &view.counters;
+    let numbers = [
+        counts.probes,
+        counts.failed_probes,
+        counts.suspicions,
+        counts.refutations,
+        counts.deaths_declared,
+        counts.datagrams_sent,
+        counts.chunks_sent,
+        counts.bytes_sent,
+        counts.messages_received,
+        counts.bytes_received,
+        counts.deferred,
+    ];
+    let mut text = format!("counts {numbers:?}");
+    for (reason, count) in &counts.dropped {
+        write!(text, " dropped {} {count}", reason.name()).expect("a string takes all");
+    }
+    for (kind, bytes) in &counts.bytes_sent_by_kind {
+        write!(text, " spent {kind} {bytes}").expect("a string takes all");
+    }
+    text
+}
+
+/// What a view holds and has counted.
+pub(crate) fn end(view: &View) -> String {
+    let mut text = format!(
+        "{} {:016x} here {} updates {} settled {:?} joined {} health {} withdrawn {} left {} next {} {}",
+        view.name(),
+        view.digest(),
+        view.present_count(),
+        view.body_updates(),
+        view.settled_since(),
+        view.has_joined(),
+        view.health_score(),
+        view.is_withdrawn(),
+        view.has_left(),
+        view.next_timeout(),
+        counts(view),
+    );
+    for (name, member) in view.members() {
+        let accusers = member
+            .suspicion
+            .as_ref()
+            .map(|suspicion| &suspicion.accusers);
+        let claim = member.claim;
+        write!(
+            text,
+            " member {name} {} {} {} since {} rev {} by {:?} accusers {accusers:?} trip {:?}",
+            claim.state.name(),
+            claim.start,
+            claim.incarnation,
+            member.state_since,
+            member.revision,
+            member.declared_dead_by,
+            member.round_trip,
+        )
+        .expect("a string takes all");
+    }
+    text
+}
+
+/// Compares a trace with its recording, byte for byte; names the first line that differs.
+pub(crate) fn assert_recorded(name: &str, trace: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recordings");
+    let path = path.join(format!("{name}.trace"));
+    if std::env::var_os("RECORD_TRACES").is_some() {
+        std::fs::write(&path, trace).expect("the recording is written");
+        return;
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    for (number, (was, is)) in recorded.lines().zip(trace.lines()).enumerate() {
+        assert_eq!(was, is, "{name}: line {} differs", number + 1);
+    }
+    assert!(recorded == trace, "{name}: the length differs");
+}
--- a/crates/proxy/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -2,7 +2,7 @@
 //! kernel has no room is counted and dropped.
 
 use super::{Key, Poll};
-use meadowrill_membership::wire::MOST as MAX_DATAGRAM;
+use meadowrill_membership::wire::MAX_DATAGRAM_LENGTH as MAX_DATAGRAM;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -6,7 +6,7 @@
 use super::buffered_stream::BufferLimits;
 use super::{BufferedStream, Key, Poll};
 use calloop::Readiness;
-use meadowrill_membership::wire::CHUNK_MOST as MAX_MESSAGE;
+use meadowrill_membership::wire::MAX_CHUNK_LENGTH as MAX_MESSAGE;
 use meadowrill_routing::interface::Micros;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
--- a/crates/proxy/src/proxy/effect_claims.rs
+++ b/crates/proxy/src/proxy/effect_claims.rs
@@ -7,7 +7,7 @@
 use super::request_table::ClaimState;
 use super::response::Response;
 use super::Proxy;
-use meadowrill_replication::ledger::{End, Terms, Word};
+use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
 use meadowrill_routing::interface::Micros;
 use slog::debug;
 
@@ -23,17 +23,18 @@
             return false;
         };
         let key = [key.as_bytes(), b" ", class.name.as_bytes()].concat();
-        let terms = Terms {
-            expires: request.deadline,
-            budget: class.admission.latency_budget,
-            window: class.deduplication_window,
+        let terms = RequestTerms {
+            deadline: request.deadline,
+            latency_budget: class.admission.latency_budget,
+            dedup_window: class.deduplication_window,
         };
         let Some(peers) = &mut self.fleet.peers else {
             return false;
         };
         let token = u64::from(id);
-        let claimed =
-            peers.with_replica(|replica, acts| replica.ask(now, token, &key, terms, acts));
+        let claimed = peers.with_replica(|replica, actions| {
+            replica.begin_request(now, token, &key, terms, actions)
+        });
         if claimed != Some(true) {
             return false;
         }
@@ -43,12 +44,12 @@
     }
 
     /// The ledger has decided on a claim.
-    pub(super) fn apply_claim_decision(&mut self, decision: Word, now: Micros) {
+    pub(super) fn apply_claim_decision(&mut self, decision: Decision, now: Micros) {
         let id = match &decision {
-            Word::Go { token, .. }
-            | Word::Answer { token, .. }
-            | Word::Fail { token }
-            | Word::Refuse { token, .. } => *token as u32,
+            Decision::Admit { token, .. }
+            | Decision::Replay { token, .. }
+            | Decision::Fail { token }
+            | Decision::Reject { token, .. } => *token as u32,
         };
         let request = self.requests.get_mut(id);
         let Some(request) = request.filter(|request| request.awaits_response) else {
@@ -58,20 +59,24 @@
             "decision" => ?decision);
         request.claim = ClaimState::None;
         match decision {
-            Word::Go { until, again, .. } => {
+            Decision::Admit {
+                send_until,
+                earlier_may_have_run,
+                ..
+            } => {
                 request.claim = ClaimState::Granted {
-                    earlier_may_have_run: again,
+                    earlier_may_have_run,
                 };
-                request.deadline = request.deadline.min(until);
+                request.deadline = request.deadline.min(send_until);
                 self.queue_for_router(id);
             }
-            Word::Answer { current, body, .. } => {
+            Decision::Replay { current, body, .. } => {
                 let body = &body;
                 self.respond(id, &Response::Success { current, body }, now);
             }
-            Word::Fail { .. } => self.respond(id, &Response::Failed, now),
-            Word::Refuse { come_back, .. } => {
-                let retry_after = come_back.min(self.config.max_retry_after);
+            Decision::Fail { .. } => self.respond(id, &Response::Failed, now),
+            Decision::Reject { retry_after, .. } => {
+                let retry_after = retry_after.min(self.config.max_retry_after);
                 self.reject_request(id, retry_after, now);
             }
         }
@@ -85,10 +90,10 @@
         };
         let claim = std::mem::replace(&mut request.claim, ClaimState::None);
         let token = u64::from(id);
-        let end = match (result, request.may_have_run()) {
-            (Some((current, body)), _) => End::Ran { current, body },
-            (None, true) => End::MayHaveRun,
-            (None, false) => End::NotRun,
+        let outcome = match (result, request.may_have_run()) {
+            (Some((current, body)), _) => RequestOutcome::Ran { current, body },
+            (None, true) => RequestOutcome::MayHaveRun,
+            (None, false) => RequestOutcome::NotRun,
         };
         let Some(peers) = &mut self.fleet.peers else {
             return;
@@ -96,10 +101,12 @@
         match claim {
             ClaimState::None => return,
             ClaimState::Pending => {
-                peers.with_replica(|replica, acts| replica.left(now, token, acts));
+                peers.with_replica(|replica, actions| replica.cancel_request(now, token, actions));
             }
             ClaimState::Granted { .. } => {
-                peers.with_replica(|replica, acts| replica.end(now, token, end, acts));
+                peers.with_replica(|replica, actions| {
+                    replica.finish_request(now, token, outcome, actions)
+                });
             }
         }
         self.with_fleet(now, |peers, poll| peers.dispatch(now, poll));
--- a/crates/proxy/src/proxy/membership.rs
+++ b/crates/proxy/src/proxy/membership.rs
@@ -7,7 +7,7 @@
 use crate::net::subscription::Subscription;
 use crate::net::Poll;
 use meadowrill_event_distribution::subscriber::FreshnessBound;
-use meadowrill_membership::claim::State;
+use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::view::Change;
 use meadowrill_replication::replica::Replica;
 use meadowrill_routing::interface::Micros;
@@ -99,30 +99,32 @@
 /// Texts and fields are matched by the checks of `crates/fault-injection`.
 fn log_change(log: &Logger, change: Change) {
     match change {
-        Change::Member {
+        Change::MemberChanged {
             name,
             from,
             to,
             start,
             incarnation,
-            why,
-            by,
+            source,
+            accuser,
         } => {
-            let from = from.map_or("unknown", State::name);
-            info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => ?why, "by" => by,
+            let from = from.map_or("unknown", MemberState::name);
+            info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => source.name(), "by" => accuser,
                 "start" => start, "incarnation" => incarnation);
         }
-        Change::Values { name } => info!(log, "member says more of itself"; "who" => name),
+        Change::BodyReplaced { name } => info!(log, "member says more of itself"; "who" => name),
         Change::Forgotten { name } => info!(log, "member forgotten"; "who" => name),
-        Change::Refuted { by } => warn!(log, "was held to fail, spoke up"; "by" => by),
-        Change::WasAway { span } => warn!(log, "was away"; "us" => span),
+        Change::Refuted { accuser } => warn!(log, "was held to fail, spoke up"; "by" => accuser),
+        Change::ProcessPaused { duration } => warn!(log, "was away"; "us" => duration),
         Change::Joined => info!(log, "joined the fleet"),
-        Change::Passed { start } => {
+        Change::StartAdvanced { start } => {
             warn!(log, "went past another start of its name"; "start" => start)
         }
-        Change::GaveWay { to } => {
-            error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => to);
+        Change::Withdrawn { other_address } => {
+            error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => other_address);
+        }
+        Change::DepartureCompleted { confirmations } => {
+            info!(log, "left the fleet"; "confirmed" => confirmations)
         }
-        Change::Gone { confirmed } => info!(log, "left the fleet"; "confirmed" => confirmed),
     }
 }
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -3,18 +3,13 @@
 
 use super::Proxy;
 use crate::net::discovery::EndpointRecord;
-use meadowrill_replication::kinds;
-use meadowrill_replication::replica::{sight_of_machine, thing, Act, Thing, Told};
+use meadowrill_replication::records::{self, EndpointPhase};
+use meadowrill_replication::replica::{endpoint_subject, Action, LogEvent, Subject};
 use meadowrill_routing::interface::{
     AttemptEnd, AttemptOutcome, EndpointStatus, EndpointUpdate, Event, Micros,
 };
 use slog::{info, warn};
 
-/// The phase of an endpoint, as the shared record of it counts.
-const PHASE_READY: u8 = 0;
-const PHASE_DRAINING: u8 = 1;
-const PHASE_REMOVED: u8 = 2;
-
 impl Proxy {
     /// Carries out what the replica asks for.
     pub(super) fn perform_replica_effects(&mut self, now: Micros) {
@@ -22,7 +17,7 @@
             return;
         };
         let lags = peers
-            .with_replica(|replica, _| std::mem::take(&mut replica.counts.lags))
+            .with_replica(|replica, _| std::mem::take(&mut replica.counts.record_ages))
             .unwrap_or_default();
         for (kind, lag) in lags {
             self.metrics
@@ -30,8 +25,8 @@
         }
         for effect in peers.take_replica_acts() {
             match effect {
-                Act::Word(decision) => self.apply_claim_decision(decision, now),
-                Act::Purged {
+                Action::Decision(decision) => self.apply_claim_decision(decision, now),
+                Action::Purge {
                     object,
                     group,
                     stamp,
@@ -40,56 +35,61 @@
                     self.routing
                         .queue(Event::Invalidated { object, group, age });
                 }
-                Act::Machine {
+                Action::UpdateEndpoint {
                     id,
-                    start,
+                    started_at,
                     phase,
-                    machine,
-                } => self.apply_shared_endpoint(&id, start, phase, &machine),
-                Act::Learned { what } => self.adopt_observation(&what),
-                Act::Tell(notice) => self.handle_replica_notice(notice),
+                    endpoint,
+                } => self.apply_shared_endpoint(&id, started_at, phase, &endpoint),
+                Action::UseObservations { subject } => self.adopt_observation(&subject),
+                Action::Log(event) => self.handle_replica_event(event),
                 // These have gone to other proxies already.
-                Act::Send { .. } | Act::Stream { .. } => {}
+                Action::SendDatagram { .. } | Action::SendStream { .. } => {}
             }
         }
     }
 
-    fn handle_replica_notice(&mut self, notice: Told) {
+    fn handle_replica_event(&mut self, event: LogEvent) {
         let log = &self.log;
-        match notice {
-            Told::Ready { caught_up, took } => {
-                info!(log, "ready"; "caught_up" => caught_up, "took_us" => took);
+        match event {
+            LogEvent::Ready { caught_up, elapsed } => {
+                info!(log, "ready"; "caught_up" => caught_up, "took_us" => elapsed);
                 let clients = &mut self.downstream.clients;
                 clients.ready = !self.shutdown.begun;
                 clients.caught_up = Some(caught_up);
             }
-            Told::CaughtUp { records, took } => {
-                info!(log, "caught up"; "records" => records, "took_us" => took);
+            LogEvent::CaughtUp { records, elapsed } => {
+                info!(log, "caught up"; "records" => records, "took_us" => elapsed);
                 let replica = self.fleet.replica();
-                let all = replica.map(|replica| replica.learned()).unwrap_or_default();
-                all.iter().for_each(|what| self.adopt_observation(what));
+                let all = replica
+                    .map(|replica| replica.observed_subjects())
+                    .unwrap_or_default();
+                all.iter()
+                    .for_each(|subject| self.adopt_observation(subject));
             }
-            Told::Donor { former, next } => {
+            LogEvent::DonorReplaced { former, next } => {
                 warn!(log, "nothing from a donor"; "who" => former, "next" => next);
             }
-            Told::Vouches { took } => info!(log, "vouches for effects"; "took_us" => took),
+            LogEvent::VotingStarted { elapsed } => {
+                info!(log, "vouches for effects"; "took_us" => elapsed)
+            }
         }
     }
 
     /// Hands the router what others have observed of an object or an endpoint.
-    fn adopt_observation(&mut self, what: &[u8]) {
+    fn adopt_observation(&mut self, subject: &[u8]) {
         let replica = self.fleet.replica();
-        let Some(observation) = replica.and_then(|replica| replica.opinion(what)) else {
+        let Some(estimate) = replica.and_then(|replica| replica.shared_estimate(subject)) else {
             return;
         };
-        match (thing(what), observation.numbers.as_slice()) {
-            (Some(Thing::Object(object)), [highest_part, ..]) => {
+        match (Subject::decode(subject), estimate.values.as_slice()) {
+            (Some(Subject::Object(object)), [highest_part, ..]) => {
                 self.routing.queue(Event::SharedLength {
                     object,
                     highest_part: *highest_part as u32,
                 });
             }
-            (Some(Thing::Machine(id)), [failure_rate, first_byte, ..]) => {
+            (Some(Subject::Endpoint(id)), [failure_rate, first_byte, ..]) => {
                 if let Some(endpoint) = self.endpoints.index(&id) {
                     let first_byte = (*first_byte >= 0.0).then_some(*first_byte as Micros);
                     self.routing.queue(Event::SharedEstimate {
@@ -106,7 +106,7 @@
     /// Hands the router what others have observed of an endpoint that has just come into the list.
     pub(super) fn adopt_shared_endpoint(&mut self, id: &str) {
         if self.fleet.shares_state() {
-            self.adopt_observation(&sight_of_machine(id));
+            self.adopt_observation(&endpoint_subject(id));
         }
     }
 
@@ -114,20 +114,20 @@
     fn apply_shared_endpoint(
         &mut self,
         id: &str,
-        start: Micros,
-        phase: u8,
-        machine: &kinds::Machine,
+        started_at: Micros,
+        phase: EndpointPhase,
+        info: &records::EndpointInfo,
     ) {
         let status = status_of_phase(phase);
         let record = EndpointRecord {
             id: id.to_string(),
-            address: machine.address.parse().ok(),
-            zone: machine.locality.clone(),
-            machine_kind: machine.flavor.clone(),
-            cell: machine.cell as u16,
+            address: info.address.parse().ok(),
+            zone: info.locality.clone(),
+            machine_kind: info.flavor.clone(),
+            cell: info.cell as u16,
             status,
-            weight: machine.size,
-            started_at: start,
+            weight: info.size,
+            started_at,
         };
         if record.address.is_none() && status != EndpointStatus::Removed {
             return;
@@ -146,7 +146,7 @@
         let Some(peers) = &mut self.fleet.peers else {
             return record;
         };
-        let machine = kinds::Machine {
+        let info = records::EndpointInfo {
             address: record.address.map_or(String::new(), |at| at.to_string()),
             locality: record.zone.clone(),
             flavor: record.machine_kind.clone(),
@@ -155,8 +155,8 @@
         };
         let phase = phase_of_status(record.status);
         peers.with_replica(|replica, _| {
-            replica.put_machine(now, &record.id, record.started_at, phase, &machine);
-            let shared = replica.standing(&record.id);
+            replica.publish_endpoint(now, &record.id, record.started_at, phase, &info);
+            let shared = replica.endpoint_phase(&record.id);
             if let Some((_, phase)) = shared.filter(|(start, _)| *start == record.started_at) {
                 record.status = status_of_phase(phase);
             }
@@ -174,7 +174,7 @@
     ) {
         let peers = self.fleet.peers.as_mut();
         if let Some(peers) = peers.filter(|peers| peers.subscription.is_none()) {
-            peers.with_replica(|replica, _| replica.put_purge(now, object, group, stamp));
+            peers.with_replica(|replica, _| replica.publish_purge(now, object, group, stamp));
         }
     }
 
@@ -185,8 +185,8 @@
         };
         let message = &request.message;
         peers.with_replica(|replica, _| {
-            replica.saw_part(now, message.object, message.part);
-            replica.used(message.tenant.as_deref().unwrap_or(""), message.size_kb);
+            replica.observe_part(now, message.object, message.part);
+            replica.record_usage(message.tenant.as_deref().unwrap_or(""), message.size_kb);
         });
     }
 
@@ -203,26 +203,26 @@
             end.outcome,
             AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
         );
-        peers.with_replica(|replica, _| replica.saw_end(endpoint, failed, None));
+        peers.with_replica(|replica, _| replica.observe_attempt(endpoint, failed, None));
         if let (Some(source), Some(time)) = (source, end.first_byte) {
             let source = self.endpoints.id(source);
-            peers.with_replica(|replica, _| replica.saw_end(source, false, Some(time)));
+            peers.with_replica(|replica, _| replica.observe_attempt(source, false, Some(time)));
         }
     }
 }
 
-fn status_of_phase(phase: u8) -> EndpointStatus {
+fn status_of_phase(phase: EndpointPhase) -> EndpointStatus {
     match phase {
-        PHASE_READY => EndpointStatus::Ready,
-        PHASE_DRAINING => EndpointStatus::Draining,
-        _ => EndpointStatus::Removed,
+        EndpointPhase::Ready => EndpointStatus::Ready,
+        EndpointPhase::Draining => EndpointStatus::Draining,
+        EndpointPhase::Removed => EndpointStatus::Removed,
     }
 }
 
-fn phase_of_status(status: EndpointStatus) -> u8 {
+fn phase_of_status(status: EndpointStatus) -> EndpointPhase {
     match status {
-        EndpointStatus::Ready => PHASE_READY,
-        EndpointStatus::Draining => PHASE_DRAINING,
-        EndpointStatus::Removed => PHASE_REMOVED,
+        EndpointStatus::Ready => EndpointPhase::Ready,
+        EndpointStatus::Draining => EndpointPhase::Draining,
+        EndpointStatus::Removed => EndpointPhase::Removed,
     }
 }
--- a/crates/proxy/src/proxy/snapshot.rs
+++ b/crates/proxy/src/proxy/snapshot.rs
@@ -3,6 +3,7 @@
 //! A snapshot is written aside and moved into place, by a thread of its own: packing and the disk take their time.
 
 use super::Proxy;
+use meadowrill_replication::snapshot::Restored;
 use meadowrill_routing::interface::Micros;
 use slog::{info, warn};
 use std::fs::File;
@@ -29,17 +30,17 @@
         let Some(peers) = &mut self.fleet.peers else {
             return;
         };
-        let restored = peers.with_replica(|replica, acts| {
+        let restored = peers.with_replica(|replica, actions| {
             let restored = replica.restore(now, &bytes);
-            replica.recall(acts);
+            replica.replay_updates(actions);
             restored
         });
         match restored {
-            Some(Ok((records, age))) => {
+            Some(Ok(Restored { records, age })) => {
                 info!(self.log, "snapshot restored"; "records" => records, "age_us" => age);
             }
             Some(Err(fault)) => {
-                warn!(self.log, "snapshot rejected"; "reason" => fault.name());
+                warn!(self.log, "snapshot rejected"; "reason" => fault.reason());
             }
             None => {}
         }
--- a/crates/settings/src/events.rs
+++ b/crates/settings/src/events.rs
@@ -50,7 +50,7 @@
         .iter()
         .map(|relay| relay_address(relay, text))
         .collect::<Result<Vec<_>, _>>()?;
-    let usual = DistributionSettings::new(members.number(), relays);
+    let usual = DistributionSettings::new(members.fleet_id(), relays);
     let span = |key: &str, unit: Micros, usual: Micros| {
         node.count(key).map_or(usual, |n| n as Micros * unit)
     };
