--- /dev/null
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -0,0 +1,138 @@
+//! What discovery tells: the list of endpoints, and invalidations.
+
+use super::Proxy;
+use crate::net::discovery::{self, log_event, DiscoveryClient, EndpointRecord, Notice, Update};
+use crate::net::Poll;
+use meadowrill_routing::host::stable_id;
+use meadowrill_routing::interface::{EndpointEntry, EndpointStatus, EndpointUpdate, Event, Micros};
+use slog::info;
+
+/// The connection to the discovery service.
+pub(super) struct Discovery {
+    pub(super) client: DiscoveryClient,
+    /// Since when the service may have kept something back, as the router knows it; none while it is up to date.
+    pub(super) lag_since: Option<Micros>,
+}
+
+impl Proxy {
+    /// Takes in the list that the configuration holds, before the first request.
+    pub(super) fn apply_initial_list(&mut self, now: Micros) {
+        let initial = std::mem::take(&mut self.config.initial_list);
+        for entry in initial["entries"].as_array().into_iter().flatten() {
+            if let Some(notice) = discovery::known_entry(entry) {
+                self.apply_notice(notice, now);
+            }
+        }
+    }
+
+    /// Takes one step with the discovery service, and applies what it told.
+    pub(super) fn with_discovery(
+        &mut self,
+        now: Micros,
+        step: impl FnOnce(&mut DiscoveryClient, &mut Poll, &mut Vec<Notice>),
+    ) {
+        let mut notices = Vec::new();
+        step(&mut self.discovery.client, &mut self.poll, &mut notices);
+        let any = !notices.is_empty();
+        for notice in notices {
+            self.apply_notice(notice, now);
+        }
+        self.update_discovery_lag();
+        if any {
+            // What is new to the other proxies goes to them at once.
+            self.with_fleet(now, |_, _| {});
+        }
+    }
+
+    /// Tells the router of a lag, behind the updates: until they are applied what may have been kept back holds. Where
+    /// invalidations come from relays, the lease on their subscription stands for them.
+    fn update_discovery_lag(&mut self) {
+        let lag = self.discovery.client.lag_since();
+        let since = lag.filter(|_| !self.fleet.subscribes());
+        if since != std::mem::replace(&mut self.discovery.lag_since, since) {
+            self.routing.queue(Event::DiscoveryLag { since });
+        }
+    }
+
+    fn apply_notice(&mut self, notice: Notice, now: Micros) {
+        match notice {
+            Notice::Event(event) => log_event(&self.log, &event),
+            Notice::Update(Update::Invalidation {
+                object,
+                group,
+                issued_at,
+            }) => {
+                self.share_purge(object, group, issued_at, now);
+                self.routing.queue(Event::Invalidated {
+                    object,
+                    group,
+                    age: now - issued_at,
+                });
+            }
+            Notice::Update(Update::Endpoints {
+                complete,
+                endpoints,
+            }) => {
+                self.update_endpoints(complete, endpoints, now);
+            }
+        }
+    }
+
+    /// The list has changed, or was told as a whole.
+    fn update_endpoints(&mut self, complete: bool, records: Vec<EndpointRecord>, now: Micros) {
+        info!(self.log, "endpoint list updated"; "complete" => complete, "endpoints" => records.len());
+        let records: Vec<EndpointRecord> = records
+            .into_iter()
+            .map(|record| self.share_endpoint(record, now))
+            .collect();
+        let ids: Vec<String> = records.iter().map(|record| record.id.clone()).collect();
+        let entries = records
+            .into_iter()
+            .map(|record| self.update_endpoint(record))
+            .collect();
+        let update = if complete {
+            EndpointUpdate::Snapshot(entries)
+        } else {
+            EndpointUpdate::Delta(entries)
+        };
+        self.routing.queue(Event::EndpointsUpdated(update));
+        for id in &ids {
+            self.adopt_shared_endpoint(id);
+        }
+    }
+
+    /// Notes the address of an endpoint, and words its entry for the router.
+    pub(super) fn update_endpoint(&mut self, record: EndpointRecord) -> EndpointEntry {
+        let endpoint = self.endpoints.get_or_insert(&record.id);
+        if let Some(address) = record.address {
+            self.endpoints.set_address(endpoint, address);
+        }
+        if record.status != EndpointStatus::Ready {
+            self.upstream.connections.close_idle(endpoint, &self.poll);
+        }
+        let stable = stable_id(&record.id);
+        let address = self.endpoints.address(endpoint);
+        // The router's lines name endpoints by their stable ids; here they can be looked up.
+        info!(self.log, "endpoint updated"; "status" => ?record.status,
+            "address" => address.map(|address| address.host.as_str()), "id" => &record.id, "type" => &record.machine_kind,
+            "zone" => &record.zone, "stable_id" => format!("{stable:012x}"));
+        EndpointEntry {
+            endpoint,
+            stable_id: stable,
+            machine_kind: name_index(&self.config.endpoint_types, &record.machine_kind),
+            started_at: record.started_at,
+            zone: name_index(&self.config.zones, &record.zone),
+            cell: record.cell,
+            weight: record.weight,
+            status: record.status,
+        }
+    }
+}
+
+/// The index of a name among those of the settings; for any other the highest, which none of them has.
+fn name_index(names: &[String], name: &str) -> u8 {
+    let index = names.iter().position(|known| known == name);
+    index
+        .and_then(|index| u8::try_from(index).ok())
+        .unwrap_or(u8::MAX)
+}
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -12,7 +12,8 @@
 use self::progress::Progress;
 use self::settings::RelaySettings;
 use crate::clock::Clock;
-use crate::config::Shown;
+use crate::config::LogLevel;
+use crate::error::Error;
 use crate::logging::Log;
 use crate::net::datagrams::Datagrams;
 use crate::net::discovery::{log_event, DiscoveryClient, Notice, Update};
@@ -36,10 +37,10 @@
 const SOCKET_BUFFER: usize = 4 << 20;
 
 /// Runs a relay until a signal to end.
-pub(crate) fn start(path: &Path) -> Result<(), String> {
-    let settings = RelaySettings::load(path).map_err(|faulty| faulty.to_string())?;
+pub(crate) fn start(path: &Path) -> Result<(), Error> {
+    let settings = RelaySettings::load(path)?;
     let mut events = crate::event_loop()?;
-    let level = Shown::new(slog::Level::Info);
+    let level = LogLevel::new(slog::Level::Info);
     let logging = Log::start(
         settings.own.log,
         level,
@@ -51,7 +52,7 @@
         Relay::new(settings, &events, log.clone()).and_then(|mut relay| relay.run(&mut events));
     let ended = ended.map_err(|e| {
         crit!(log, "ended"; "error" => %e);
-        e.to_string()
+        Error::Io(e)
     });
     logging.end();
     ended
@@ -301,8 +302,8 @@
     fn reload(&mut self) {
         match self.settings.read_again() {
             Err(faulty) => {
-                error!(self.log, "new settings rejected, keeping the current ones"; "key" => &faulty.key,
-                "reason" => &faulty.what)
+                error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
+                "what" => &faulty.problem)
             }
             Ok(fresh) => {
                 info!(self.log, "settings reloaded");
--- a/crates/proxy/src/report/availability.rs
+++ b/crates/proxy/src/report/availability.rs
@@ -1,7 +1,7 @@
 //! What operators are told of this proxy's own service: whether it serves nobody, and since when.
 
 use super::collector::flag;
-use crate::front::availability::Availability;
+use crate::proxy::availability::Availability;
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::gauge::ConstGauge;
