--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -302,8 +302,8 @@
     fn reload(&mut self) {
         match self.settings.read_again() {
             Err(faulty) => {
-                error!(self.log, "settings refused, the former go on"; "key" => &faulty.key,
-                "what" => &faulty.problem)
+                error!(self.log, "new settings rejected, keeping the current ones"; "key" => &faulty.key,
+                "reason" => &faulty.problem)
             }
             Ok(fresh) => {
                 info!(self.log, "settings reloaded");
