--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -1,7 +1,7 @@
 //! The cost of a request: how long it occupies a permit of the concurrency limit, and its bytes.
 //!
 //! Expected costs are learned by class; actual costs are taken when a request has ended. Invariant: no cost is below
-//! [`MIN_COST`], and bytes at most double it.
+//! `MIN_COST`, and bytes at most double it.
 
 use meadowrill_routing::interface::Micros;
 
--- a/crates/admission/src/cost/tests.rs
+++ b/crates/admission/src/cost/tests.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn what_is_large_and_told_so_costs_more_but_within_bounds() {
+fn larger_declared_sizes_cost_more_within_bounds() {
     let mut costs = CostModel::new(&[CLASS], 10);
     assert_eq!(costs.expected(0, 9.0), 50_000.0);
     (0..200).for_each(|_| costs.record(0, 20_000, 100.0));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_latest_start_leaves_time_to_be_answered() {
+fn the_latest_start_leaves_time_for_the_answer() {
     let mut costs = CostModel::new(&[CLASS], 0);
     (0..200).for_each(|_| costs.record(0, 100_000, 0.0));
     assert_eq!(costs.latest_start(0, 0, 3_000_000), 400_000);
--- a/crates/admission/src/heavy_hitters/tests.rs
+++ b/crates/admission/src/heavy_hitters/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_loud_one_is_found_among_a_hundred_thousand_names() {
+fn a_heavy_hitter_is_found_among_a_hundred_thousand_keys() {
     let mut hitters = HeavyHitters::new(0);
     for n in 0..100_000u64 {
         hitters.record(0, 1_000_000 + n);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn who_falls_silent_is_forgotten() {
+fn counts_of_silent_keys_decay() {
     let mut hitters = HeavyHitters::new(0);
     assert_eq!((0..1000).map(|_| hitters.record(0, 7)).last(), Some(1000));
     hitters.record(HALVING_INTERVAL * 40, 8);
--- a/crates/admission/src/identity/tests.rs
+++ b/crates/admission/src/identity/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_longest_network_wins_and_a_known_field_before_it() {
+fn the_longest_matching_network_wins_unless_a_known_field_value_names_the_tenant() {
     let tenants = vec![
         Tenant::default(),
         tenant("wide", &["10.0.0.0/8", "2001:db8::/32"], &["w"]),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_client_is_what_the_plan_says() {
+fn clients_are_identified_by_the_configured_key() {
     let origin = |connection, client_field| RequestOrigin {
         address: "10.0.0.1".parse().unwrap(),
         connection,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub(crate) u32);
 
-/// The immediate answer to a [`LookupRequest`].
+/// The immediate answer to a [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// It is in flight now.
--- a/crates/admission/src/reservations/tests.rs
+++ b/crates/admission/src/reservations/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn who_returns_then_has_a_turn_and_who_returns_early_has_not() {
+fn a_reservation_is_redeemed_when_due_and_not_before() {
     let mut calendar = ReservationCalendar::new(0);
     let one = identity(7, 1);
     assert!(calendar.reserve(&one, 3, 100_000) && calendar.reserve(&one, 3, 100_000));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_connection_that_was_told_goes_first_but_the_booking_is_the_clients() {
+fn the_connection_with_the_reservation_goes_first_but_it_belongs_to_the_client() {
     let mut calendar = ReservationCalendar::new(0);
     let (told, other, newer) = (identity(7, 1), identity(7, 2), identity(7, 3));
     calendar.redeem(0, &other);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_nobody_comes_for_lapses() {
+fn unredeemed_reservations_expire() {
     let mut calendar = ReservationCalendar::new(0);
     (0..500).for_each(|c| {
         assert!(calendar.reserve(&identity(c % 50, c % 7), 1, Micros::from(c as u32) * 1_000))
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn it_is_bounded_and_says_so() {
+fn the_calendar_is_bounded_and_counts_refusals() {
     let mut calendar = ReservationCalendar::new(0);
     let booked = (0..3 * CAPACITY as u64)
         .filter(|c| calendar.reserve(&identity(*c, 0), 0, 500_000))
--- a/crates/admission/src/timer_wheel/tests.rs
+++ b/crates/admission/src/timer_wheel/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn all_come_out_when_due_and_none_before() {
+fn timers_fire_when_due_and_not_before() {
     let mut wheel = TimerWheel::new(1000, 0);
     let times = [5_000, 100, 700_000, 1_500_000, 1_500_001, 5_000];
     times
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_a_year_costs_one_round() {
+fn a_clock_jump_of_a_year_costs_one_turn_of_the_wheel() {
     let mut wheel = TimerWheel::new(1000, 0);
     (0..100).for_each(|i| wheel.set(i, Micros::from(i) * 10_000));
     let year = 365 * 86_400 * 1_000_000;
--- a/crates/admission/src/token_buckets/tests.rs
+++ b/crates/admission/src/token_buckets/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_burst_passes_then_the_rate() {
+fn a_burst_passes_and_then_the_rate_limits() {
     let mut buckets = TokenBuckets::new(10.0, 3.0);
     let identity = ClientIdentity {
         tenant: 0,
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -2,7 +2,7 @@
 //! depend on it. FNV-1a over the text, finished by the mixer of SplitMix64.
 //!
 //! Each use has a salt of its own, so that the positions of one name differ between uses. Salts below
-//! [`FLEET_SALT`] are the numbers of observer rings.
+//! `FLEET_SALT` are the numbers of observer rings.
 
 /// Salt of the hash of the fleet's name.
 pub(crate) const FLEET_SALT: u64 = 98;
