--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -1,14 +1,14 @@
 //! An adaptive concurrency limit: how many requests may be in flight at once, so that the queue forms here and not in
 //! the caches.
 //!
-//! The queue estimate of TCP Vegas (Brakmo, O'Malley, Peterson, 1994), as services use it: answers from a cache's memory
-//! show how long a cache takes at low load (`baseline`) and now (`window`); the part of the concurrency that the
-//! difference accounts for is a queue in the caches. A short one keeps caches busy, a longer one only adds latency.
-//! Fills are left out: they wait for parents, the origin and links, which the routing crate limits itself.
+//! The queue estimate of TCP Vegas (Brakmo, O'Malley, Peterson, 1994), as services use it: answers from a cache's
+//! memory show how long a cache takes at low load (`baseline`) and now (`window`); the part of the concurrency that
+//! the difference accounts for is a queue in the caches. A short one keeps caches busy, a longer one only adds
+//! latency. Fills are left out: they wait for parents, the origin and links, which the routing crate limits itself.
 //!
-//! States: normal, where the limit follows the windows; and probing (`probe`), where concurrency is brought down to low
-//! load for a moment to measure the baselines. Invariants: the limit stays within its bounds; it moves only at the end of
-//! a window, and never during a probe; all that is in flight is bounded by twice the limit (`in_flight`).
+//! States: normal, where the limit follows the windows; and probing (`probe`), where concurrency is brought down to
+//! low load for a moment to measure the baselines. Invariants: the limit stays within its bounds; measurements
+//! move it only at the end of a window, and never during a probe; all that is in flight is bounded by twice the limit (`in_flight`).
 
 mod baseline;
 mod in_flight;
--- a/crates/admission/src/concurrency_limit/tests.rs
+++ b/crates/admission/src/concurrency_limit/tests.rs
@@ -76,7 +76,8 @@
     );
 }
 
-/// Where fills come first, a limit that waited for hits would stay at its first 32 and reject what the fleet could serve.
+/// Where fills come first, a limit that waited for hits would stay at its first 32 and reject what the fleet could
+/// serve.
 #[test]
 fn the_limit_grows_where_hits_are_too_few_to_estimate_a_queue() {
     let mut limiter = ConcurrencyLimiter::new(4, 4096, &[500_000], 0);
--- a/crates/admission/src/concurrency_limit/window.rs
+++ b/crates/admission/src/concurrency_limit/window.rs
@@ -1,6 +1,7 @@
 //! Measurement windows: sums over the hits of a short time, from which the queue in the caches is estimated.
 //!
-//! A window is open until it has enough samples and time, and sparse where it has the time for that but not the samples.
+//! A window is open until it has enough samples and time, and sparse where it has the time for that but not the
+//! samples.
 
 use super::baseline::ExpectedDuration;
 use meadowrill_routing::interface::Micros;
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -62,7 +62,7 @@
 }
 
 impl AdmissionController {
-    /// A controller with nothing admitted. `config` must have been checked.
+    /// A controller with nothing admitted. `config` must be valid.
     pub fn new(
         config: AdmissionConfig,
         classes: &[RequestClass],
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -1,8 +1,8 @@
 //! Admission of a new request: at once, to the queue, or not at all.
 //!
-//! The order of the checks: the host's limits, a part of which is reserved for redeemed reservations; then the discipline.
-//! With fair queueing a request is admitted at once only where nobody waits, and waits only where it can still be
-//! answered within its latency budget.
+//! The order of the checks: the host's limits, a part of which is reserved for redeemed reservations; then the
+//! discipline. With fair queueing a request is admitted at once only where nobody waits, and waits only where it can
+//! still be answered within its latency budget.
 
 use super::tracked_request::TrackedRequest;
 use super::AdmissionController;
--- a/crates/admission/src/controller/complete.rs
+++ b/crates/admission/src/controller/complete.rs
@@ -1,6 +1,7 @@
 //! The end of a request: its cost is settled, and the cost model and the concurrency limit learn from it.
 //!
-//! Invariant: a request ends once; its permit is free at once, or, if it failed early, when it would usually have ended.
+//! Invariant: a request ends once; its permit is free at once, or, if it failed early, when it would usually have
+//! ended.
 
 use super::tracked_request::TrackedRequest;
 use super::AdmissionController;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// The client of a request has disconnected. True where the request was not admitted yet: the routing crate has never
-    /// received it.
+    /// The client of a request has disconnected. True where the request was not admitted yet: the routing crate has
+    /// never received it.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket) -> bool {
         let now = self.advance(now);
         let Some(request) = self.requests.get(ticket.0).copied() else {
--- a/crates/admission/src/controller/reconfigure.rs
+++ b/crates/admission/src/controller/reconfigure.rs
@@ -12,15 +12,15 @@
 }
 
 impl AdmissionController {
-    /// Changes the configuration, which must have been checked. Requests that wait or are in flight stay; those of a
+    /// Changes the configuration, which must be valid. Requests that wait or are in flight stay; those of a
     /// tenant that no longer exists become the default tenant's. Reservations stay with their clients.
     pub fn reconfigure(&mut self, now: Micros, config: AdmissionConfig) {
         let now = self.advance(now);
         self.reconfigurations += 1;
         let former_tenants = std::mem::take(&mut self.config.tenants);
-        let new_place =
+        let new_index =
             |tenant: &Tenant| tenant_index(&config.tenants, &tenant.name).unwrap_or(0) as u16;
-        let moved: Vec<u16> = former_tenants.iter().map(new_place).collect();
+        let moved: Vec<u16> = former_tenants.iter().map(new_index).collect();
         self.counters = self.moved_counters(&former_tenants, &config.tenants);
         let waiting: Vec<u32> = std::iter::from_fn(|| self.queue.dequeue())
             .map(|dequeued| dequeued.item)
--- a/crates/admission/src/controller/reject.rs
+++ b/crates/admission/src/controller/reject.rs
@@ -1,7 +1,7 @@
 //! Rejections: when the client should return, and whether there is a reservation for that time.
 //!
-//! The time is when the client's own flow, at its share of the concurrency limit, will be done with all that waits and is
-//! reserved in it. Invariant: a reservation is made only for a time that the client is sent.
+//! The time is when the client's own flow, at its share of the concurrency limit, will be done with all that waits
+//! and is reserved in it. Invariant: a reservation is made only for a time that the client is sent.
 
 use super::AdmissionController;
 use crate::config::QueueDiscipline;
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -1,14 +1,14 @@
 //! Weighted fair queueing: start-time fair queueing (Goyal, Vin, Cheng, 1996) on three levels: tenants by weight, the
 //! clients of a tenant alike, and a client's classes of requests by their weights.
 //!
-//! Each level admits from the queue with the least start tag; the tag advances by the expected cost over the weight, and
-//! is corrected when the actual cost is known. Clients are assigned to queues in `classify`, by stochastic fairness
-//! queueing (McKenney, 1990) with queues of their own for the heaviest.
+//! Each level admits from the queue with the least start tag; the tag advances by the expected cost over the weight,
+//! and is corrected when the actual cost is known. Clients are assigned to queues in `classify`, by stochastic
+//! fairness queueing (McKenney, 1990) with queues of their own for the heaviest.
 //!
 //! Bound: while two tenants are both backlogged, the costs admitted of them, each over its weight, differ by no more
-//! than the largest cost of each over its weight, and what corrections were still open. See docs/turns.md. Invariants: a
-//! flow is in the backlog of its tenant exactly while anything waits in it; the start tag of a queue that becomes
-//! backlogged is at least the virtual time of its level, so nothing is saved up while idle.
+//! than the largest cost of each over its weight, and what corrections were still open. See docs/turns.md.
+//! Invariants: a flow is in the backlog of its tenant exactly while anything waits in it; the start tag of a queue
+//! that becomes backlogged is at least the virtual time of its level, so nothing is saved up while idle.
 
 mod accounting;
 mod backlog;
--- a/crates/admission/src/fair_queue/backlog.rs
+++ b/crates/admission/src/fair_queue/backlog.rs
@@ -1,7 +1,7 @@
 //! The linked lists of waiting items, and the counts that follow from them.
 //!
-//! Invariants: an item is in the list of one lane exactly while it waits; a flow is in the backlog of its tenant exactly
-//! while anything waits in it; the active weight and the active flows count what waits or is in flight.
+//! Invariants: an item is in the list of one lane exactly while it waits; a flow is in the backlog of its tenant
+//! exactly while anything waits in it; the active weight and the active flows count what waits or is in flight.
 
 use super::flow::{Flow, Item, TenantQueue};
 use super::FairQueue;
--- a/crates/admission/src/fair_queue/classify.rs
+++ b/crates/admission/src/fair_queue/classify.rs
@@ -1,5 +1,5 @@
-//! Assignment of clients to flows: the heaviest clients of a tenant get flows of their own, the others share hashed flows
-//! whose salt changes (stochastic fairness queueing; McKenney, 1990).
+//! Assignment of clients to flows: the heaviest clients of a tenant get flows of their own, the others share hashed
+//! flows whose salt changes (stochastic fairness queueing; McKenney, 1990).
 //!
 //! Invariants: all new requests of a client with a flow of its own go to that flow; a flow is given to another client
 //! only while it is idle.
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -1,8 +1,8 @@
-//! The heavy hitters among any number of keys, in a fixed number of counters: Space-Saving (Metwally, Agrawal, El Abbadi,
-//! "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005).
+//! The heavy hitters among any number of keys, in a fixed number of counters: Space-Saving (Metwally, Agrawal, El
+//! Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005).
 //!
-//! Invariants: a count is never too low, and too high by no more than `error`; a key with more than one in [`COUNTERS`] of
-//! all records has a counter.
+//! Invariants: a count is never too low, and too high by no more than `error`; a key with more than one in
+//! [`COUNTERS`] of all records has a counter.
 
 use meadowrill_routing::interface::Micros;
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,6 @@
-//! Admission control and fair queueing in front of the routing crate: which request is next, which one waits, and which
-//! one is rejected and until when (docs/turns.md). No I/O and no clock: the time is passed in, randomness comes from a seed.
+//! Admission control and fair queueing in front of the routing crate: which request is next, which one waits, and
+//! which one is rejected and until when (docs/turns.md). No I/O and no clock: the time is passed in, randomness comes
+//! from a seed.
 //!
 //! A host calls [`AdmissionController::admit`](controller::AdmissionController::admit) for each request that it reads,
 //! reports its end with `complete` or `cancel`, and carries out the events that `poll` returns.
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -118,8 +118,8 @@
     pub reason: RejectReason,
     /// Retry-After of the response; 0 where none may be sent.
     pub retry_after: Micros,
-    /// Whether there is a reservation for that time. Otherwise the time is the longest allowed: the true one lies beyond
-    /// it, or the calendar is full.
+    /// Whether there is a reservation for that time. Otherwise the time is the longest allowed: the true one lies
+    /// beyond it, or the calendar is full.
     pub reserved: bool,
 }
 
--- a/crates/admission/src/reservations.rs
+++ b/crates/admission/src/reservations.rs
@@ -1,10 +1,10 @@
-//! Reservations: a rejected client is sent a time to return, and that time is entered into a bounded calendar; a request
-//! that arrives then may wait whatever its queue looks like.
+//! Reservations: a rejected client is sent a time to return, and that time is entered into a bounded calendar; a
+//! request that arrives then may wait whatever its queue looks like.
 //!
 //! Reservations are counted by connection and time slot, so each operation costs the same however many a client has.
 //! They belong to the client, but the connection that was sent the time goes first: otherwise the client's other
-//! connections, which were sent nothing, would use them up. Invariants: the calendar is bounded; a reservation is redeemed
-//! or expires, once; none is redeemed before its slot.
+//! connections, which were sent nothing, would use them up. Invariants: the calendar is bounded; a reservation is
+//! redeemed or expires, once; none is redeemed before its slot.
 
 use crate::identity::ClientIdentity;
 use crate::slab::{Slab, NONE};
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,7 +1,7 @@
 //! A hashed timing wheel (Varghese, Lauck, 1987) over small indices. Setting, moving and cancelling a timer are O(1).
 //!
-//! Invariants: an index has at most one timer; a cancelled timer leaves nothing behind; each timer is in the list of the
-//! slot of its deadline.
+//! Invariants: an index has at most one timer; a cancelled timer leaves nothing behind; each timer is in the list of
+//! the slot of its deadline.
 
 use crate::slab::NONE;
 use meadowrill_routing::interface::Micros;
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -1,7 +1,7 @@
 //! Token buckets, one for each client: the usual rate limit, and the baseline that fair queueing is measured against.
 //!
-//! The generic cell rate algorithm (ITU-T I.371): a bucket is kept as the time at which it would be full. A client's rate
-//! is limited whether other clients send requests or not. The table is fixed: clients share a bucket by hash.
+//! The generic cell rate algorithm (ITU-T I.371): a bucket is kept as the time at which it would be full. A client's
+//! rate is limited whether other clients send requests or not. The table is fixed: clients share a bucket by hash.
 
 use crate::identity::ClientIdentity;
 use meadowrill_routing::interface::Micros;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of a view, by which two proxies find where their views differ without sending all that they know.
 //!
-//! A digest is a set hash: the XOR of the hashes of its entries, by bucket. Invariant: its value depends on the set alone,
-//! not on the order in which entries were added and removed.
+//! A digest is a set hash: the XOR of the hashes of its entries, by bucket. Invariant: its value depends on the set
+//! alone, not on the order in which entries were added and removed.
 
 use crate::claim::Claim;
 use crate::hash::{stable_hash, BUCKET_SALT, ENTRY_SALT};
@@ -44,8 +44,8 @@
         })
     }
 
-    /// The buckets, folded to 32 bits each. A difference that this hides is found by another pair of proxies, or after the
-    /// next change.
+    /// The buckets, folded to 32 bits each. A difference that this hides is found by another pair of proxies, or
+    /// after the next change.
     pub fn bucket_digests(&self) -> Vec<u32> {
         self.buckets
             .iter()
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,5 +1,6 @@
-//! The envelope of every message between proxies: a mark of two letters for its kind, a version, a checksum (CRC-32, as
-//! in IEEE 802.3), and a protobuf message, plain in a datagram and compressed (DEFLATE, RFC 1951) in a chunk of a stream.
+//! The envelope of every message between proxies: a mark of two letters for its kind, a version, a checksum (CRC-32,
+//! as in IEEE 802.3), and a protobuf message, plain in a datagram and compressed (DEFLATE, RFC 1951) in a chunk of a
+//! stream.
 //!
 //! Invariant: a message is decoded only behind a matching mark, version and checksum, and decompressed only up to a
 //! bound.
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,7 +1,8 @@
 //! Local health (Lifeguard): how far this proxy can trust its own observations, and whether its process was paused.
 //!
-//! Invariant: the score is within 0 and `MAX_SCORE`. It rises while probes fail in ways that point to this proxy itself,
-//! and falls with each response; timeouts grow with it, so an observer that is slow or cut off accuses fewer others.
+//! Invariant: the score is within 0 and `MAX_SCORE`. It rises while probes fail in ways that point to this proxy
+//! itself, and falls with each response; timeouts grow with it, so an observer that is slow or cut off accuses fewer
+//! others.
 
 use crate::Micros;
 
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,8 +1,8 @@
 //! Observer rings: which members probe which (Rapid, 2018).
 //!
-//! On each ring members are ordered by a hash of their names, and each observes its successor. Invariants: proxies with
-//! the same view agree on all observers; each member has as many observers as there are rings, as far as there are other
-//! members; one that joins or leaves changes only its neighbours.
+//! On each ring members are ordered by a hash of their names, and each observes its successor. Invariants: proxies
+//! with the same view agree on all observers; each member has as many observers as there are rings, as far as there
+//! are other members; one that joins or leaves changes only its neighbours.
 
 use crate::hash::stable_hash;
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
 
 /// Steps along one ring at most.
 const MAX_STEPS: usize = 8;
-/// Steps beyond the last unhealthy member: where one has died its neighbours may have died as well, and finding that out
-/// one after the other costs a period each.
+/// Steps beyond the last unhealthy member: where one has died its neighbours may have died as well, and finding that
+/// out one after the other costs a period each.
 const STEPS_BEYOND_UNHEALTHY: usize = 2;
 
 /// The members on all rings.
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The members that a member observes: each name once, never its own. Beyond an unhealthy member the next ones are observed as
-    /// well, so that no member is left without observers when most die at once.
+    /// The members that a member observes: each name once, never its own. Beyond an unhealthy member the next ones
+    /// are observed as well, so that no member is left without observers when most die at once.
     pub fn observed_by(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observed = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -1,10 +1,11 @@
 //! Anti-entropy: two proxies compare digests of their views and exchange what differs.
 //!
-//! One sends the digest of its whole view. Where the other's differs it replies with its bucket digests, the first with
-//! an inventory of the buckets that differ, and the other with requests for the records that it lacks and with those that
-//! it knows better. A proxy that knows far fewer members than the other is sent random records instead.
+//! One sends the digest of its whole view. Where the other's differs it replies with its bucket digests, the first
+//! with an inventory of the buckets that differ, and the other with requests for the records that it lacks and with
+//! those that it knows better. A proxy that knows far fewer members than the other is sent random records instead.
 //!
-//! No step keeps state: an exchange that is cut short by loss or by the send budget is made up for by a later one.
+//! No step keeps state of the exchange: an exchange that is cut short by loss or by the send budget is made up for by
+//! a later one.
 
 use super::recipients::Recipient;
 use super::transfer::MAX_DATAGRAM_RECORDS;
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Sends records of random members to a proxy that knows few. It learns of others from those, so that a few contacts
-    /// need not send the whole view to all that join.
+    /// Sends records of random members to a proxy that knows few. It learns of others from those, so that a few
+    /// contacts need not send the whole view to all that join.
     fn bootstrap(&mut self, to: Recipient, known: usize, actions: &mut Vec<Action>) {
         let count = if self.can_stream(to.address) {
             BOOTSTRAP_RECORDS.max(known)
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -1,7 +1,7 @@
 //! The send budget: a token bucket of bytes.
 //!
-//! Probes and their responses are sent whatever is left of it; rumors and anti-entropy exchanges wait for it. Invariant:
-//! what is available lies within the capacity, as credit or as debt.
+//! Probes and their responses are sent whatever is left of it; rumors and anti-entropy exchanges wait for it.
+//! Invariant: what is available lies within the capacity, as credit or as debt.
 
 use super::View;
 use crate::settings::SECOND;
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// More exchanges while this proxy joins or the membership changes. One that there is no budget to go on with would
-    /// be wasted, and take more of it from the next.
+    /// Whether to begin more exchanges, while this proxy joins or the membership changes. One that the budget does not
+    /// allow to complete would be wasted, and take budget from the next.
     fn wants_extra_exchange(&self) -> bool {
         let is_unsettled =
             self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.settings.probe_period;
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -102,8 +102,8 @@
         self.probe(report.name, actions);
     }
 
-    /// Whether a reported death of a present member is not accepted at once: the member responded to this proxy recently,
-    /// or the report is no rumor and this proxy has not suspected the member for long.
+    /// Whether a reported death of a present member is not accepted at once: the member responded to this proxy
+    /// recently, or the report is no rumor and this proxy has not suspected the member for long.
     fn is_death_doubtful(&self, member: &Member, report: ClaimReport) -> bool {
         let known = member.claim;
         if !report.claim.supersedes(&known)
--- a/crates/membership/src/view/name_conflict.rs
+++ b/crates/membership/src/view/name_conflict.rs
@@ -1,8 +1,8 @@
-//! Two processes of one name. Each takes a later start than the other's; the first that sees the other do so again knows
-//! that it is alive, and withdraws.
+//! Two processes of one name. Each takes a later start than the other's; the first that sees the other do so again
+//! knows that it is alive, and withdraws.
 //!
-//! Invariants: each other process is superseded at most once, and their number is bounded; a withdrawn proxy sends nothing
-//! more and never returns.
+//! Invariants: each other process is superseded at most once, and their number is bounded; a withdrawn proxy sends
+//! nothing more and never returns.
 
 use super::{Action, Change, View};
 use crate::claim::supersede_start;
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -1,6 +1,7 @@
 //! This proxy as a member of the fleet: its claim and the body that it publishes.
 //!
-//! Invariants: its claim and the revision of its body only grow; the digest holds both as they are until it leaves.
+//! Invariants: its claim and the revision of its body only grow; until it leaves, the digest has an entry of both as
+//! they are.
 
 use super::{MemberIdentity, View};
 use crate::claim::{Claim, MemberState};
@@ -22,19 +23,19 @@
 }
 
 impl OwnMember {
-    pub(super) fn new(me: MemberIdentity, plan: &FleetSettings, nonce: u64) -> OwnMember {
+    pub(super) fn new(identity: MemberIdentity, settings: &FleetSettings, nonce: u64) -> OwnMember {
         let body = Body {
-            address: plan.advertise.to_string(),
-            zone: plan.zone.clone(),
-            weight: plan.weight,
-            version: me.version,
+            address: settings.advertise.to_string(),
+            zone: settings.zone.clone(),
+            weight: settings.weight,
+            version: identity.version,
             nonce,
             values: Vec::new(),
         };
         OwnMember {
-            name: me.name,
+            name: identity.name,
             nonce,
-            claim: Claim::alive(me.start.max(1)),
+            claim: Claim::alive(identity.start.max(1)),
             revision: 0,
             body,
             encoded_body: Vec::new(),
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -1,8 +1,9 @@
 //! Probes of other members: a ping, after a while ping requests to some helpers, and at last a failure.
 //!
-//! States of a probe: direct until `indirect_at`, indirect until `deadline`, then failed. It ends earlier with an ack, from
-//! the target or relayed by a helper, or when this process was paused. Invariants: there is at most one open probe of a
-//! member; probes and relayed probes share one count of sequence numbers, so an ack belongs to one of them only.
+//! States of a probe: direct until `indirect_at`, indirect until `deadline`, then failed. It ends earlier with an
+//! ack, from the target or relayed by a helper, or when this process was paused. Invariants: there is at most one
+//! open probe of a member; probes and relayed probes share one count of sequence numbers, so an ack belongs to one of
+//! them only.
 
 use super::budget::ESSENTIAL_SHARE;
 use super::recipients::Recipient;
@@ -174,8 +175,8 @@
             let smooth = |former: f64| former + ROUND_TRIP_SMOOTHING * (sample - former);
             member.round_trip = Some(member.round_trip.map_or(sample, smooth));
         }
-        // This proxy withdraws its accusation. Other accusers learn from the member's refutation: the suspicion came with
-        // the probe.
+        // This proxy withdraws its accusation. Other accusers learn from the member's refutation: the suspicion came
+        // with the probe.
         if let Some(suspicion) = &mut member.suspicion {
             suspicion.accusers.remove(&self.own.name);
         }
--- a/crates/membership/src/view/receive.rs
+++ b/crates/membership/src/view/receive.rs
@@ -134,9 +134,9 @@
         })
     }
 
-    /// The reply carries what this proxy claims of such a sender, so that it can refute that; what it claims of others
-    /// does not count until then. A message that requests nothing gets a reply only after a refutation: two proxies that
-    /// consider each other dead would go on replying for ever.
+    /// The reply carries what this proxy claims of such a sender, so that it can refute that; what it claims of
+    /// others does not count until then. A message that requests nothing gets a reply only after a refutation: two
+    /// proxies that consider each other dead would go on replying for ever.
     fn reply_to_departed(
         &mut self,
         sender: Recipient,
--- a/crates/membership/src/view/recipients.rs
+++ b/crates/membership/src/view/recipients.rs
@@ -5,8 +5,8 @@
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Candidates drawn for each place of a random choice.
-const CANDIDATES_PER_PLACE: usize = 3;
+/// Candidates drawn for each random choice: the power of several choices (Mitzenmacher, 2001).
+const CANDIDATES_PER_CHOICE: usize = 3;
 
 /// The name and the address that a message goes to; the name is empty where only the address is known.
 #[derive(Clone, Copy, Debug)]
@@ -38,8 +38,9 @@
 }
 
 impl View {
-    /// Random members that are alive. Of the candidates drawn for each place the one from which this proxy received
-    /// something most recently is taken, by whole periods: just after many have died most of those in the view are dead.
+    /// Random members that are alive. Of the candidates drawn for each choice the one from which this proxy received
+    /// something most recently is taken, by whole periods: just after many have died most of those in the view are
+    /// dead.
     pub(super) fn random_peers(&mut self, count: usize, except: &str) -> Vec<Peer> {
         let mut candidates: Vec<Candidate> = self
             .members
@@ -55,7 +56,7 @@
             .collect();
         let mut peers = Vec::new();
         while peers.len() < count && !candidates.is_empty() {
-            let drawn = (0..CANDIDATES_PER_PLACE).map(|_| self.rng.usize(0..candidates.len()));
+            let drawn = (0..CANDIDATES_PER_CHOICE).map(|_| self.rng.usize(0..candidates.len()));
             let period = |at: &usize| {
                 candidates[*at]
                     .received_at
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -1,7 +1,7 @@
 //! Indirect probes that other proxies request: this proxy pings the target and relays the response.
 //!
-//! A relayed probe ends with the target's ack, or after one probe period. Invariants: it sends one ping, at most one nack
-//! (no answer yet) and at most one ack; the number of relayed probes is bounded.
+//! A relayed probe ends with the target's ack, or after one probe period. Invariants: it sends one ping, at most one
+//! nack (no answer yet) and at most one ack; the number of relayed probes is bounded.
 
 use super::probing::DIRECT_TIMEOUT_DIVISOR;
 use super::recipients::{Peer, Recipient};
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -1,8 +1,7 @@
 //! The probe schedule: which observed members are probed when.
 //!
-//! A round lasts one probe period and probes each observed member once, spread evenly over the time that is left of it.
-//! Invariants: `pending` is a part of `scheduled`, so no member is probed twice in a round; a pending probe is due by the
-//! end of the round.
+//! A round lasts one probe period and probes each observed member once; pending probes share the time that is left of
+//! it. Invariant: `pending` is a part of `scheduled`, so no member is probed twice in a round.
 
 use super::{Action, View};
 use crate::Micros;
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Adds to the round the members that this proxy observes by now. One that has not joined knows only a few contacts and would
-    /// overload them together with all others that join: it observes nobody yet.
+    /// Adds to the round the members that this proxy observes by now. One that has not joined knows only a few contacts
+    /// and would overload them together with all others that join: it observes none yet.
     pub(super) fn schedule_observed_members(&mut self) {
         if self.joined {
             let observed = self
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -1,7 +1,7 @@
 //! Encoding and sending of datagrams, with the rumors that they carry.
 //!
-//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; one to a member that this proxy does not consider
-//! alive says so, which is how that member comes to refute it.
+//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; one to a member that this proxy does not
+//! consider alive says so, which is how that member comes to refute it.
 
 use super::budget::{BODY_RUMORS_SHARE, ESSENTIAL_SHARE};
 use super::recipients::Recipient;
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -1,10 +1,10 @@
 //! Suspicion: a member that failed a probe is suspected until it refutes that, or is declared dead after a timeout that
 //! shrinks as more of its observers agree (Lifeguard).
 //!
-//! Transitions: alive to suspected by a failed probe, here or elsewhere; suspected to alive by the member's refutation, a
-//! later incarnation; suspected to dead by the timeout. Invariants: this proxy declares a member dead only while it is
-//! itself among the accusers; the number of accusers is bounded; the timeout lies between the shortest and
-//! [`MAX_TIMEOUT_FACTOR`] times that, before local health extends it.
+//! Transitions: alive to suspected by a failed probe, here or elsewhere; suspected to alive by the member's
+//! refutation, a later incarnation; suspected to dead by the timeout. Invariants: this proxy declares a member dead
+//! only while it is itself among the accusers; the number of accusers is bounded; the timeout lies between the
+//! shortest and [`MAX_TIMEOUT_FACTOR`] times that, before local health extends it.
 
 use super::merge::ClaimReport;
 use super::recipients::Recipient;
@@ -157,8 +157,8 @@
         name == self.own.name || self.members.get(name).is_some_and(Member::is_alive)
     }
 
-    /// Declares members dead whose suspicion timed out, and probes those that this proxy does not accuse itself but others
-    /// have suspected for too long.
+    /// Declares members dead whose suspicion timed out, and probes those that this proxy does not accuse itself but
+    /// others have suspected for too long.
     pub(super) fn decide_suspicions(&mut self, actions: &mut Vec<Action>) {
         let mut expired = Vec::new();
         let mut undecided = Vec::new();
--- a/crates/membership/src/view/transfer.rs
+++ b/crates/membership/src/view/transfer.rs
@@ -1,7 +1,7 @@
 //! Transfer of records between two proxies: requests for them and their delivery, in datagrams or over a stream.
 //!
-//! Invariant: each datagram and chunk is sent only if the send budget allows it when its turn comes; what is not sent is
-//! left to a later exchange.
+//! Invariant: chunks, and all datagrams of a transfer but the last, are sent only while the send budget allows it; what
+//! is not sent is left to a later exchange.
 
 use super::recipients::Recipient;
 use super::send::RECORD_OVERHEAD;
@@ -22,7 +22,6 @@
 const STREAMED_NAMES: usize = STREAM_THRESHOLD / NAMES_PER_DATAGRAM;
 /// More records than this are sent over a stream.
 pub(super) const MAX_DATAGRAM_RECORDS: usize = 9;
-
 /// How long streams to an address that refused one are avoided, in probe periods; datagrams do the same in more bytes.
 const STREAM_RETRY_PERIODS: Micros = 30;
 
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Anti-entropy: each receives all that the other knows, the members concerned refute, and that is received as well.
+    /// Anti-entropy: each receives all that the other knows, the members concerned refute, and that is received as
+    /// well.
     fn exchange(&self, world: &mut World, a: usize, b: usize) {
         for _ in 0..3 {
             for (from, to) in [(a, b), (b, a)] {
