--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -29,7 +29,7 @@
 mod level;
 mod node;
 
-pub(crate) use self::class::RequestClass;
+pub(crate) use self::class::ClassConfig;
 pub(crate) use self::error::ConfigError;
 pub(crate) use self::level::LogLevel;
 
@@ -97,7 +97,7 @@
     pub(crate) initial_list: Value,
     pub(crate) log_level: LogLevel,
     /// Names in the order of the settings: their index is what the router knows.
-    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) classes: Vec<ClassConfig>,
     pub(crate) zones: Vec<String>,
     pub(crate) endpoint_types: Vec<String>,
     pub(crate) load_report_fields: Vec<String>,
@@ -302,7 +302,7 @@
     Ok(if advises { host::micros(seconds) } else { 0 })
 }
 
-fn longest_deadline(classes: &[RequestClass]) -> Micros {
+fn longest_deadline(classes: &[ClassConfig]) -> Micros {
     let deadlines = classes.iter().map(|class| class.deadline_ms);
     host::micros(deadlines.fold(0.0, f64::max) / 1e3)
 }
--- a/crates/proxy/src/config/class.rs
+++ b/crates/proxy/src/config/class.rs
@@ -13,7 +13,7 @@
 
 use super::node::Node;
 use super::ConfigError;
-use meadowrill_admission::cost::LookupClass;
+use meadowrill_admission::cost::RequestClass;
 use meadowrill_routing::host;
 use meadowrill_routing::interface::Micros;
 
@@ -22,12 +22,12 @@
 
 /// What bounds the requests of a class.
 #[derive(Debug, PartialEq)]
-pub(crate) struct RequestClass {
+pub(crate) struct ClassConfig {
     pub(crate) name: String,
     /// The longest time limit that a request may name, in milliseconds.
     pub(crate) deadline_ms: f64,
     /// What admission control needs to know of it.
-    pub(crate) admission: LookupClass,
+    pub(crate) admission: RequestClass,
     /// Its requests carry an idempotency key.
     pub(crate) requires_idempotency_key: bool,
     /// To run one twice is not the same as once.
@@ -45,7 +45,7 @@
 }
 
 /// Reads all classes, in the order of the settings: their index is what the router knows.
-pub(super) fn read_classes(classes: &Node) -> Result<Vec<RequestClass>, ConfigError> {
+pub(super) fn read_classes(classes: &Node) -> Result<Vec<ClassConfig>, ConfigError> {
     let names = classes.names(Some("name"))?;
     if names.is_empty() {
         return Err(classes.fault("names no class"));
@@ -54,18 +54,18 @@
     names.into_iter().enumerate().map(read).collect()
 }
 
-fn read_class(class: &Node, name: String) -> Result<RequestClass, ConfigError> {
+fn read_class(class: &Node, name: String) -> Result<ClassConfig, ConfigError> {
     let deadline_ms = class.get("deadline_s").number(DEFAULT_DEADLINE_S, 0.001)? * 1e3;
     let repeat = read_repeat(&class.get("repeat"))?;
     let keyed = repeat == Some(Repeat::Keyed);
     let everywhere = class.get("group").value.is_some_and(|group| group == "all");
     let key_ttl_s = class.get("key_ttl_s").number(0.0, 0.0)?;
     let deduplicates = keyed && everywhere;
-    Ok(RequestClass {
+    Ok(ClassConfig {
         name,
         deadline_ms,
-        admission: LookupClass {
-            worth: class.get("worth").number(1.0, 0.0)?,
+        admission: RequestClass {
+            priority_weight: class.get("worth").number(1.0, 0.0)?,
             latency_budget: host::micros(class.get("goal_time_s").number(1.0, 0.0)?),
             budget_stretch: class.get("aim_stretch").number(0.0, 0.0)?,
         },
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -191,7 +191,7 @@
     let settings = &config.operator.turns;
     let classes: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
     let limits = CapacityLimits {
-        lookups: config.max_requests,
+        open_requests: config.max_requests,
         bytes: config.max_buffer_bytes,
         max_retry_after: config.max_retry_after,
     };
--- a/crates/proxy/src/proxy/client_requests.rs
+++ b/crates/proxy/src/proxy/client_requests.rs
@@ -7,7 +7,7 @@
 use crate::net::clients::ClientEvent;
 use crate::net::Cause;
 use meadowrill_admission::identity::RequestOrigin;
-use meadowrill_admission::request::{Completion, Decision, LookupRequest};
+use meadowrill_admission::request::{AdmissionRequest, Completion, Decision};
 use meadowrill_routing::interface::{Event, Micros};
 use slog::debug;
 use smallvec::SmallVec;
@@ -96,7 +96,7 @@
             client_field: message.client_id.as_deref(),
         });
         let request = new_request(origin, message, class.ok(), now);
-        let arrival = LookupRequest {
+        let arrival = AdmissionRequest {
             id,
             identity,
             class: request.class,
--- a/crates/proxy/src/proxy/outcomes.rs
+++ b/crates/proxy/src/proxy/outcomes.rs
@@ -122,8 +122,8 @@
         // An endpoint that does not tell a cache status counts as one that had it cached.
         let hit = matches!(end.cache_status, CacheStatus::Hit | CacheStatus::Unknown);
         request.completion = Completion {
-            satisfied: true,
-            hit,
+            succeeded: true,
+            cache_hit: hit,
             size_kb: end.size_kb,
             abandoned: false,
         };
--- a/crates/proxy/src/report/admission.rs
+++ b/crates/proxy/src/report/admission.rs
@@ -77,7 +77,7 @@
             for client in tenant.heaviest_clients.iter().take(MAX_NAMED_CLIENTS) {
                 let client_label = label("client", &client.address.to_string());
                 let labels = [tenant_label(&tenant.name), client_label].concat();
-                recent.push((labels, f64::from(client.recent_lookups)));
+                recent.push((labels, f64::from(client.recent_requests)));
             }
         }
         let help = "Recent lookups of the loudest clients";
@@ -93,7 +93,7 @@
             ("offered", "Lookups read", |t| t.offered),
             ("let_in", "Lookups let in", |t| t.admitted),
             ("waited", "Lookups that had to wait", |t| t.waited),
-            ("satisfied", "Lookups satisfied", |t| t.satisfied),
+            ("satisfied", "Lookups satisfied", |t| t.succeeded),
             (
                 "told_a_turn",
                 "Lookups turned away with a booked turn",
@@ -187,7 +187,7 @@
         tenant.in_flight.to_string(),
         tenant.counters.offered.to_string(),
         tenant.counters.admitted.to_string(),
-        tenant.counters.satisfied.to_string(),
+        tenant.counters.succeeded.to_string(),
         rejected.to_string(),
         tenant.counters.reserved.to_string(),
     ]
@@ -198,29 +198,29 @@
     let _ = writeln!(
         text,
         "  {:<18}heard {}, waiting {}, inside {}, booked {}",
-        client.address, client.recent_lookups, client.waiting, client.in_flight, client.reserved
+        client.address, client.recent_requests, client.waiting, client.in_flight, client.reserved
     );
 }
 
 /// The same as lines of the log, one a tenant.
 pub(crate) fn log(log: &Logger, report: &AdmissionReport) {
-    info!(log, "door"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
+    info!(log, "admission control report"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
         "inside" => report.in_flight, "overdue" => report.overdue, "waiting" => report.waiting, "booked" => report.reserved,
         "kept" => report.reservations_redeemed, "missed" => report.reservations_expired,
         "unbooked" => report.reservations_refused);
-    for t in &report.tenants {
-        let loudest = t
+    for tenant in &report.tenants {
+        let heaviest = tenant
             .heaviest_clients
             .iter()
             .take(MAX_NAMED_CLIENTS)
-            .map(|c| format!("{}:{}", c.address, c.recent_lookups));
-        let away = RejectReason::ALL
+            .map(|c| format!("{}:{}", c.address, c.recent_requests));
+        let rejected = RejectReason::ALL
             .into_iter()
-            .zip(t.counters.rejected)
+            .zip(tenant.counters.rejected)
             .filter(|(_, n)| *n > 0);
-        info!(log, "door, tenant"; "name" => &t.name, "waiting" => t.waiting, "inside" => t.in_flight,
-            "offered" => t.counters.offered, "let_in" => t.counters.admitted, "satisfied" => t.counters.satisfied,
-            "turned_away" => away.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
-            "loudest" => loudest.collect::<Vec<_>>().join(" "));
+        info!(log, "admission control report of a tenant"; "name" => &tenant.name, "waiting" => tenant.waiting, "inside" => tenant.in_flight,
+            "offered" => tenant.counters.offered, "let_in" => tenant.counters.admitted, "satisfied" => tenant.counters.succeeded,
+            "turned_away" => rejected.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
+            "loudest" => heaviest.collect::<Vec<_>>().join(" "));
     }
 }
