--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn an_attempt_that_must_not_run_twice_is_retried_only_with_proof_that_it_did_not_run() {
-    // Proofs: a nack, and no second send needed. The machine that refuses connections is one that has gone.
+    // Proofs: a rejection, and no second send needed. The endpoint that refuses connections is one that has gone.
     for proof in [
         "503 Full\r\nX-Not-Run: 1",
         "504 Over\r\nX-Not-Run: 1",
--- a/crates/proxy/tests/availability.rs
+++ b/crates/proxy/tests/availability.rs
@@ -1,5 +1,5 @@
-//! A front that is up and serves nobody shows it: by its readiness, two log lines and a metric. Trouble that is short, or
-//! in which machines still take requests, shows nothing.
+//! A proxy that is up and serves nobody shows it: by its readiness, two log lines and a metric. Trouble that is short, or
+//! in which endpoints still take requests, shows nothing.
 
 use meadowrill_test_servers::journal::Speaking;
 use meadowrill_test_servers::*;
@@ -10,17 +10,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long lookups have to be refused before that is an outage.
+/// How long requests have to be refused before that is an outage.
 const OUTAGE: Duration = Duration::from_secs(10);
-/// How long an outage without lookups goes on before some are asked for again.
+/// How long an outage without requests goes on before some are asked for again.
 const PAUSE: Duration = Duration::from_secs(5);
 /// How long a client may wait for an order.
 const LONG_MS: u32 = 18_000;
 
-/// Between lookups that are asked one behind the other.
+/// Between requests that are asked one behind the other.
 const PACE: Duration = Duration::from_millis(5);
 
-/// A front with an operators' socket, its journal service, and a client that asks on and on.
+/// A proxy with an operators' socket, its discovery service, and a client that asks on and on.
 struct Bench {
     program: Program,
     journal: Speaking,
@@ -88,7 +88,7 @@
         )
     }
 
-    /// All lookups are refused until the front says that it is not ready.
+    /// All requests are refused until the proxy says that it is not ready.
     fn reject_until_not_ready(&mut self) {
         let (begun, begun_ms) = (Instant::now(), now_ms());
         until(HANG, "not ready", || {
@@ -104,14 +104,14 @@
         );
     }
 
-    /// Lookups are served again, and with the first of them all is as it was.
+    /// Requests are served again, and with the first of them all is as it was.
     fn recovers(&mut self) {
         until(HANG, "served", || self.lookup() == 0);
         assert_eq!(self.client.ready(), 0);
         assert_eq!(self.metric(), (0.0, 0.0));
     }
 
-    /// How often the log said that the front serves nobody, and that it serves again.
+    /// How often the log said that the proxy serves nobody, and that it serves again.
     fn told(mut self) -> (usize, usize) {
         self.program.terminate();
         drop(self.client);
@@ -134,7 +134,7 @@
     bench.tell(&json!(none));
     until(HANG, "refused", || bench.lookup() == 11);
     bench.reject_until_not_ready();
-    // With no lookups for a while they are asked for again, and the first that is refused is enough.
+    // With no requests for a while they are asked for again, and the first that is refused is enough.
     let quiet = Instant::now();
     until(HANG, "ready for a trial", || bench.client.ready() == 0);
     assert!(
@@ -170,7 +170,7 @@
     assert_eq!(bench.told(), (1, 1));
 }
 
-/// Nothing is served for longer than an outage takes, but machines take requests.
+/// Nothing is served for longer than an outage takes, but endpoints take requests.
 fn stays_ready(does: Does) {
     let cache = Cache::start(does);
     let mut bench = Bench::start(cache.address);
@@ -223,7 +223,7 @@
         thread::sleep(10 * PACE);
         let mut client = Client::new(&bench.program);
         assert_eq!(client.lookup(1, "nobodys").code(), 5);
-        // Its client ends its side before the connection to the machine is up.
+        // Its client ends its side before the connection to the endpoint is up.
         client.write(&ask(2, "order", &[], b""));
         assert_eq!((client.ready(), client.ready()), (0, 0));
         client.0.shutdown(Shutdown::Write).unwrap();
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
 //! Clients that leave: whoever has closed or cancelled has gone, and nothing is begun for them any more, wherever
-//! their lookup is just then. Crossings are forced by order: the peers are stepped by the test.
+//! their request is just then. Crossings are forced by order: the peers are stepped by the test.
 
 use meadowrill_test_servers::*;
 use serde_json::json;
@@ -9,7 +9,7 @@
 const ESTABLISHED: &str = "01";
 const FIN_WAIT2: &str = "05";
 
-/// Local port, remote port and state of the connections of this machine, as the kernel lists them.
+/// Local port, remote port and state of the connections of this host, as the kernel lists them.
 fn connections() -> impl Iterator<Item = (u16, u16, String)> {
     let text = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port = |at: &str| u16::from_str_radix(at.rsplit(':').next().unwrap(), 16).unwrap();
@@ -260,7 +260,7 @@
 fn requests_cancelled_at_once_leave_nothing_behind() {
     let cache = Cache::start(ok(b"fine"));
     let (program, _journal) = Program::simple(&cache);
-    // Each asked and taken back in one write, so that the front hears of both in one round. What the module took
+    // Each asked and taken back in one write, so that the proxy hears of both in one round. What the module took
     // for out would fill the place that it gives a cache.
     for _ in 0..20 {
         let mut client = Client::new(&program);
--- a/crates/proxy/tests/client_frames.rs
+++ b/crates/proxy/tests/client_frames.rs
@@ -77,7 +77,7 @@
     }
     while bad.0.write_all(&ask(99, "none", &[], b"")).is_ok() {}
     assert!(cache.seen.try_iter().next().is_none());
-    // The id of an open lookup with another object.
+    // The id of an open request with another object.
     cache.does(Does::Nothing);
     usual.write(&ask(2, "map", &[], b""));
     cache.request();
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -17,7 +17,7 @@
     service.write_all(hosts(pos, &members).as_bytes()).unwrap();
 }
 
-/// What was told has been taken in once a purge behind it shows in a lookup at a machine of its own.
+/// What was told has been taken in once a purge behind it shows in a request at an endpoint of its own.
 fn wait_until_applied(service: &mut TcpStream, pos: u64) {
     service.write_all(format!("{pos}\n").as_bytes()).unwrap();
 }
@@ -42,7 +42,7 @@
         json!([member("s-a", "std", first.address, "DRAINING"), next]),
     );
     wait_until_applied(&mut service, 2);
-    // Once another lookup goes to the new machine, the list has been taken in.
+    // Once another request goes to the new endpoint, the list has been taken in.
     let mut other = Client::new(&program);
     let mut stream = 10;
     let mut talk = loop {
@@ -55,7 +55,7 @@
     };
     assert!(talk.request().contains("GET /data/map/"));
     first.admit();
-    // It comes up, and nothing is written on it: the lookup goes where it may.
+    // It comes up, and nothing is written on it: the request goes where it may.
     assert_eq!(first.accept().request(), "");
     let mut head = talk
         .stream
@@ -83,7 +83,7 @@
     assert_eq!((client.ready(), client.ready()), (0, 0));
     let stamp = now_ms() as u64;
     let purge = json!({"pos": 2, "expire": {"name": OBJECT, "stamp": stamp}});
-    // A number that runs ahead makes the front ask again: by then it has read the purge.
+    // A number that runs ahead makes the proxy ask again: by then it has read the purge.
     service
         .write_all(format!("{purge}\n9\n").as_bytes())
         .unwrap();
@@ -209,7 +209,7 @@
     next.ok("fine");
     assert_eq!(other.answer().code(), 0);
     assert_eq!(client.answer().code(), 5);
-    // The front has closed it.
+    // The proxy has closed it.
     trickle.join().unwrap();
 }
 
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The journal service: what it tells of the list and of purges, and its connection: silence, half a line, gaps, and a
+//! The discovery service: what it tells of the list and of purges, and its connection: silence, half a line, gaps, and a
 //! descriptor for it whatever else is open.
 
 use meadowrill_test_servers::*;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Descriptors full of idle clients and kept connections leave one for the journal service.
+/// Descriptors full of idle clients and kept connections leave one for the discovery service.
 fn discovery_finds_a_descriptor(sockets: usize) {
     let cache = Cache::start(ok(b"fine"));
     let service = Peer::listen();
@@ -241,7 +241,7 @@
     let (number, ..) = drained.request();
     tell(2, member(id, "std", drained.address, "DRAINING"));
     until(&|body| body != before);
-    // Nothing kept is left to what drains, so a machine that takes its address over starts with its own.
+    // Nothing kept is left to what drains, so an endpoint that takes its address over starts with its own.
     drained.end(number);
     tell(3, member(id, "std", drained.address, "DELETED"));
     tell(4, member("s-c", "std", drained.address, "SERVING"));
--- a/crates/proxy/tests/event_subscription.rs
+++ b/crates/proxy/tests/event_subscription.rs
@@ -1,4 +1,4 @@
-//! Purges by relays, with real processes: a publisher, relays and fronts, before stand-ins for caches and the journal
+//! Purges by relays, with real processes: a publisher, relays and proxies, before test servers for caches and the discovery
 //! service. What the protocol does by itself is shown in `meadowrill-event-distribution`.
 
 use meadowrill_test_servers::journal::Speaking;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What no front of these tests is told by a purge.
+/// What no proxy of these tests is told by a purge.
 const OTHER: &str = "00000000000000aa";
 /// As in the settings' defaults.
 const COPY_AGE_MS: u64 = 2_000;
@@ -44,12 +44,12 @@
     json!({"expire": {"name": item, "stamp": now_ms() as u64}})
 }
 
-/// Relays and what they need: one publishes what a journal service tells.
+/// Relays and what they need: one publishes what a discovery service tells.
 struct Site {
     folder: tempfile::TempDir,
     service: Speaking,
     service_address: SocketAddr,
-    /// Of fronts that are told nothing by it.
+    /// Of proxies that are told nothing by it.
     silent: Journal,
     relays: Vec<SocketAddr>,
 }
@@ -106,7 +106,7 @@
         (0..self.relays.len()).map(|n| self.relay(n)).collect()
     }
 
-    /// A front that hears of purges by relays only.
+    /// A proxy that hears of purges by relays only.
     fn front(&self, name: &str) -> Front {
         let fleet = format!("listen: \"{}\" {}", free(), self.events());
         Front::start(name, self.socket(name), &fleet, self.silent.address)
@@ -125,7 +125,7 @@
     }
 }
 
-/// A front with one cache and one client, which comes when it is needed: fronts end idle connections.
+/// A proxy with one cache and one client, which comes when it is needed: proxies end idle connections.
 struct Front {
     program: Program,
     socket: PathBuf,
@@ -172,7 +172,7 @@
         events(&self.socket)["lease_left_us"].is_i64()
     }
 
-    /// Writes a lookup without waiting for its answer.
+    /// Writes a request without waiting for its answer.
     fn ask(&mut self, item: &str) {
         let stream = self.streams.next().expect("a stream");
         let client = self
@@ -211,7 +211,7 @@
     site.service
         .tell(json!({"expire": {"name": OBJECT, "set": 17, "stamp": purged as u64}}));
     until(HANG, "done", || site.in_force() == 1);
-    // The first lookup after the word: nothing older than the purge.
+    // The first request after the word: nothing older than the purge.
     for front in &mut fronts {
         let bound = front.age_bound(OBJECT).expect("a bound");
         let since = (now_ms() - purged) as u64;
@@ -297,7 +297,7 @@
             fed[PUBLISHER]["leased"] == 1 && fed[1]["leased"] == 0 && fed.iter().any(is_late)
         },
     );
-    // None answers before the front has been asked.
+    // None answers before the proxy has been asked.
     relays.iter().for_each(Program::pause);
     front.ask(OBJECT);
     front.program.resume();
@@ -314,7 +314,7 @@
     let purged = now_ms();
     site.service.tell(purge_of(OBJECT));
     until(HANG, "done", || site.in_force() == 1);
-    // What the purge bounds has to differ from what a front without a lease is bound to.
+    // What the purge bounds has to differ from what a proxy without a lease is bound to.
     until(HANG, "some time after the purge", || {
         now_ms() - purged > 2 * u128::from(COPY_AGE_MS)
     });
@@ -352,7 +352,7 @@
     assert!(metrics.contains(lapses), "{metrics}");
 }
 
-/// Its journal service is silent all the while. Without relays its copies would be bounded 7 s after the last word.
+/// Its discovery service is silent all the while. Without relays its copies would be bounded 7 s after the last word.
 #[test]
 fn a_lease_makes_up_for_a_silent_discovery_service() {
     let site = Site::new(1);
@@ -403,7 +403,7 @@
         .is_some_and(|bound| bound <= COPY_AGE_MS));
 }
 
-/// One front has events and shares state, the other shares state only: an earlier build, or settings not yet changed.
+/// One proxy has events and shares state, the other shares state only: an earlier build, or settings not yet changed.
 #[test]
 fn a_mixed_fleet_receives_every_invalidation() {
     let site = Site::new(2);
@@ -415,7 +415,7 @@
         format!("listen: \"{listen}\" contact: \"{contact}\" period_ms: 100 replica {{ period_ms: 100 }}")
     };
     let with_events = format!("{} {}", fleet(0), site.events());
-    // Fronts that share know each other's caches: here it is the same one.
+    // Proxies that share know each other's caches: here it is the same one.
     let cache = Rc::new(Cache::start(ok(b"fine")));
     let mut with = Front::before(
         Rc::clone(&cache),
@@ -431,7 +431,7 @@
             told(&front.socket, &["fleet"]).matches("  alive  ").count() == 2
         });
     }
-    // A service tells the publisher and the front without events: each hears in its way.
+    // A service tells the publisher and the proxy without events: each hears in its way.
     let purge = purge_of(OBJECT);
     site.service.tell(purge.clone());
     other.tell(purge);
@@ -439,14 +439,14 @@
     until(HANG, "without events", || {
         without.age_bound(OBJECT).is_some()
     });
-    // What only the front without events was told comes from it.
+    // What only the proxy without events was told comes from it.
     let heard = "00000000000000ab";
     assert_eq!(with.age_bound(heard), None);
     other.tell(purge_of(heard));
     until(HANG, "from the other front", || {
         with.age_bound(heard).is_some()
     });
-    // What its own service tells the front with events counts at once, and does not go to other fronts.
+    // What its own service tells the proxy with events counts at once, and does not go to other proxies.
     let own_word = "00000000000000ac";
     let purges = |front: &Front| {
         let state: Value =
--- a/crates/proxy/tests/fair_queueing.rs
+++ b/crates/proxy/tests/fair_queueing.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// One cache that holds everything and serves 400 a second, and a front with these settings.
+/// One cache that holds everything and serves 400 a second, and a proxy with these settings.
 fn front(settings: &str) -> (Program, Service, Journal) {
     let cache = Service::start(
         8,
--- a/crates/proxy/tests/graceful_close.rs
+++ b/crates/proxy/tests/graceful_close.rs
@@ -1,4 +1,4 @@
-//! How the front closes: it says so, writes all, shuts its side and reads on to the peer's end, so that no byte that
+//! How the proxy closes: it says so, writes all, shuts its side and reads on to the peer's end, so that no byte that
 //! crosses the close becomes a reset that takes a written answer with it; and what it owes at its own end.
 
 use meadowrill_test_servers::*;
@@ -20,7 +20,7 @@
     }
 }
 
-/// What is written behind the front's close is taken up: the client reads on to an end, not to a reset.
+/// What is written behind the proxy's close is taken up: the client reads on to an end, not to a reset.
 fn cross_a_close(client: &mut Client, stream: u32) {
     client.0.write_all(&ask(stream, "map", &[], b"")).unwrap();
     client.0.shutdown(Shutdown::Write).unwrap();
@@ -38,7 +38,7 @@
     let mut client = Client::new(&program);
     assert_eq!(client.lookup(1, "map").code(), 0);
     program.terminate();
-    // It rests until the front ends it.
+    // It rests until the proxy ends it.
     assert_eq!(client.answer().kind, NO_MORE);
     assert_eq!(client.hear(), None);
     cross_a_close(&mut client, 77);
@@ -148,7 +148,7 @@
 #[test]
 fn shutdown_completes_whatever_hangs_and_however_often_it_is_signalled() {
     let cache = Cache::start(ok(&vec![9; 240_000]));
-    // The journal service is out of touch all the while.
+    // The discovery service is out of touch all the while.
     let nowhere = Peer::listen().address;
     let mut program = Program::start(&config(&[("s-a", cache.address)], nowhere));
     let mut deaf = Client::slow(&program);
--- a/crates/proxy/tests/interleavings.rs
+++ b/crates/proxy/tests/interleavings.rs
@@ -1,6 +1,6 @@
 //! Crossings drawn by a seed against the whole program: clients that ask, cancel, close, end their side or rest; caches that
 //! answer, fail, break off, hang, answer twice or close; drains and returns; the program held still now and then; and in
-//! the end the signal to end with lookups open. What is checked holds in every order of events.
+//! the end the signal to end with requests open. What is checked holds in every order of events.
 
 use meadowrill_test_servers::*;
 use serde_json::json;
@@ -59,7 +59,7 @@
     address
 }
 
-/// One connection; any failure to write means that the front has gone from it.
+/// One connection; any failure to write means that the proxy has gone from it.
 fn serve(mut stream: TcpStream, mut draws: Draws, log: &Log) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     loop {
@@ -96,7 +96,7 @@
                 thread::sleep(Duration::from_millis(150));
                 stream.write_all(ok.as_bytes()).ok()?;
             }
-            // Until the front takes it back.
+            // Until the proxy takes it back.
             6 => drop(reader.read(&mut [0]).ok()?),
             7 => stream.write_all(format!("{ok}{ok}").as_bytes()).ok()?,
             8 => {
@@ -112,7 +112,7 @@
     }
 }
 
-/// What became of a lookup, as its client saw it.
+/// What became of a request, as its client saw it.
 #[derive(Clone, Copy, Default)]
 struct Fate {
     order: bool,
@@ -127,7 +127,7 @@
     address: SocketAddr,
     ids: AtomicU32,
     fates: Mutex<HashMap<u32, Fate>>,
-    /// The front has been told to end: from here on connections may be refused.
+    /// The proxy has been told to end: from here on connections may be refused.
     ending: AtomicBool,
 }
 
@@ -243,7 +243,7 @@
         self.fates.lock().unwrap().get_mut(&id).unwrap().left = Some(now_ms());
     }
 
-    /// The front has closed: only at its end, and not on what it owes an answer.
+    /// The proxy has closed: only at its end, and not on what it owes an answer.
     fn lost(&self, open: &HashMap<u32, u32>) {
         assert!(self.ending.load(Relaxed), "closed with {} open", open.len());
         // Written at a closed connection, or behind the word that nothing more is taken: not owed, as it was not taken.
@@ -328,7 +328,7 @@
     }
     let peak = program.peak_kb();
     assert!(peak < 32_000, "{peak} kB");
-    // The end, with lookups open.
+    // The end, with requests open.
     thread::scope(|scope| {
         for n in 0..CLIENTS {
             let world = &world;
--- a/crates/proxy/tests/process.rs
+++ b/crates/proxy/tests/process.rs
@@ -31,7 +31,7 @@
     cache.does(ok(b"late"));
     program.terminate();
     while client.ready() == 0 {}
-    // Connections and lookups go on coming for a while.
+    // Connections and requests go on coming for a while.
     assert_eq!(Client::new(&program).lookup(1, "map").code(), 0);
     assert_eq!(client.lookup(2, "map").code(), 0);
     let mut rest: Vec<(u8, u32)> = std::iter::from_fn(|| client.hear())
@@ -68,7 +68,7 @@
     }
 }
 
-/// How soon the platform wants a front to be ready.
+/// How soon the platform wants a proxy to be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
 #[test]
@@ -87,7 +87,7 @@
     journal.greeting();
     assert_eq!(Client::new(&killed).lookup(1, "map").code(), 0);
     let mut held = Client::new(&killed);
-    // It has been accepted once it is answered; then half a request comes, and the front is gone.
+    // It has been accepted once it is answered; then half a request comes, and the proxy is gone.
     assert_eq!(held.ready(), 0);
     held.write(&ask(1, "map", &[], b"")[..20]);
     killed.kill();
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -38,7 +38,7 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// How long after a drain was told requests may still go to the machine: by the settings, and 50 ms more on sockets.
+/// How long after a drain was told requests may still go to the endpoint: by the settings, and 50 ms more on sockets.
 const GRACE: Duration = Duration::from_millis(1000 + 50);
 
 /// One client that asks for another object each time.
@@ -130,7 +130,7 @@
     while told.elapsed() < GRACE {
         asker.ask();
     }
-    // All that was sent so far has come, as each lookup has been answered.
+    // All that was sent so far has come, as each request has been answered.
     heads(&draining);
     heads(&staying);
     (0..500).for_each(|_| asker.ask());
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Lookups that are served: what a client asks for reaches the cache unchanged, and what the cache says the client.
+//! Requests that are served: what a client asks for reaches the cache unchanged, and what the cache says the client.
 
 use meadowrill_test_servers::*;
 use std::thread;
--- a/crates/proxy/tests/resource_limits.rs
+++ b/crates/proxy/tests/resource_limits.rs
@@ -108,7 +108,7 @@
     let mut slow: Vec<Client> = (0..8).map(|_| Client::slow(&program)).collect();
     let mut other = Client::new(&program);
     let mut asked = 0;
-    // The other is nacked at the latest when rings are full.
+    // The other is rejected at the latest when buffers are full.
     let full = (1..=32).any(|stream| {
         for client in &mut slow {
             client.write(&ask(stream, "map", &[("limit", "60000")], b""));
@@ -118,7 +118,7 @@
         other.answer().code() == 11
     });
     assert!(full, "{asked} of each were kept somewhere");
-    // From then on at once, whatever time there is. The kernel may take up a little of a ring now and then, and one
+    // From then on at once, whatever time there is. The kernel may take up a little of a buffer now and then, and one
     // more is let in for it.
     let codes: Vec<u8> = (1..=4)
         .map(|more| other.lookup(asked + more, "map").code())
--- a/crates/proxy/tests/shared_state.rs
+++ b/crates/proxy/tests/shared_state.rs
@@ -1,4 +1,4 @@
-//! What two fronts share, as operators and clients see it. What happens when things fail between them is the rig's.
+//! What two proxies share, as operators and clients see it. What happens when things fail between them is the rig's.
 
 use meadowrill_test_servers::program::{operator, own_address};
 use meadowrill_test_servers::{
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How soon fronts have to agree.
+/// How soon proxies have to agree.
 const SOON: Duration = Duration::from_secs(10);
 
 /// An address that nobody else comes upon, not for streams either.
@@ -71,7 +71,7 @@
         answer.parts().0,
         [("caught_up".to_string(), "1".to_string())]
     );
-    // A mark that ran at one front is answered by the other, and not sent again.
+    // A mark that ran at one proxy is answered by the other, and not sent again.
     let book = |program: &Program| {
         let mut client = Client::new(program);
         client.write(&ask(1, "book", &[("unique", "5c0f6e1a2b3d4c59")], b""));
@@ -111,7 +111,7 @@
     assert_eq!(metrics.matches("# EOF").count(), 1);
 }
 
-/// Alone, with fewer fronts than have to be known: nothing that has an effect goes out, and that is said at once.
+/// Alone, with fewer proxies than have to be known: nothing that has an effect goes out, and that is said at once.
 #[test]
 fn a_proxy_that_is_cut_off_rejects_effects_that_it_cannot_record() {
     let folder = tempfile::tempdir().unwrap();
