--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -98,7 +98,7 @@
 }
 
 impl fmt::Display for RejectReason {
-    /// The names that operators see in logs and metrics: they stay as they are.
+    /// The names that operators see in logs and metrics, listed in docs/on-call.md: they stay as they are.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RejectReason::OpenRequestLimit => "lookups",
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -22,7 +22,7 @@
 //! | `settings.limits.max_open` | count, 20,000 | requests at one time |
 //! | `settings.limits.retry_after` | true or false, false | whether clients may be told to stay away |
 //! | `settings.limits.max_retry_after_s` | seconds, 0 | for how long at most |
-//! | `settings.limits.send_cap` | count, 1 | checked here, used by the router |
+//! | `settings.limits.send_cap` | count; the router's default, 4 | attempts of a request; checked here, used by the router |
 
 mod class;
 mod error;
@@ -131,7 +131,8 @@
 }
 
 impl ConnectionLimits {
-    /// Clients hold a third of the descriptors at most; a little more lets them cross a close.
+    /// Clients get two fifths of what is not reserved: they hold a third of the descriptors at most (the platform), and a
+    /// little more lets them cross a close.
     fn new(descriptors: usize) -> ConnectionLimits {
         let clients = (descriptors - RESERVED_DESCRIPTORS) * 2 / 5;
         let draining = (clients / CLIENTS_PER_DRAINING).max(1);
--- a/crates/proxy/src/net/attempt_error.rs
+++ b/crates/proxy/src/net/attempt_error.rs
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Who is at fault for it.
+    /// Who is at fault for it. An attempt is cancelled where its client has left, or where the router takes it back before
+    /// it is written; both count as the client's.
     pub(crate) fn source(&self) -> ErrorSource {
         match (self.progress, &self.cause) {
             (_, Cause::Cancelled) => ErrorSource::Client,
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -1,8 +1,8 @@
 //! The connection to the discovery service: the endpoint list and invalidations.
 //!
 //! The service numbers its events without gaps and sends a line each second. Invariants: an event is passed on at most
-//! once and in order; an event that is missing or unreadable is polled for again, and passed over only where it stays
-//! unreadable; whatever the service may have held back since its last line counts as lag until a line says that there is
+//! once and in order; an event that is missing or unreadable is polled for again, and passed over, without a log line,
+//! once it was polled for [`MAX_REPOLLS`] times in vain; whatever the service may have held back since its last line counts as lag until a line says that there is
 //! nothing more. An outage is reported once, however often the connection is tried.
 
 pub(super) mod codec;
@@ -238,8 +238,8 @@
     }
 
     /// A number that is not the next one shows that an event was missed or could not be read, and it is polled for again:
-    /// to go on would lose an invalidation for good. What stays unreadable is passed over in the end, so that the events
-    /// behind it are received at all.
+    /// to go on would lose an invalidation for good. What stays missing or unreadable is passed over in the end, so that
+    /// the events behind it are received at all; if it was an invalidation, it is lost (docs/known-limits.md).
     fn handle_line(
         &mut self,
         line: Result<Line, LineError>,
--- a/crates/proxy/src/proxy/client_requests.rs
+++ b/crates/proxy/src/proxy/client_requests.rs
@@ -1,6 +1,6 @@
 //! What clients do: a request arrives, its client ends its side, or leaves.
 
-use super::request_table::{AttemptHandle, ClaimState, ProxiedRequest};
+use super::request_table::{AttemptHandle, LedgerWait, ProxiedRequest};
 use super::response::Response;
 use super::Proxy;
 use crate::frame;
@@ -162,7 +162,7 @@
         request.awaits_response = false;
         let ticket = request.ticket.take();
         let was_queued = ticket.is_some_and(|ticket| self.admission.controller.cancel(now, ticket));
-        let claim_pending = request.claim == ClaimState::Pending;
+        let claim_pending = request.claim == LedgerWait::Pending;
         if !was_queued && !claim_pending {
             self.routing.queue(Event::ClientLeft { id });
         }
@@ -183,7 +183,7 @@
         request.counts_for_availability = false;
         let ticket = request.ticket.as_ref();
         let queued = ticket.is_some_and(|ticket| self.admission.controller.is_waiting(ticket));
-        if queued || request.claim == ClaimState::Pending {
+        if queued || request.claim == LedgerWait::Pending {
             if let Some(ticket) = request.ticket.take() {
                 self.admission.controller.cancel(now, ticket);
             }
@@ -241,7 +241,7 @@
         ticket: None,
         completion: Completion::default(),
         attempts: SmallVec::new(),
-        claim: ClaimState::None,
+        claim: LedgerWait::None,
         ended_attempt_may_have_run: false,
         sources: SmallVec::new(),
     }
--- a/crates/proxy/src/proxy/effect_claims.rs
+++ b/crates/proxy/src/proxy/effect_claims.rs
@@ -1,10 +1,10 @@
 //! Claims of requests with an effect, at the ledger that the proxies share: such a request runs at one proxy at a time.
 //!
-//! A claim is made when the request is admitted (`ClaimState::Pending`). The ledger grants it, answers with the result
+//! A claim is made when the request is admitted (`LedgerWait::Pending`). The ledger grants it, answers with the result
 //! of an earlier run, fails or rejects the request. A granted claim ends with the request's response, or when its client
 //! leaves, and the ledger is told whether an attempt may have run.
 
-use super::request_table::ClaimState;
+use super::request_table::LedgerWait;
 use super::response::Response;
 use super::Proxy;
 use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
@@ -38,7 +38,7 @@
         if claimed != Some(true) {
             return false;
         }
-        request.claim = ClaimState::Pending;
+        request.claim = LedgerWait::Pending;
         self.with_fleet(now, |peers, poll| peers.dispatch(now, poll));
         true
     }
@@ -57,14 +57,14 @@
         };
         debug!(self.log, "ledger decided on a claim"; "request" => request.message.request_id.as_str(),
             "decision" => ?decision);
-        request.claim = ClaimState::None;
+        request.claim = LedgerWait::None;
         match decision {
             Decision::Admit {
                 send_until,
                 earlier_may_have_run,
                 ..
             } => {
-                request.claim = ClaimState::Granted {
+                request.claim = LedgerWait::Granted {
                     earlier_may_have_run,
                 };
                 request.deadline = request.deadline.min(send_until);
@@ -88,7 +88,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let claim = std::mem::replace(&mut request.claim, ClaimState::None);
+        let claim = std::mem::replace(&mut request.claim, LedgerWait::None);
         let token = u64::from(id);
         let outcome = match (result, request.may_have_run()) {
             (Some((current, body)), _) => RequestOutcome::Ran { current, body },
@@ -99,11 +99,11 @@
             return;
         };
         match claim {
-            ClaimState::None => return,
-            ClaimState::Pending => {
+            LedgerWait::None => return,
+            LedgerWait::Pending => {
                 peers.with_replica(|replica, actions| replica.cancel_request(now, token, actions));
             }
-            ClaimState::Granted { .. } => {
+            LedgerWait::Granted { .. } => {
                 peers.with_replica(|replica, actions| {
                     replica.finish_request(now, token, outcome, actions)
                 });
--- a/crates/proxy/src/proxy/outcomes.rs
+++ b/crates/proxy/src/proxy/outcomes.rs
@@ -151,7 +151,7 @@
             return;
         };
         debug!(self.log, "attempt unsuccessful"; "request" => request.message.request_id.as_str(),
-            "endpoint" => self.endpoints.id(ended.endpoint), "class" => request.message.class.as_str(),
+            "endpoint_id" => self.endpoints.id(ended.endpoint), "class" => request.message.class.as_str(),
             "status" => head.status, "cache_status" => head.cache_status);
     }
 
@@ -160,7 +160,7 @@
             return;
         };
         debug!(self.log, "attempt failed"; "request" => request.message.request_id.as_str(),
-            "endpoint" => self.endpoints.id(ended.endpoint), "elapsed_us" => now - ended.attempt.started_at, "source" => %error.source(), "retry_safe" => error.is_retry_safe(),
+            "endpoint_id" => self.endpoints.id(ended.endpoint), "elapsed_us" => now - ended.attempt.started_at, "at_fault" => %error.source(), "retry_safe" => error.is_retry_safe(),
             "reason" => %error);
     }
 }
--- a/crates/proxy/src/proxy/request_table.rs
+++ b/crates/proxy/src/proxy/request_table.rs
@@ -40,16 +40,16 @@
     /// By the number of the attempt: where it is in flight; none once it has ended.
     pub(super) attempts: SmallVec<[Option<AttemptHandle>; 4]>,
     /// Its claim at the ledger of effects.
-    pub(super) claim: ClaimState,
+    pub(super) claim: LedgerWait,
     /// An attempt that has ended may have run.
     pub(super) ended_attempt_may_have_run: bool,
     /// By the number of the attempt: the source that it named. Kept only where state is shared.
     pub(super) sources: SmallVec<[EndpointIndex; 2]>,
 }
 
-/// The claim of a request with an effect, at the ledger that the proxies share.
+/// How far a request with an effect has come with its claim at the ledger that the proxies share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClaimState {
+pub(super) enum LedgerWait {
     /// There is none.
     None,
     /// The ledger has not decided yet; the router does not know of the request.
@@ -63,7 +63,7 @@
 
 impl ProxiedRequest {
     pub(super) fn has_claim(&self) -> bool {
-        self.claim != ClaimState::None
+        self.claim != LedgerWait::None
     }
 
     /// Whether any attempt may have run: what is still in flight may.
--- a/crates/proxy/src/proxy/response.rs
+++ b/crates/proxy/src/proxy/response.rs
@@ -1,6 +1,6 @@
 //! Responses to clients: what one says, and the one place that ends a request's wait for it.
 
-use super::request_table::ClaimState;
+use super::request_table::LedgerWait;
 use super::Proxy;
 use crate::frame;
 use crate::net::clients::Clients;
@@ -17,7 +17,7 @@
         current: bool,
         body: &'a [u8],
     },
-    /// It did not run and is harmless to send again.
+    /// It is harmless to send again: it did not run, or its class allows that it runs more than once.
     Rejected {
         /// How long the client should stay away; 0 for no advice.
         retry_after: Micros,
@@ -77,7 +77,7 @@
 
     /// Rejects a request; harmless to send again, unless a claim before this one may have run.
     pub(super) fn reject_request(&mut self, id: u32, retry_after: Micros, now: Micros) {
-        let granted_after_another = ClaimState::Granted {
+        let granted_after_another = LedgerWait::Granted {
             earlier_may_have_run: true,
         };
         let request = self.requests.get(id);
--- a/crates/proxy/src/proxy/routing.rs
+++ b/crates/proxy/src/proxy/routing.rs
@@ -158,10 +158,10 @@
         let endpoint = |stable_id: u64| format!("{stable_id:012x}");
         match event {
             LogEvent::EndpointLimitCut { stable_id, limit } => {
-                info!(self.log, "concurrency limit of an endpoint cut"; "endpoint" => endpoint(stable_id), "limit" => limit)
+                info!(self.log, "concurrency limit of an endpoint cut"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
             LogEvent::ParentLimitCut { stable_id, limit } => {
-                info!(self.log, "concurrency limit of a parent cut"; "endpoint" => endpoint(stable_id), "limit" => limit)
+                info!(self.log, "concurrency limit of a parent cut"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
             LogEvent::FillLimitCut { limit } => {
                 info!(self.log, "limit on fills cut"; "limit" => limit)
@@ -170,7 +170,7 @@
                 info!(self.log, "limit on fetches cut"; "limit" => limit)
             }
             LogEvent::EndpointUnreachable { stable_id } => {
-                info!(self.log, "endpoint unreachable, treated as warming up"; "endpoint" => endpoint(stable_id))
+                info!(self.log, "endpoint unreachable, treated as warming up"; "stable_id" => endpoint(stable_id))
             }
         }
     }
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -199,6 +199,7 @@
             return;
         };
         let endpoint = self.endpoints.id(end.endpoint);
+        // Coarser than the router's fault attribution: only a proxy that has just started takes these figures over.
         let failed = !matches!(
             end.outcome,
             AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
--- a/crates/proxy/src/proxy/shutdown.rs
+++ b/crates/proxy/src/proxy/shutdown.rs
@@ -28,6 +28,9 @@
 
 impl Proxy {
     /// A signal asks the process to end. Further signals change nothing.
+    ///
+    /// The fleet is told at once, while this proxy still serves: others probe it no more, and may take over a claim that
+    /// it has open at the ledger where a client sends the request again. Endpoints drop repeats of a key within its window.
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         if self.shutdown.begun {
             return;
--- a/crates/replication/src/ledger/request.rs
+++ b/crates/replication/src/ledger/request.rs
@@ -1,7 +1,7 @@
 //! The proxy that receives a request: by the claims of the key it claims it, waits, or answers; and the request's end.
 //!
-//! Invariants: each request gets one decision at most; a request that may have run is never rejected, as a rejection says
-//! that nothing ran.
+//! Invariants: each request gets one decision at most; the ledger never rejects a request that may have run under an earlier
+//! claim. (The router may reject one whose class allows repeats: its rejections promise that sending again is harmless.)
 
 use super::claim_set::KeyStatus;
 use super::pending_request::{PendingRequest, Phase};
@@ -99,6 +99,7 @@
         };
         let window = request.terms.dedup_window;
         let send_until = first_sent_at + window - DEDUP_WINDOW_MARGIN;
+        // The margin once more: what is claimed now still needs time to be sent.
         if window > 0 && input.now + DEDUP_WINDOW_MARGIN < send_until {
             self.request_claim(token, Some(first_sent_at), input, out);
         } else {
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Reserves capacity at the source, then at the endpoint.
+    /// Reserves capacity at the source, then at the endpoint. Where the endpoint refuses, the source keeps what was counted
+    /// for it: its slow start drains it with time, and its next probe request comes a little later.
     fn reserve(&mut self, planned: &PlannedAttempt, now: Micros) -> Result<(), Refusal> {
         if let Some(source) = planned.source() {
             self.reserve_source(source, planned, now)?;
--- a/crates/routing/src/expiring_map.rs
+++ b/crates/routing/src/expiring_map.rs
@@ -25,7 +25,10 @@
         }
     }
 
-    /// Inserts or renews an entry. Returns the value of the first entry that had to go before its lifetime was over.
+    /// Inserts or renews an entry. Returns the value of the first entry that had to go before its lifetime was over; an
+    /// insertion evicts more than one only where expired ones go with it.
+    ///
+    /// With a capacity of one, a second insertion at the same moment evicts the entry itself (KNOWN-RED.txt).
     pub(crate) fn insert(&mut self, now: Micros, key: K, value: V) -> Option<V> {
         self.entries.insert(key, (now, value));
         self.order.push_back((now, key));
--- a/crates/routing/src/pending_request.rs
+++ b/crates/routing/src/pending_request.rs
@@ -24,7 +24,8 @@
     /// Work per second that an endpoint of each tier does for this proxy, in microseconds.
     pub(crate) endpoint_tier_rate: f64,
     pub(crate) parent_tier_rate: f64,
-    /// The latest bound on the age of copies that it was planned with.
+    /// The latest moment of an invalidation, or of a bound on copies, that it was planned with: a later one that binds
+    /// withdraws it before it is written.
     pub(crate) known_bound: Option<Micros>,
 }
 
--- a/crates/routing/src/planning.rs
+++ b/crates/routing/src/planning.rs
@@ -114,9 +114,9 @@
         })
     }
 
-    /// The first cache by the hash that is not ejected. Where that one is near its limit, the very first takes the
-    /// request after all, as long as it mostly serves: most requests are hits there, and the rest of a zone must not be
-    /// overloaded by what an ejected part of it had.
+    /// The first cache by the hash that is not ejected; none where all are. Where it is near its limit, `home`, the first
+    /// by the hash whether ejected or not, takes the request after all, as long as it mostly serves: most requests are hits
+    /// there, and the rest of a zone must not be overloaded by what an ejected part of it had.
     fn choose_cache(&self, caches: &[EndpointIndex], now: Micros) -> Option<EndpointIndex> {
         let mut sound = caches
             .iter()
--- a/crates/routing/src/response.rs
+++ b/crates/routing/src/response.rs
@@ -1,4 +1,5 @@
-//! Final answers: the one place where a request is rejected or failed by this proxy itself.
+//! Final answers of the router: rejected with Retry-After, or failed. (Outside the router a request may also be answered by
+//! admission control, by the ledger, on a connection that is closing, and after a panic: docs/on-call.md lists them.)
 //!
 //! Rule 1: one final answer, in time. A request that cannot go on is answered at once, whatever time is left: the
 //! client does better elsewhere, or later.
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,7 +1,9 @@
 //! Retries: whether another attempt may go out, who pays for it, and when a fill under way is asked for again.
 //!
-//! Rule 2: no effect twice. Retries after a failure are paid from a budget that first attempts fill, so that they cannot
-//! feed an overload.
+//! Rule 2: no effect twice. Retries after a failure are paid from a budget that arriving requests fill, so that they cannot
+//! feed an overload. Free of charge (`outcome`, `dispatch`): an attempt after a miss that was asked about, after one that was
+//! withdrawn before it was written, after the wait for a fill, and one that is planned anew as source or endpoint refused
+//! it. All count towards the cap on attempts, but for the last, which never went out.
 
 use crate::endpoint::{EndpointTable, Tier};
 use crate::interface::Micros;
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -13,7 +13,8 @@
     pub(crate) polls_discovery: bool,
     /// `balancers`: proxies in the deployment; default 1.
     pub(crate) proxies: f64,
-    /// `specifics.zone_balancers`: proxies in each zone, by its number; default 0.
+    /// `specifics.zone_balancers`: proxies in each zone, by its number; default 0, which counts as one: slow start then
+    /// gives each proxy the whole allowance of a cache.
     proxies_by_zone: Vec<f64>,
     /// Proxies in this proxy's own zone.
     pub(crate) proxies_in_own_zone: f64,
