--- a/crates/admission/tests/recorded/workload.rs
+++ b/crates/admission/tests/recorded/workload.rs
@@ -1,6 +1,5 @@
 //! Clients of several tenants by seed: some come when they were told to, some at once, and some leave.
 
-use crate::random::Random;
 use meadowrill_admission::config::{AdmissionConfig, QueueDiscipline, Tenant};
 use meadowrill_admission::controller::AdmissionController;
 use meadowrill_admission::cost::RequestClass;
@@ -8,6 +7,7 @@
 use meadowrill_admission::request::{
     AdmissionEvent, AdmissionRequest, CapacityLimits, Completion, Decision, Rejection, Ticket,
 };
+use meadowrill_recorded_traces::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write;
--- a/crates/membership/tests/recorded/crowd.rs
+++ b/crates/membership/tests/recorded/crowd.rs
@@ -1,11 +1,11 @@
 //! Two views, and a third party that tells one of them of members that do not exist, and of the other's death: what
 //! bounds hold, what is believed, and what comes back after it was forgotten.
 
-use crate::random::Random;
 use crate::trace;
 use meadowrill_membership::settings::FleetSettings;
 use meadowrill_membership::view::{Action, MemberIdentity, View};
 use meadowrill_membership::wire::{encode, Body, Packet, Record};
+use meadowrill_recorded_traces::Random;
 use prost::Message;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/membership/tests/recorded/simulation.rs
+++ b/crates/membership/tests/recorded/simulation.rs
@@ -1,10 +1,10 @@
 //! A fleet in one process by seed: a network that loses, doubles and delays, and faults that are drawn.
 
-use crate::random::Random;
 use crate::trace;
 use meadowrill_membership::settings::FleetSettings;
 use meadowrill_membership::view::{Action, MemberIdentity, View};
 use meadowrill_membership::wire::{decode, encode, encode_chunk, Value};
+use meadowrill_recorded_traces::Random;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::fmt::Write;
--- a/crates/replication/tests/recorded/schedule.rs
+++ b/crates/replication/tests/recorded/schedule.rs
@@ -1,8 +1,8 @@
 //! A drawn schedule over a handful of replicas: a network that loses, doubles and reorders, splits, restarts with and
 //! without a snapshot, writes of every type of record, keyed requests at several replicas and their ends.
 
-use super::random::Random;
 use super::text;
+use meadowrill_recorded_traces::Random;
 use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
 use meadowrill_replication::record_type::RecordType;
 use meadowrill_replication::records::{EndpointInfo, EndpointPhase};
--- a/crates/routing/tests/decision_trace/world.rs
+++ b/crates/routing/tests/decision_trace/world.rs
@@ -1,8 +1,8 @@
 //! A small deployment that answers the decision module: endpoints that are slow, fail, drain, start anew and vanish by
 //! a drawn schedule, and clients that ask, leave and half-close. All times are whole microseconds.
 
-use crate::random::Random;
 use crate::trace::write_action;
+use meadowrill_recorded_traces::Random;
 use meadowrill_routing::interface::*;
 use meadowrill_routing::router::Router;
 use std::collections::{BTreeMap, BTreeSet};
