--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,25 +1,25 @@
-//! Claims about a member, and which of two supersedes the other.
+//! Claims about a member, and the rules by which one claim supersedes another.
 //!
 //! Invariants, explored by model checking in `tests/model.rs`:
-//! - claims are totally ordered by start, incarnation and state, so all proxies that receive the same claims, in whatever
-//!   order and however often, end with the same one;
-//! - only the member itself raises its incarnation or its start, so what it claims of itself wins in the end.
+//! - claims are totally ordered by start, incarnation and state, so all proxies that receive the same claims converge
+//!   on the same one, in whichever order and however often they receive them;
+//! - only the member itself raises its incarnation or its start, so its own claim eventually supersedes all others.
 
-/// The state of a member. Of two claims with the same incarnation the one with the later state supersedes the other.
+/// The state of a member. If two claims have the same incarnation, the claim with the later state supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It responds to probes, or no observer has found that it does not.
+    /// The member responds to probes, or no observer has detected a failure yet.
     Alive,
-    /// An observer's probe failed, and the member has not refuted that yet.
+    /// An observer's probe failed, and the member has not refuted the suspicion yet.
     Suspected,
-    /// It was suspected for too long.
+    /// The suspicion timed out.
     Dead,
-    /// It announced its departure.
+    /// The member announced its departure.
     Left,
 }
 
 impl MemberState {
-    /// The state with this number on the wire.
+    /// Converts the number of a state on the wire.
     pub fn from_wire(number: u32) -> Option<MemberState> {
         [
             MemberState::Alive,
@@ -31,7 +31,7 @@
         .copied()
     }
 
-    /// Its name in logs and tables.
+    /// The name of the state in logs and tables.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -41,22 +41,22 @@
         }
     }
 
-    /// Whether a member in this state is a part of the fleet: alive or suspected.
+    /// Whether a member in this state is part of the fleet: alive or suspected.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspected
     }
 }
 
 /// A claim about one member. Claims are ordered by start, then incarnation, then state: a later process supersedes the
-/// former one of its name, and a refutation all that it refutes.
+/// former process with its name, and a refutation supersedes every claim that it refutes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
-    /// Generation of the process: tells processes of one name apart, and their order. It begins as the time of a clock,
-    /// but is only ever compared.
+    /// Generation of the process, which distinguishes and orders the processes with one name. Its first value is a
+    /// clock time, but it is only compared with other starts.
     pub start: u64,
     /// Raised only by the member itself, to refute a claim.
     pub incarnation: u64,
-    /// What is claimed of that process.
+    /// The claimed state of that process.
     pub state: MemberState,
 }
 
@@ -75,7 +75,7 @@
         Claim { state, ..self }
     }
 
-    /// Whether this supersedes what is known.
+    /// Whether this claim supersedes the known one.
     pub fn supersedes(&self, known: &Claim) -> bool {
         if crate::mutant("stale-incarnation") && self.start == known.start {
             return self.state != known.state;
@@ -84,7 +84,8 @@
     }
 }
 
-/// The refutation of a claim about this member, if it is wrong. A member that has left refutes nothing.
+/// Returns the refutation of a received claim about this member, if the claim is wrong. A member that has left refutes
+/// no claims.
 pub fn refute(own: Claim, received: Claim) -> Option<Claim> {
     if crate::mutant("no-refutation")
         || own.state == MemberState::Left
@@ -99,7 +100,7 @@
     })
 }
 
-/// A claim that supersedes this start, of another process or of one that was forgotten, unless `own` does already.
+/// Returns a claim that supersedes the start of another or a forgotten process, unless `own` already supersedes it.
 pub fn supersede_start(own: Claim, start: u64) -> Option<Claim> {
     (start >= own.start).then(|| Claim::alive(start.saturating_add(1)))
 }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,18 +1,18 @@
-//! Digests of a view, by which two proxies find where their views differ without sending all that they know.
+//! Digests of a view, with which two proxies find the differences between their views without sending all records.
 //!
-//! A digest is a set hash: the XOR of the hashes of its entries, by bucket. Invariant: its value depends on the set
-//! alone, not on the order in which entries were added and removed.
+//! A digest is a set hash: the XOR of the hashes of its entries, by bucket. Invariant: its value depends only on the
+//! set of entries, not on the order in which they were added and removed.
 
 use crate::claim::Claim;
 use crate::hash::{stable_hash, BUCKET_SALT, ENTRY_SALT};
 use crate::wire::BUCKET_COUNT;
 
-/// The bucket of a member, by its name.
+/// The bucket of a member, determined by its name.
 pub fn bucket(name: &str) -> usize {
     (stable_hash(name, BUCKET_SALT) % BUCKET_COUNT as u64) as usize
 }
 
-/// XOR of the hashes of a set of entries, by bucket; independent of the order in which they were added.
+/// The XOR of the hashes of a set of entries, by bucket. It does not depend on the order in which they were added.
 #[derive(Clone, Debug)]
 pub struct Digest {
     buckets: [u64; BUCKET_COUNT],
@@ -27,7 +27,7 @@
 }
 
 impl Digest {
-    /// Adds an entry, or removes it if it was added before.
+    /// Adds an entry, or removes it if the digest already contains it.
     pub fn toggle(&mut self, name: &str, claim: &Claim, revision: u64) {
         let mut h = stable_hash(name, ENTRY_SALT);
         for part in [claim.start, claim.incarnation, claim.state as u64, revision] {
@@ -37,15 +37,15 @@
         self.buckets[bucket(name)] ^= h;
     }
 
-    /// Hash over all buckets.
+    /// The hash of all buckets.
     pub fn root(&self) -> u64 {
         self.buckets.iter().fold(7, |h, b| {
             (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23)
         })
     }
 
-    /// The buckets, folded to 32 bits each. A difference that this hides is found by another pair of proxies, or
-    /// after the next change.
+    /// The buckets, each folded to 32 bits. If folding hides a difference, another pair of proxies finds it, or it is
+    /// found after the next change.
     pub fn bucket_digests(&self) -> Vec<u32> {
         self.buckets
             .iter()
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,47 +1,47 @@
-//! The envelope of every message between proxies: a mark of two letters for its kind, a version, a checksum (CRC-32,
-//! as in IEEE 802.3), and a protobuf message, plain in a datagram and compressed (DEFLATE, RFC 1951) in a chunk of a
-//! stream.
+//! The envelope of every message between proxies: two magic bytes for the kind of the message, a version, a checksum
+//! (CRC-32, as in IEEE 802.3), and a protobuf message. The message is plain in a datagram, and compressed (DEFLATE,
+//! RFC 1951) in a stream chunk.
 //!
-//! Invariant: a message is decoded only behind a matching mark, version and checksum, and decompressed only up to a
-//! bound.
+//! Invariant: a message is decoded only if magic bytes, version and checksum match, and decompressed only up to a size
+//! limit.
 
 use prost::Message;
 use std::fmt;
 
-/// Bytes of the header: mark, version and checksum.
+/// Length of the header in bytes: magic bytes, version and checksum.
 pub const HEADER_LENGTH: usize = 7;
 const CHECKSUM_LENGTH: usize = 4;
-/// Most bytes of a chunk as it is sent: hosts drop a longer one unread.
+/// Maximum length of a compressed chunk, in bytes. Hosts drop longer chunks without reading them.
 pub const MAX_CHUNK_LENGTH: usize = 64 * 1024;
-/// Most bytes of a chunk after decompression.
+/// Maximum length of a chunk after decompression, in bytes.
 const MAX_DECOMPRESSED_LENGTH: usize = 256 * 1024;
-/// Compression level for messages that a small send budget limits.
+/// Compression level of messages that are limited by a small send budget.
 pub const COMPACT_LEVEL: u8 = 6;
-/// Compression level for messages that the event loop waits for.
+/// Compression level of messages for which the event loop waits.
 pub const FAST_LEVEL: u8 = 1;
 
 /// Why a message or a record was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// It is shorter than a header.
+    /// The message is shorter than a header.
     TooShort,
-    /// It has the mark of no message that is expected here.
-    UnknownMark,
-    /// It is of another version of the format.
+    /// The magic bytes are not those of an expected message.
+    UnknownMagic,
+    /// The message has another format version.
     UnknownVersion,
-    /// Its checksum does not match.
+    /// The checksum does not match.
     WrongChecksum,
-    /// It cannot be decompressed or decoded.
+    /// The message cannot be decompressed or decoded.
     Malformed,
-    /// It is of another fleet.
+    /// The message belongs to another fleet.
     OtherFleet,
-    /// A part of it is too long or out of range.
+    /// A part of the message is too long or out of range.
     OutOfBounds,
-    /// There is no capacity for another member.
+    /// The view has no capacity for another member.
     ViewFull,
-    /// It is from a member that is considered dead or forgotten.
+    /// The sender is considered dead, has left or was forgotten.
     SenderDead,
-    /// It is from another process of this proxy's name.
+    /// The sender is another process with this proxy's name.
     NameConflict,
 }
 
@@ -49,7 +49,7 @@
     /// All reasons.
     pub const ALL: [DropReason; 10] = [
         DropReason::TooShort,
-        DropReason::UnknownMark,
+        DropReason::UnknownMagic,
         DropReason::UnknownVersion,
         DropReason::WrongChecksum,
         DropReason::Malformed,
@@ -60,11 +60,11 @@
         DropReason::NameConflict,
     ];
 
-    /// Its name in metrics.
+    /// The name of the reason in metrics.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::TooShort => "short",
-            DropReason::UnknownMark => "mark",
+            DropReason::UnknownMagic => "mark",
             DropReason::UnknownVersion => "version",
             DropReason::WrongChecksum => "checksum",
             DropReason::Malformed => "garbled",
@@ -80,14 +80,14 @@
 impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DropReason::TooShort => "shorter than a header",
-            DropReason::UnknownMark => "unknown mark",
-            DropReason::UnknownVersion => "unknown version",
+            DropReason::TooShort => "message is shorter than a header",
+            DropReason::UnknownMagic => "unknown magic bytes",
+            DropReason::UnknownVersion => "unknown format version",
             DropReason::WrongChecksum => "wrong checksum",
             DropReason::Malformed => "malformed message",
-            DropReason::OtherFleet => "of another fleet",
-            DropReason::OutOfBounds => "out of bounds",
-            DropReason::ViewFull => "no capacity for another member",
+            DropReason::OtherFleet => "message belongs to another fleet",
+            DropReason::OutOfBounds => "a part of the message is out of bounds",
+            DropReason::ViewFull => "view has no capacity for another member",
             DropReason::SenderDead => "sender is considered dead",
             DropReason::NameConflict => "sender has this proxy's name",
         })
@@ -96,32 +96,32 @@
 
 impl std::error::Error for DropReason {}
 
-/// Encodes a plain message.
-pub fn encode(mark: [u8; 2], version: u8, message: &impl Message, into: &mut Vec<u8>) {
-    begin(mark, version, into);
-    // A vector grows as it needs to.
+/// Encodes a message without compression.
+pub fn encode(magic: [u8; 2], version: u8, message: &impl Message, into: &mut Vec<u8>) {
+    write_header(magic, version, into);
+    // Encoding into a vector cannot fail, because the vector grows as needed.
     let _ = message.encode(into);
     write_checksum(into);
 }
 
-/// Encodes a compressed message.
+/// Encodes and compresses a message.
 pub fn encode_compressed(
-    mark: [u8; 2],
+    magic: [u8; 2],
     version: u8,
     level: u8,
     message: &impl Message,
     into: &mut Vec<u8>,
 ) {
-    begin(mark, version, into);
+    write_header(magic, version, into);
     let plain = message.encode_to_vec();
     into.extend(miniz_oxide::deflate::compress_to_vec(&plain, level));
     write_checksum(into);
 }
 
-/// Clears the buffer, and writes a header without its checksum.
-fn begin(mark: [u8; 2], version: u8, into: &mut Vec<u8>) {
+/// Clears the buffer and writes a header whose checksum is still zero.
+fn write_header(magic: [u8; 2], version: u8, into: &mut Vec<u8>) {
     into.clear();
-    into.extend(mark);
+    into.extend(magic);
     into.push(version);
     into.extend([0; CHECKSUM_LENGTH]);
 }
@@ -131,27 +131,27 @@
     into[HEADER_LENGTH - CHECKSUM_LENGTH..HEADER_LENGTH].copy_from_slice(&checksum);
 }
 
-/// The mark of an encoded message.
-pub fn message_mark(bytes: &[u8]) -> Option<[u8; 2]> {
+/// The magic bytes of an encoded message, or `None` if the message is too short.
+pub fn message_magic(bytes: &[u8]) -> Option<[u8; 2]> {
     bytes.first_chunk::<2>().copied()
 }
 
-/// Decodes a message, plain or compressed, by its mark.
+/// Decodes a plain or compressed message, depending on its magic bytes.
 ///
 /// # Errors
-/// The reason to drop the message: its header is wrong, or what follows cannot be decoded.
+/// Returns the reason to drop the message: its header is invalid, or the content cannot be decoded.
 pub fn decode<M: Message + Default>(
-    plain_mark: [u8; 2],
-    compressed_mark: [u8; 2],
+    plain_magic: [u8; 2],
+    compressed_magic: [u8; 2],
     version: u8,
     bytes: &[u8],
 ) -> Result<M, DropReason> {
     let Some((header, rest)) = bytes.split_first_chunk::<HEADER_LENGTH>() else {
         return Err(DropReason::TooShort);
     };
-    let is_compressed = header[..2] == compressed_mark;
-    if header[..2] != plain_mark && !is_compressed {
-        return Err(DropReason::UnknownMark);
+    let is_compressed = header[..2] == compressed_magic;
+    if header[..2] != plain_magic && !is_compressed {
+        return Err(DropReason::UnknownMagic);
     }
     if header[2] != version {
         return Err(DropReason::UnknownVersion);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,15 @@
-//! The membership protocol of a fleet of proxies: which are alive, suspected, dead or have left (docs/membership.md).
+//! The membership protocol of a fleet of proxies: it tracks which proxies are alive, suspected or dead, or have left
+//! (docs/membership.md).
 //!
-//! SWIM (Das, Gupta, Motivala, 2002) with the health awareness of Lifeguard (Dadgar, Phillips, Currey, 2017), the fixed
-//! observers of Rapid (Suresh et al., 2018) and anti-entropy by digests. Datagrams and the time go in, datagrams and
-//! changes come out: no I/O, no clock, and randomness by a seed.
+//! The protocol is SWIM (Das, Gupta, Motivala, 2002) with the local health awareness of Lifeguard (Dadgar, Phillips,
+//! Currey, 2017), the fixed observers of Rapid (Suresh et al., 2018) and digest-based anti-entropy. The inputs are
+//! datagrams and the current time, the outputs are datagrams and membership changes. The crate performs no I/O, reads
+//! no clock, and takes all randomness from a seed.
 //!
 //! - [`view`]: the state machine that a host drives;
-//! - [`claim`], [`rings`], [`rumors`], [`digest`], [`health`]: the rules it is made of, each by itself;
+//! - [`claim`], [`rings`], [`rumors`], [`digest`], [`health`]: the independent rules that the state machine combines;
 //! - [`wire`], [`envelope`]: the messages and their encoding;
-//! - [`settings`]: what can be set, and its bounds.
+//! - [`settings`]: the settings and their bounds.
 
 pub mod claim;
 pub mod digest;
@@ -24,7 +26,8 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// Whether this deliberate fault is switched on; only in builds with the feature `mutants`, for tests of the checkers.
+/// Whether this deliberate fault is enabled. Only builds with the feature `mutants` have faults, to test that the
+/// checkers detect them.
 #[cfg(feature = "mutants")]
 pub fn mutant(name: &str) -> bool {
     use std::sync::OnceLock;
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,27 +1,27 @@
-//! Observer rings: which members probe which (Rapid, 2018).
+//! Observer rings, which determine the members that each member probes (Rapid, 2018).
 //!
-//! On each ring members are ordered by a hash of their names, and each observes its successor. Invariants: proxies
-//! with the same view agree on all observers; each member has as many observers as there are rings, as far as there
-//! are other members; one that joins or leaves changes only its neighbours.
+//! On each ring, members are ordered by a hash of their names, and each member observes its successor. Invariants:
+//! proxies with the same view agree on all observers; each member has one observer per ring, if there are enough other
+//! members; a member that joins or leaves changes only the observations of its neighbours.
 
 use crate::hash::stable_hash;
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Steps along one ring at most.
+/// Maximum number of members that are visited on one ring.
 const MAX_STEPS: usize = 8;
-/// Steps beyond the last unhealthy member: where one has died its neighbours may have died as well, and finding that
-/// out one after the other costs a period each.
+/// Number of members observed in addition to the first healthy one after an unhealthy member. If a member has died, its
+/// neighbours may have died as well, and detecting these deaths one after the other takes one period each.
 const STEPS_BEYOND_UNHEALTHY: usize = 2;
 
-/// The members on all rings.
+/// The positions of the members on all rings.
 #[derive(Clone, Debug, Default)]
 pub struct Rings {
     rings: Vec<BTreeSet<(u64, String)>>,
 }
 
 impl Rings {
-    /// `count` empty rings.
+    /// Creates `count` empty rings.
     pub fn new(count: usize) -> Rings {
         Rings {
             rings: vec![BTreeSet::new(); count],
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The members that a member observes: each name once, never its own. Beyond an unhealthy member the next ones
-    /// are observed as well, so that no member is left without observers when most die at once.
+    /// The members that a member observes, each once and without the member itself. The successors of an unhealthy
+    /// member are observed as well, so that no member is without observers when most members die at once.
     pub fn observed_by(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observed = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
@@ -58,7 +58,7 @@
         observed
     }
 
-    /// The observers of a member, by the same rule.
+    /// The observers of a member, by the same rule as [`Rings::observed_by`].
     pub fn observers_of(&self, name: &str, is_unhealthy: impl Fn(&str) -> bool) -> Vec<&str> {
         let mut observers = Vec::with_capacity(self.rings.len());
         for (number, ring) in (0u64..).zip(&self.rings) {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Collects the first member of a ring, and those beyond each unhealthy one.
+/// Collects the first member of a ring and the members that follow each unhealthy one.
 fn collect_neighbours<'a>(
     ring: impl Iterator<Item = &'a (u64, String)>,
     is_unhealthy: impl Fn(&str) -> bool,
--- a/crates/membership/src/rumors.rs
+++ b/crates/membership/src/rumors.rs
@@ -1,16 +1,17 @@
-//! Gossip: the rumors that this proxy still has to transmit, newest first, each a bounded number of times.
+//! Gossip: a queue of the rumors that this proxy still has to transmit. The newest rumors come first, and each is
+//! transmitted a bounded number of times.
 //!
-//! Invariants: there is at most one rumor about each member; the queue and the index by name hold the same rumors; each
-//! queued rumor has at least one transmission left.
+//! Invariants: there is at most one rumor about each member; the queue and the index by name contain the same rumors;
+//! each queued rumor has at least one transmission left.
 
 use std::collections::BTreeMap;
 
-/// How often each is transmitted, as a multiple of the binary logarithm of the fleet's size.
+/// Number of transmissions of each rumor, as a multiple of the binary logarithm of the fleet's size.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
 
 #[derive(Clone, Debug)]
 struct Rumor {
-    /// The member that it is about.
+    /// Name of the member that the rumor is about.
     name: String,
     transmissions_left: u32,
 }
@@ -18,7 +19,7 @@
 /// A queue of rumors, at most one about each member.
 #[derive(Clone, Debug, Default)]
 pub struct Rumors {
-    /// By age: later ones have larger numbers.
+    /// Rumors by age: newer ones have larger numbers.
     queue: BTreeMap<u64, Rumor>,
     /// The number of the rumor about each member.
     numbers: BTreeMap<String, u64>,
@@ -26,7 +27,7 @@
 }
 
 impl Rumors {
-    /// Queues a rumor about a member, in place of an earlier one about it. `members` is the fleet's size without this
+    /// Queues a rumor about a member and replaces an earlier rumor about it. `members` is the fleet's size without this
     /// proxy.
     pub fn insert(&mut self, name: &str, members: usize) {
         self.remove(name);
@@ -55,7 +56,8 @@
         self.queue.is_empty()
     }
 
-    /// Offers names, newest rumor first, until `accept` refuses one; counts a transmission of each accepted one.
+    /// Passes the names of the rumors to `accept`, newest first, until it returns false. Each accepted name counts as
+    /// one transmission of its rumor.
     pub fn transmit(&mut self, mut accept: impl FnMut(&str) -> bool) {
         let mut finished = Vec::new();
         for (number, rumor) in self.queue.iter_mut().rev() {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the fleet for one proxy, with their bounds. Keys of the settings file are named in errors only.
+//! The fleet settings of one proxy and their bounds. The keys of the settings file appear only in errors.
 
 use crate::hash::{stable_hash, FLEET_SALT};
 use crate::Micros;
@@ -8,21 +8,21 @@
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
-/// Most bytes of a name, a zone or a version.
+/// Maximum length of a name, a zone or a version, in bytes.
 pub const MAX_TEXT_LENGTH: usize = 64;
 const PROBE_PERIOD_RANGE: RangeInclusive<Micros> = SECOND / 20..=60 * SECOND;
 const OBSERVERS_RANGE: RangeInclusive<usize> = 1..=16;
 const MAX_MEMBERS_RANGE: RangeInclusive<usize> = 2..=65_536;
 const BYTES_PER_SECOND_RANGE: RangeInclusive<u64> = 1000..=1_000_000_000;
-/// Shortest retention of departed members, in probe periods.
+/// Minimum retention of departed members, in probe periods.
 const MIN_RETENTION_PERIODS: Micros = 10;
 
 /// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Its key, below `fleet`.
+    /// Key of the setting, below `fleet`.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Description of the violated bound.
     pub message: String,
 }
 
@@ -34,39 +34,39 @@
 
 impl std::error::Error for InvalidSetting {}
 
-/// The settings of the fleet for one proxy.
+/// The fleet settings of one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Name of the fleet: messages of others are dropped. Default: `meadowrill`.
+    /// Name of the fleet. Messages from other fleets are dropped. Default: `meadowrill`.
     pub fleet: String,
-    /// Where this proxy receives messages.
+    /// Address at which this proxy receives messages.
     pub listen: SocketAddr,
-    /// The address that it publishes for that. Default: where it listens.
+    /// Address that this proxy publishes to receive messages. Default: `listen`.
     pub advertise: SocketAddr,
-    /// Addresses of proxies through which this one joins. Default: none.
+    /// Addresses of proxies through which this proxy joins the fleet. Default: none.
     pub contacts: Vec<SocketAddr>,
-    /// Zone of this proxy, published to others. Default: empty.
+    /// Zone of this proxy, published to other members. Default: empty.
     pub zone: String,
-    /// Weight of this proxy against others, published to them. Default: 1.
+    /// Weight of this proxy relative to other proxies, published to them. Default: 1.
     pub weight: u32,
-    /// Time between two probes of one member by one observer. Default: a second.
+    /// Interval at which an observer probes a member. Default: one second.
     pub probe_period: Micros,
-    /// Observers of each member. Default: 4.
+    /// Number of observers of each member. Default: 4.
     pub observers: usize,
-    /// Members that the view may hold, this proxy included. Default: 1024.
+    /// Maximum number of members in the view, including this proxy. Default: 1024.
     pub max_members: usize,
-    /// Rate of the send budget. Default: 4000.
+    /// Refill rate of the send budget. Default: 4000.
     pub bytes_per_second: u64,
-    /// How long members that are dead or have left stay in the view. Default: ten minutes.
+    /// How long members that are dead or have left are retained in the view. Default: ten minutes.
     pub departed_retention: Micros,
-    /// Whether local health extends timeouts: off in baselines only.
+    /// Whether local health extends timeouts. Disabled only in baselines.
     pub local_health: bool,
-    /// Whether long parts of an exchange may go over a stream. Default: yes.
+    /// Whether large messages of an anti-entropy exchange may be sent over a stream. Default: true.
     pub use_streams: bool,
 }
 
 impl FleetSettings {
-    /// The defaults, for a proxy that listens there.
+    /// The default settings of a proxy with this listen address.
     pub fn new(listen: SocketAddr) -> FleetSettings {
         FleetSettings {
             fleet: "meadowrill".into(),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Hash of the fleet's name, as in every message.
+    /// Hash of the fleet's name, which every message carries.
     pub fn fleet_id(&self) -> u64 {
         stable_hash(&self.fleet, FLEET_SALT)
     }
@@ -103,17 +103,17 @@
         ensure(
             !self.fleet.is_empty() && self.fleet.len() <= MAX_TEXT_LENGTH,
             "name",
-            &format!("has to be of 1 to {MAX_TEXT_LENGTH} bytes"),
+            &format!("must be 1 to {MAX_TEXT_LENGTH} bytes long"),
         )?;
         ensure(
             self.zone.len() <= MAX_TEXT_LENGTH,
             "zone",
-            &format!("is longer than {MAX_TEXT_LENGTH} bytes"),
+            &format!("must be at most {MAX_TEXT_LENGTH} bytes long"),
         )?;
         ensure(
             !self.advertise.ip().is_unspecified() && self.advertise.port() != 0,
             "advertise",
-            "is no address that others could reach; listen on one, or tell it",
+            "is not an address that other proxies can reach; listen on such an address or set advertise",
         )
     }
 
@@ -121,27 +121,27 @@
         ensure(
             PROBE_PERIOD_RANGE.contains(&self.probe_period),
             "period_ms",
-            "is not within 50 to 60000",
+            "must be between 50 and 60000",
         )?;
         ensure(
             OBSERVERS_RANGE.contains(&self.observers),
             "observers",
-            "is not within 1 to 16",
+            "must be between 1 and 16",
         )?;
         ensure(
             MAX_MEMBERS_RANGE.contains(&self.max_members),
             "members_most",
-            "is not within 2 to 65536",
+            "must be between 2 and 65536",
         )?;
         ensure(
             BYTES_PER_SECOND_RANGE.contains(&self.bytes_per_second),
             "bytes_per_s",
-            "is not within 1000 to 1000000000",
+            "must be between 1000 and 1000000000",
         )?;
         ensure(
             self.departed_retention >= MIN_RETENTION_PERIODS * self.probe_period,
             "remember_s",
-            "is less than ten periods",
+            "must be at least ten probe periods",
         )
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,19 +1,22 @@
 //! One proxy's view of the fleet: the membership state machine (docs/membership.md).
 //!
-//! A host calls [`View::receive`] for each datagram or message of a stream and [`View::handle_timeout`] when
-//! [`View::next_timeout`] is due, and carries out the [`Action`]s that they append. The modules, in the order in which
-//! a failure passes through them:
+//! A host calls [`View::receive`] for each datagram or stream message and [`View::handle_timeout`] when
+//! [`View::next_timeout`] is due, and executes the [`Action`]s that these calls append. The modules, in the order in
+//! which they handle the failure of a member:
 //!
-//! - `timers`, `schedule`, `probing`, `relaying`: whom to probe when, direct probes, indirect probes for others;
-//! - `suspicion`, `refutation`, `name_conflict`: failure claims about others, and about this proxy;
-//! - `receive`, `merge`: dispatch of received messages, and which claims replace what is known;
-//! - `dissemination`, `anti_entropy`, `inventory`, `transfer`: rumors, and the comparison of whole views;
+//! - `timers`, `schedule`, `probing`, `relaying`: timers, the probe schedule, direct probes, and indirect probes on
+//!   behalf of other proxies;
+//! - `suspicion`, `refutation`, `name_conflict`: failure claims about other members and about this proxy, and other
+//!   processes with this proxy's name;
+//! - `receive`, `merge`: dispatch of received messages, and merging of claims into the view;
+//! - `dissemination`, `anti_entropy`, `inventory`, `transfer`: rumors, and the comparison of complete views;
 //! - `maintenance`, `tombstones`, `departure`: periodic work, forgotten members, leaving;
 //! - `send`, `budget`, `recipients`: encoding, rate limiting and the choice of recipients;
-//! - `own`, `member`, `status`, `event`: this proxy, the others, what a host can read, and what it is given.
+//! - `own`, `member`, `status`, `event`: this proxy, the other members, the state that a host can read, and the inputs
+//!   and outputs.
 //!
-//! Invariants across modules: the rings and the digest hold exactly the present members, this proxy among them; all
-//! randomness comes from one generator with a given seed, so the same inputs give the same outputs.
+//! Invariants across modules: the rings and the digest contain exactly the present members, including this proxy; all
+//! randomness comes from one generator with a given seed, so the same inputs produce the same outputs.
 
 mod anti_entropy;
 mod budget;
@@ -68,47 +71,47 @@
     own: OwnMember,
     members: BTreeMap<String, Member>,
     rings: Rings,
-    /// Summary of all present members, this proxy among them.
+    /// Summary of all present members, including this proxy.
     digest: Digest,
     health: Health,
     rumors: Rumors,
-    /// Probes of this proxy without a response yet, by sequence number.
+    /// Probes sent by this proxy that have no response yet, by sequence number.
     probes: BTreeMap<u64, Probe>,
-    /// Probes sent at the request of other proxies, by this proxy's sequence number.
+    /// Probes sent at the request of other proxies, by the sequence number that this proxy assigned.
     relayed_probes: BTreeMap<u64, RelayedProbe>,
     schedule: ProbeSchedule,
     maintenance: MaintenanceTimer,
-    /// When rumors are to be pushed to random members, if any are urgent.
+    /// When to push rumors to random members, if any are urgent.
     push_at: Option<Micros>,
     tombstones: Tombstones,
-    /// Addresses to which a stream failed, and until when streams to them are avoided.
+    /// Addresses to which a stream failed, and when streams to them may be used again.
     failed_streams: BTreeMap<SocketAddr, Micros>,
-    /// The last sequence number of a probe, own or relayed.
+    /// The last sequence number that this proxy assigned to a direct or relayed probe.
     last_sequence: u64,
-    /// Nonces of other processes with this proxy's name whose start this proxy has superseded.
+    /// Nonces of the other processes with this proxy's name whose starts this proxy has superseded.
     superseded_nonces: Vec<u64>,
     departure: Option<Departure>,
-    /// Another live process has this proxy's name: this one sends nothing more.
+    /// Whether this proxy has stopped sending because another live process has its name.
     withdrawn: bool,
-    /// The view has agreed with that of another proxy.
+    /// Whether this view has been equal to the view of another proxy at least once.
     joined: bool,
     budget: SendBudget,
     membership_changed_at: Micros,
-    /// The latest time that the host passed in.
+    /// The latest time that the host passed to this view.
     now: Micros,
     rng: fastrand::Rng,
     send_buffer: Vec<u8>,
     body_updates: u64,
-    /// Counts since the view was made.
+    /// Counters since the view was created.
     pub counters: Counters,
 }
 
 impl View {
-    /// A view that knows only itself. `seed` determines all of its random choices.
+    /// Creates a view that contains only this proxy. `seed` determines all of its random choices.
     pub fn new(settings: FleetSettings, identity: MemberIdentity, now: Micros, seed: u64) -> View {
         let mut rng = fastrand::Rng::with_seed(seed ^ stable_hash(&identity.name, SEED_SALT));
         let own = OwnMember::new(identity, &settings, rng.u64(1..));
-        // Proxies that start together spread their probe periods.
+        // A random offset spreads the probes of proxies that start at the same time.
         let first_probe_at = now + rng.i64(0..settings.probe_period);
         let mut rings = Rings::new(settings.observers);
         rings.insert(&own.name);
@@ -158,8 +161,8 @@
         self.last_sequence
     }
 
-    /// Adds a present member's claim and revision to the digest, or removes them if they are in it: to be called
-    /// before and after each change of either.
+    /// Adds the claim and revision of a present member to the digest, or removes them if the digest contains them.
+    /// Must be called before and after each change of either.
     fn toggle_digest(&mut self, name: &str) {
         if let Some(member) = self
             .members
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The same for this proxy, whatever its state.
+    /// Does the same for this proxy, regardless of its state.
     fn toggle_own_digest(&mut self) {
         self.digest
             .toggle(&self.own.name, &self.own.claim, self.own.revision);
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -1,22 +1,24 @@
-//! Anti-entropy: two proxies compare digests of their views and exchange what differs.
+//! Anti-entropy: two proxies compare digests of their views and exchange the records that differ.
 //!
-//! One sends the digest of its whole view. Where the other's differs it replies with its bucket digests, the first
-//! with an inventory of the buckets that differ, and the other with requests for the records that it lacks and with
-//! those that it knows better. A proxy that knows far fewer members than the other is sent random records instead.
+//! The first proxy sends the digest of its complete view. If the digest of the second proxy differs, it replies with
+//! its bucket digests. The first proxy then replies with an inventory of the buckets that differ, and the second proxy
+//! with requests for the records that it lacks and with the records that are newer in its own view. A proxy that knows
+//! fewer than half as many members as the other is sent random records instead.
 //!
-//! No step keeps state of the exchange: an exchange that is cut short by loss or by the send budget is made up for by
-//! a later one.
+//! No step keeps state of the exchange. If an exchange is cut short by message loss or by the send budget, a later
+//! exchange makes up for it.
 
 use super::recipients::Recipient;
 use super::transfer::MAX_DATAGRAM_RECORDS;
 use super::{Action, Change, View};
 use crate::wire::{BucketDigests, Payload, RootDigest};
 
-/// Records sent to a proxy that knows few members; over a stream as many as it knows, which doubles them.
+/// Number of records sent to a proxy that knows few members. Over a stream, at least as many records are sent as the
+/// proxy knows members, which doubles its view.
 const BOOTSTRAP_RECORDS: usize = MAX_DATAGRAM_RECORDS;
 
 impl View {
-    /// The digest of another proxy's whole view.
+    /// Handles the digest of another proxy's complete view.
     pub(super) fn receive_root_digest(
         &mut self,
         sender: Recipient,
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Sends records of random members to a proxy that knows few. It learns of others from those, so that a few
-    /// contacts need not send the whole view to all that join.
+    /// Sends records of random members to a proxy that knows few members. It learns of more members from these, so that
+    /// a few contacts do not have to send the complete view to all joining proxies.
     fn bootstrap(&mut self, to: Recipient, known: usize, actions: &mut Vec<Action>) {
         let count = if self.can_stream(to.address) {
             BOOTSTRAP_RECORDS.max(known)
@@ -58,7 +60,7 @@
         self.send_records(to, names, actions);
     }
 
-    /// This proxy's view agrees with that of another.
+    /// Records that this proxy's view is equal to the view of another proxy.
     pub(super) fn mark_joined(&mut self, actions: &mut Vec<Action>) {
         if !self.joined {
             self.joined = true;
--- a/crates/membership/src/view/departure.rs
+++ b/crates/membership/src/view/departure.rs
@@ -1,6 +1,6 @@
-//! Departure: a proxy announces that it leaves to random members until enough of them have confirmed it.
+//! Departure of a proxy: it announces to random members that it leaves, until enough of them have confirmed this.
 //!
-//! Invariants: from its first announcement on this proxy claims to have left; each member counts once among the
+//! Invariants: this proxy claims to have left from its first announcement on; each member counts once among the
 //! confirmations; the departure completes once, with enough confirmations or at its deadline.
 
 use super::member::PublishedBody;
@@ -12,15 +12,15 @@
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Confirmations after which a departure is complete.
+/// Number of confirmations that complete a departure.
 const NEEDED_CONFIRMATIONS: usize = 3;
-/// Longest wait for them, in probe periods.
+/// Maximum wait for confirmations, in probe periods.
 const MAX_WAIT_PERIODS: Micros = 2;
-/// Members that one announcement goes to.
+/// Maximum number of members to which one announcement is sent.
 const ANNOUNCEMENT_FANOUT: usize = 8;
-/// Announcements in each probe period.
+/// Number of announcements per probe period.
 const ANNOUNCEMENTS_PER_PERIOD: Micros = 10;
-/// The sequence number of all announcements: confirmations differ by their senders.
+/// Sequence number of all announcements. Confirmations are distinguished by their senders.
 const ANNOUNCEMENT_SEQUENCE: u64 = 0;
 
 /// This proxy's own departure.
@@ -28,7 +28,7 @@
 pub(super) struct Departure {
     deadline: Micros,
     pub next_announcement_at: Micros,
-    /// Names of those that have confirmed it.
+    /// Names of the members that have confirmed the departure.
     confirmed: BTreeSet<String>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl View {
-    /// Begins to leave the fleet. [`View::has_left`] is true once that is done.
+    /// Begins to leave the fleet. [`View::has_left`] returns true when the departure is complete.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now;
         if self.departure.is_some() || self.withdrawn {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Of some random members those that have not confirmed yet.
+    /// Chooses random members, and returns those that have not confirmed the departure yet.
     fn unconfirmed_peers(&mut self) -> Vec<Peer> {
         let mut peers = self.random_peers(ANNOUNCEMENT_FANOUT, "");
         if let Some(departure) = &self.departure {
@@ -116,7 +116,7 @@
             body,
             ..PublishedBody::default()
         };
-        // A sender that the view has no capacity for was no member of it: there is nothing to update.
+        // If the view has no capacity for the sender, the sender is not a member of it and there is nothing to update.
         let _ = self.learn(
             ClaimReport {
                 name: sender.name,
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of rumors: which changes are carried by probes, and which are pushed to random members soon.
+//! Dissemination of rumors: all are piggybacked on probes, and urgent ones are also pushed to random members.
 //!
 //! Invariant: at most one push is scheduled, at the earliest time that any urgent change requires.
 
@@ -7,20 +7,21 @@
 use crate::claim::{Claim, MemberState};
 use crate::Micros;
 
-/// The part of a probe period until an urgent change is pushed, as a divisor: changes in between share the datagrams.
+/// Divisor of the probe period that gives the delay before an urgent change is pushed. Changes during the delay share
+/// the datagrams.
 const PUSH_DELAY_DIVISOR: Micros = 20;
-/// How many random members an urgent change is pushed to.
+/// Number of random members to which an urgent change is pushed.
 const PUSH_FANOUT: usize = 4;
 
 impl View {
-    /// Spreads and reports a new claim about a member; `former` is the one that it replaces.
-    pub(super) fn spread_and_report(
+    /// Queues a new claim about a member as a rumor, and reports it. `former` is the claim that it replaces.
+    pub(super) fn disseminate_and_report(
         &mut self,
         report: ClaimReport,
         former: Option<Claim>,
         actions: &mut Vec<Action>,
     ) {
-        if self.is_spread(report, former) {
+        if self.is_queued_as_rumor(report, former) {
             self.rumors.insert(report.name, self.members.len());
         }
         if is_urgent(report, former) {
@@ -40,9 +41,9 @@
         }
     }
 
-    /// What came by anti-entropy is spread by it as well, but for returns; and of a member without a published body
-    /// there is nothing to spread yet.
-    fn is_spread(&self, report: ClaimReport, former: Option<Claim>) -> bool {
+    /// Whether a claim is queued as a rumor. Claims learned by anti-entropy spread by anti-entropy, except for the
+    /// return of a member. An alive member without a published body has nothing to disseminate yet.
+    fn is_queued_as_rumor(&self, report: ClaimReport, former: Option<Claim>) -> bool {
         let has_body = self
             .members
             .get(report.name)
@@ -51,13 +52,13 @@
         (report.source != ClaimSource::AntiEntropy && !is_bare) || has_returned(former)
     }
 
-    /// Pushes rumors soon.
+    /// Schedules a push of rumors after a short delay.
     pub(super) fn schedule_push(&mut self) {
         let at = self.now + self.settings.probe_period / PUSH_DELAY_DIVISOR;
         self.push_at = Some(self.push_at.map_or(at, |scheduled| scheduled.min(at)));
     }
 
-    /// Sends rumors to some random members, as far as the budget allows.
+    /// Sends rumors to random members, until the send budget is exhausted.
     pub(super) fn push_rumors(&mut self, actions: &mut Vec<Action>) {
         self.push_at = None;
         for peer in self.random_peers(PUSH_FANOUT, "") {
@@ -69,7 +70,8 @@
     }
 }
 
-/// What this proxy found out by itself; and appearances, disappearances and new processes, unless by anti-entropy.
+/// Whether a claim is pushed soon: one that this proxy's own probe established, and one about an appearance, a
+/// disappearance or a new process unless it was learned by anti-entropy. Returns are urgent in either case.
 fn is_urgent(report: ClaimReport, former: Option<Claim>) -> bool {
     let changes_membership = former.is_none_or(|former| {
         former.state.is_present() != report.claim.state.is_present()
--- a/crates/membership/src/view/event.rs
+++ b/crates/membership/src/view/event.rs
@@ -1,4 +1,5 @@
-//! What a view is given and gives: its identity, the actions for its host, the changes that it reports, its counters.
+//! The inputs and outputs of a view: its identity, the actions for its host, the changes that it reports, and its
+//! counters.
 
 use crate::claim::MemberState;
 use crate::wire::DropReason;
@@ -9,110 +10,111 @@
 /// The identity of this proxy.
 #[derive(Clone, Debug)]
 pub struct MemberIdentity {
-    /// Its name, unique in the fleet.
+    /// Name of this proxy, unique in the fleet.
     pub name: String,
-    /// The version of the program, shown to operators.
+    /// Version of the program, shown to operators.
     pub version: String,
-    /// When the process started, by its own clock: only compared with other starts of the same name.
+    /// When the process started, by its own clock. It is only compared with other starts of the same name.
     pub start: u64,
 }
 
-/// What the host of a view has to do.
+/// An action that the host of a view has to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     SendDatagram {
-        /// Where it goes.
+        /// Address of the recipient.
         to: SocketAddr,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Send over a stream, as it may be longer than a datagram. The host reports failures by
+    /// Send a message over a stream, because it may be longer than a datagram. The host reports failures with
     /// [`View::stream_failed`](super::View::stream_failed).
     SendStream {
-        /// Where it goes.
+        /// Address of the recipient.
         to: SocketAddr,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Notify the log and other modules of a change.
+    /// Report a change to the log and to other modules.
     Notify(Change),
 }
 
 /// A change of the view, for the log and for other modules.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A member appeared, or its state or its process changed.
+    /// A member appeared, or its state or process changed.
     MemberChanged {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// Its former state; none where it was not known.
+        /// Former state of the member, or `None` if it was unknown.
         from: Option<MemberState>,
-        /// Its state now.
+        /// New state of the member.
         to: MemberState,
-        /// The start of its process.
+        /// Start of the member's process.
         start: u64,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: u64,
-        /// How this proxy learned of it.
+        /// How this proxy learned of the change.
         source: ClaimSource,
-        /// Who claims it; empty where nobody accuses the member.
+        /// Name of the proxy that made the claim; empty if no proxy accuses the member.
         accuser: String,
     },
     /// A member replaced its published body.
     BodyReplaced {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
     /// A member that was dead or had left was removed from the view.
     Forgotten {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// This proxy was claimed to fail, and refuted that.
+    /// Another proxy claimed that this proxy had failed, and this proxy refuted the claim.
     Refuted {
-        /// Who claimed it.
+        /// Name of the proxy that made the claim.
         accuser: String,
     },
-    /// This process was paused or starved: what it knew of others may be outdated.
+    /// This process was paused or starved, so its knowledge of other members may be outdated.
     ProcessPaused {
-        /// For how long.
+        /// Duration of the pause.
         duration: Micros,
     },
-    /// This proxy's view agreed with that of another proxy for the first time.
+    /// This proxy's view was equal to the view of another proxy for the first time.
     Joined,
-    /// Another process of this proxy's name started later or as late: this proxy took a later start than that one.
+    /// Another process with this proxy's name has the same or a later start, or this proxy's start was forgotten. This
+    /// proxy adopted a later start.
     StartAdvanced {
         /// The start that was superseded.
         start: u64,
     },
-    /// The other process of this proxy's name is alive: this proxy withdraws from the fleet.
+    /// Another process with this proxy's name is alive, so this proxy withdraws from the fleet.
     Withdrawn {
-        /// Where the other process receives messages.
+        /// Address at which the other process receives messages.
         other_address: String,
     },
     /// This proxy has left the fleet.
     DepartureCompleted {
-        /// How many members have confirmed it.
+        /// Number of members that confirmed the departure.
         confirmations: usize,
     },
 }
 
-/// How this proxy learned of a change of a member.
+/// The way in which this proxy learned of a change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimSource {
-    /// From the member itself.
+    /// By a message from the member itself.
     MemberItself,
     /// By this proxy's own probes.
     OwnProbe,
     /// By a rumor from another proxy.
     Rumor,
-    /// By an anti-entropy exchange: others have known it for a while.
+    /// By an anti-entropy exchange: other proxies may have known of the change for a while.
     AntiEntropy,
 }
 
 impl ClaimSource {
-    /// Its name in logs, as operators know it.
+    /// The name of the source in logs.
     pub fn name(self) -> &'static str {
         match self {
             ClaimSource::MemberItself => "Said",
@@ -123,14 +125,14 @@
     }
 }
 
-/// Counters of a view since it was made.
+/// Counters of a view since its creation.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     /// Probes sent.
     pub probes: u64,
     /// Probes without any response.
     pub failed_probes: u64,
-    /// Suspicions that this proxy's own probes raised or confirmed.
+    /// Suspicions that this proxy raised or confirmed with its own probes.
     pub suspicions: u64,
     /// Claims about this proxy that it refuted.
     pub refutations: u64,
@@ -146,7 +148,7 @@
     pub messages_received: u64,
     /// Bytes received.
     pub bytes_received: u64,
-    /// Deferrable messages that were not sent for lack of budget.
+    /// Deferrable messages that were not sent because the send budget was exhausted.
     pub deferred: u64,
     /// Messages and records dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
--- a/crates/membership/src/view/inventory.rs
+++ b/crates/membership/src/view/inventory.rs
@@ -1,7 +1,7 @@
 //! Inventories: the records of the buckets whose digests differ, without published bodies.
 //!
-//! Invariant: an inventory names a bucket as complete only where it lists all that this proxy knows of it, so the other
-//! can tell which members this proxy lacks.
+//! Invariant: an inventory lists a bucket as complete only if it contains all records of this proxy in that bucket, so
+//! that the other proxy can determine which members this proxy does not know.
 
 use super::recipients::Recipient;
 use super::transfer::{DATAGRAM_CAPACITY, STREAM_CHUNK, STREAM_THRESHOLD};
@@ -11,10 +11,11 @@
 use crate::wire::{Inventory, Payload, Record, BUCKET_COUNT};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an item and a bucket number take in a message besides their own encoding, at most.
+/// Upper bound of the bytes that an item takes in a message in addition to its own encoding.
 const ITEM_OVERHEAD: usize = 3;
+/// Upper bound of the bytes that a bucket number takes in a message.
 const BUCKET_OVERHEAD: usize = 8;
-/// Items in each datagram of a bucket that is too large for one.
+/// Number of items per datagram when a bucket is too large for one datagram.
 const ITEMS_PER_DATAGRAM: usize = 10;
 
 /// The items of one bucket.
@@ -37,17 +38,17 @@
     }
 }
 
-/// The outcome of a comparison with another proxy's inventory.
+/// The result of a comparison with another proxy's inventory.
 #[derive(Default)]
 struct Difference {
-    /// Names of members of which the other proxy has a newer record.
+    /// Names of members for which the other proxy has a newer record.
     wanted: Vec<String>,
-    /// Names of members of which this proxy has a newer record.
+    /// Names of members for which this proxy has a newer record.
     newer: Vec<String>,
 }
 
 impl View {
-    /// Another proxy's bucket digests: replies with an inventory of the buckets that differ.
+    /// Handles another proxy's bucket digests, and replies with an inventory of the buckets that differ.
     pub(super) fn receive_bucket_digests(
         &mut self,
         sender: Recipient,
@@ -67,7 +68,8 @@
         }
     }
 
-    /// The buckets that differ, from a random one on: where not all fit, another comparison begins with others.
+    /// The buckets that differ, starting from a random one: if not all of them fit, the next comparison starts with
+    /// other buckets.
     fn differing_buckets(&mut self, theirs: &[u32]) -> Vec<usize> {
         let ours = self.digest.bucket_digests();
         let first = self.rng.usize(0..BUCKET_COUNT);
@@ -77,7 +79,7 @@
             .collect()
     }
 
-    /// What this proxy knows in these buckets, in their order.
+    /// This proxy's records in these buckets, in the order of the buckets.
     fn bucket_items(&self, buckets: &[usize]) -> Vec<BucketItems> {
         let mut items: BTreeMap<usize, Vec<Record>> =
             buckets.iter().map(|bucket| (*bucket, Vec::new())).collect();
@@ -96,7 +98,7 @@
         buckets.iter().map(take).collect()
     }
 
-    /// Sends whole buckets up to one chunk of a stream. The next comparison finds the rest.
+    /// Sends as many complete buckets as fit into one stream chunk. The next comparison finds the remaining ones.
     fn stream_inventory(
         &mut self,
         to: Recipient,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Sends as many buckets in each datagram as fit, as far as the budget allows.
+    /// Sends the buckets in datagrams, as many in each as fit, until the send budget is exhausted.
     fn send_inventory(
         &mut self,
         to: Recipient,
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Sends a bucket that is too large for one datagram; none of its parts claims to be complete. False where the
-    /// budget did not allow all of them.
+    /// Sends a bucket that is too large for one datagram. None of the parts is marked as complete. Returns false if the
+    /// send budget did not allow all of them.
     fn send_bucket_in_parts(
         &mut self,
         to: Recipient,
@@ -170,8 +172,8 @@
         true
     }
 
-    /// Another proxy's inventory: takes in its claims, requests records that are newer there, and sends those that are
-    /// newer here.
+    /// Handles another proxy's inventory: merges its claims, requests records that are newer at the other proxy, and
+    /// sends records that are newer at this proxy.
     pub(super) fn receive_inventory(
         &mut self,
         sender: Recipient,
@@ -257,7 +259,8 @@
         }
     }
 
-    /// Members, this proxy among them, that the other does not know: those that its complete buckets do not list.
+    /// Names of present members, including this proxy, that the other proxy does not know: those in its complete
+    /// buckets that it does not list.
     fn missing_names(&self, complete: &BTreeSet<usize>, listed: &BTreeSet<String>) -> Vec<String> {
         let is_missing = |name: &String| complete.contains(&bucket(name)) && !listed.contains(name);
         let present = |(_, member): &(&String, &Member)| member.claim.state.is_present();
--- a/crates/membership/src/view/maintenance.rs
+++ b/crates/membership/src/view/maintenance.rs
@@ -1,8 +1,9 @@
-//! Periodic work besides probes: suspicions, anti-entropy, forgetting, and the search for members that have returned.
+//! Periodic work other than probes: suspicion timeouts, anti-entropy, removal of departed members, and detection of
+//! members that have returned.
 //!
-//! Suspicions are checked several times in each probe period; the rest is done at one check of them.
+//! Suspicions are checked several times in each probe period. Most of the other work is done at one of these checks.
 
-use super::budget::ESSENTIAL_SHARE;
+use super::budget::ESSENTIAL_FRACTION;
 use super::recipients::{Peer, Recipient};
 use super::{Action, Change, View};
 use crate::claim::MemberState;
@@ -10,14 +11,14 @@
 use crate::{mutant, Micros};
 use std::net::SocketAddr;
 
-/// Suspicions are checked so many times a period; most of the rest is done once a period.
+/// Number of suspicion checks per probe period. Most of the other work is done once per period.
 const CHECKS_PER_PERIOD: u8 = 4;
-/// For so many periods after a change of the membership an exchange is begun at each check.
-const UNSETTLED_PERIODS: Micros = 3;
-/// Pings with this sequence number belong to no probe: their acks are ignored.
+/// Number of probe periods after a membership change during which an exchange is begun at each check.
+const UNSTABLE_PERIODS: Micros = 3;
+/// Sequence number of pings that belong to no probe. Their acks are ignored.
 const NO_PROBE_SEQUENCE: u64 = 0;
 
-/// When maintenance runs, and which check of the period comes next.
+/// The time of the next maintenance run, and the index of the check within the period.
 #[derive(Clone, Debug)]
 pub(super) struct MaintenanceTimer {
     pub next_at: Micros,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether the work of a whole period is due at this check.
+    /// Advances to the next check, and returns whether the work that is done once per period is due.
     fn advance(&mut self) -> bool {
         self.check = (self.check + 1) % CHECKS_PER_PERIOD;
         self.check == 0
@@ -51,21 +52,21 @@
         }
         if is_full_period {
             self.forget_members(actions);
-            self.retry_failed_streams();
+            self.expire_failed_streams();
             self.ping_dead_member(actions);
             self.ping_unknown_contacts(actions);
         }
     }
 
-    /// Whether to begin more exchanges, while this proxy joins or the membership changes. One that the budget does not
-    /// allow to complete would be wasted, and take budget from the next.
+    /// Whether to begin additional exchanges, because this proxy is joining or the membership is changing. An exchange
+    /// that the budget does not allow to complete would be wasted, and would use budget that the next exchange needs.
     fn wants_extra_exchange(&self) -> bool {
-        let is_unsettled =
-            self.now - self.membership_changed_at < UNSETTLED_PERIODS * self.settings.probe_period;
-        (!self.joined || is_unsettled) && self.budget.has_share(ESSENTIAL_SHARE)
+        let is_unstable =
+            self.now - self.membership_changed_at < UNSTABLE_PERIODS * self.settings.probe_period;
+        (!self.joined || is_unstable) && self.budget.has_fraction(ESSENTIAL_FRACTION)
     }
 
-    /// Sends the digest of the view to a random member; the two exchange more where theirs differ.
+    /// Sends the digest of the view to a random member, which continues the exchange if its own digest differs.
     fn begin_exchange(&mut self, actions: &mut Vec<Action>) {
         for peer in self.random_peers(1, "") {
             let root = RootDigest {
@@ -76,16 +77,16 @@
         }
     }
 
-    /// Removes members that have been dead or have left for long enough.
+    /// Removes members that have been dead or have left for longer than the retention period.
     fn forget_members(&mut self, actions: &mut Vec<Action>) {
         if mutant("tombstones-for-ever") {
             return;
         }
-        let before = self.now - self.settings.departed_retention;
+        let cutoff = self.now - self.settings.departed_retention;
         let expired: Vec<String> = self
             .members
             .iter()
-            .filter(|(_, member)| !member.claim.state.is_present() && member.state_since < before)
+            .filter(|(_, member)| !member.claim.state.is_present() && member.state_since < cutoff)
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
@@ -106,12 +107,12 @@
         actions.push(Action::Notify(Change::Forgotten { name }));
     }
 
-    fn retry_failed_streams(&mut self) {
+    fn expire_failed_streams(&mut self) {
         let now = self.now;
         self.failed_streams.retain(|_, until| now < *until);
     }
 
-    /// Pings a random dead member: so a partition that has healed is noticed.
+    /// Pings a random dead member, so that the end of a network partition is detected.
     fn ping_dead_member(&mut self, actions: &mut Vec<Action>) {
         let dead = |(name, member): (&String, &super::Member)| {
             let is_dead = member.claim.state == MemberState::Dead;
@@ -132,7 +133,7 @@
         self.send(peer.recipient(), Some(Payload::Ping(ping)), actions);
     }
 
-    /// Pings the configured contacts at whose addresses no present member is known.
+    /// Pings the configured contacts whose addresses belong to no present member.
     fn ping_unknown_contacts(&mut self, actions: &mut Vec<Action>) {
         let is_unknown = |address: &SocketAddr| {
             let text = address.to_string();
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -1,6 +1,6 @@
-//! What this proxy knows of one other member.
+//! This proxy's knowledge of another member.
 //!
-//! Invariant: a member has a [`Suspicion`] exactly while its claim is that it is suspected.
+//! Invariant: a member has a [`Suspicion`] exactly while its claimed state is suspected.
 
 use crate::claim::{Claim, MemberState};
 use crate::wire::{self, Body, Record};
@@ -11,7 +11,7 @@
 /// An open suspicion of a member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// When it began.
+    /// When the suspicion began.
     pub since: Micros,
     /// Names of the observers whose probes failed.
     pub accusers: BTreeSet<String>,
@@ -26,26 +26,26 @@
     }
 }
 
-/// Another member, as this proxy knows it.
+/// This proxy's knowledge of another member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The claim about it that supersedes all others that this proxy received.
+    /// The claim that supersedes all other claims about this member that this proxy received.
     pub claim: Claim,
-    /// When it took its state, by this view.
+    /// When the member entered its state in this view.
     pub state_since: Micros,
-    /// Revision of `body`, counted from 1 by the member; 0 while only its name and address are known.
+    /// Revision of `body`, counted from 1 by the member; 0 while only the member's name and address are known.
     pub revision: u64,
-    /// What the member publishes of itself.
+    /// The body that the member published.
     pub body: Body,
-    /// `body` as the member encoded it, with fields that this build does not know.
+    /// `body` as the member encoded it, including fields that this build does not know.
     pub(super) encoded_body: Vec<u8>,
-    /// The open suspicion of it.
+    /// The open suspicion, if the member is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Who claimed that it is dead.
+    /// Name of the proxy that declared the member dead.
     pub declared_dead_by: String,
-    /// When it last responded to a probe of this proxy.
+    /// When the member last responded to a probe of this proxy.
     pub(super) acknowledged_at: Option<Micros>,
-    /// When this proxy last received anything from it.
+    /// When this proxy last received a message from the member.
     pub(super) received_at: Option<Micros>,
     /// Smoothed round trip time of direct probes, in microseconds.
     pub round_trip: Option<f64>,
@@ -60,7 +60,7 @@
 }
 
 impl PublishedBody {
-    /// A body as it came in a record; without revision where the record has none.
+    /// Creates the body from the fields of a record. The revision is 0 if the record has no body.
     pub(super) fn from_wire(revision: u64, encoded: Vec<u8>) -> PublishedBody {
         PublishedBody {
             revision: if encoded.is_empty() { 0 } else { revision },
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Where it receives datagrams, if it published a valid address.
+    /// Address at which the member receives datagrams, if a valid one is known.
     pub fn address(&self) -> Option<SocketAddr> {
         self.body.address.parse().ok()
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The same with the body of a member that is present.
+    /// The record of this member for another proxy, with its body if the member is present.
     pub(super) fn record_with_body(&self, name: &str, preferred_accuser: &str) -> Record {
         let body = if self.claim.state.is_present() {
             self.encoded_body.clone()
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Who is named for a suspicion or a death: of several accusers the preferred one, if it is among them.
+    /// Name of the proxy that suspects the member or declared it dead. If several proxies suspect it and the preferred
+    /// one is among them, its name is returned.
     fn accuser(&self, preferred: &str) -> String {
         match (&self.suspicion, self.claim.state) {
             (Some(suspicion), MemberState::Suspected) if suspicion.accusers.contains(preferred) => {
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -1,7 +1,7 @@
-//! Merging of claims and published bodies about members into the view.
+//! Merging of claims and published bodies of members into the view.
 //!
-//! Invariants: the claim about a member is only ever replaced by one that supersedes it; the revision of its body only
-//! grows while its process is the same; a member is on the rings and in the digest exactly while it is present.
+//! Invariants: the claim about a member is only replaced by a claim that supersedes it; the revision of a member's body
+//! only grows while its process is the same; a member is on the rings and in the digest exactly while it is present.
 
 use super::member::PublishedBody;
 use super::{Action, Change, ClaimSource, Member, Suspicion, View};
@@ -10,9 +10,9 @@
 use crate::wire::{self, DropReason, ReceiverClaim, Record};
 use crate::Micros;
 
-/// A response to a probe within so many probe periods contradicts an unconfirmed report of a death.
+/// A reported death is verified if the member responded to a probe within this number of probe periods.
 const RECENT_RESPONSE_PERIODS: f64 = 1.5;
-/// A suspicion so many probe periods old gives way to a death that comes by anti-entropy.
+/// A death learned by anti-entropy is accepted if the member has been suspected for this number of probe periods.
 const OLD_SUSPICION_PERIODS: Micros = 2;
 
 /// A claim about another member, and how this proxy learned of it.
@@ -21,13 +21,13 @@
     /// The member that the claim is about.
     pub name: &'a str,
     pub claim: Claim,
-    /// Who accuses the member; empty where nobody does.
+    /// Name of the proxy that accuses the member; empty if there is none.
     pub accuser: &'a str,
     pub source: ClaimSource,
 }
 
 impl View {
-    /// A record from another proxy; `source` is a rumor or anti-entropy.
+    /// Handles a record from another proxy. `source` is a rumor or anti-entropy.
     pub(super) fn receive_record(
         &mut self,
         record: Record,
@@ -77,23 +77,24 @@
         };
         match claim.state {
             MemberState::Suspected => {
-                // Of a later process nothing is known either: what the former one published is not valid for it.
+                // The view does not know a later process either: the body of the former process is not valid for it.
                 if known.is_none_or(|member| claim.start > member.claim.start) {
                     self.learn_or_drop(report, published, actions);
                 }
                 self.suspect(report, actions);
             }
             MemberState::Dead
-                if known.is_some_and(|member| self.is_death_doubtful(member, report)) =>
+                if known.is_some_and(|member| self.must_verify_death(member, report)) =>
             {
-                self.question_death(report, actions);
+                self.verify_death(report, actions);
             }
             _ => self.learn_or_drop(report, published, actions),
         }
     }
 
-    /// Only suspects a member whose death was reported, and probes it, so that it can refute the claim.
-    fn question_death(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
+    /// Suspects and probes a member whose death was reported, instead of accepting the death, so that the member can
+    /// refute the claim.
+    fn verify_death(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
         let suspicion = ClaimReport {
             claim: report.claim.with_state(MemberState::Suspected),
             accuser: "",
@@ -103,9 +104,9 @@
         self.probe(report.name, actions);
     }
 
-    /// Whether a reported death of a present member is not accepted at once: the member responded to this proxy
-    /// recently, or the report is no rumor and this proxy has not suspected the member for long.
-    fn is_death_doubtful(&self, member: &Member, report: ClaimReport) -> bool {
+    /// Whether a reported death of a present member has to be verified: the member recently responded to this proxy, or
+    /// the report is not a rumor and this proxy has not suspected the member for long enough.
+    fn must_verify_death(&self, member: &Member, report: ClaimReport) -> bool {
         let known = member.claim;
         if !report.claim.supersedes(&known)
             || !known.state.is_present()
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Merges a claim and a published body, each as far as it supersedes what is known. Fails where the view has no
-    /// capacity for another member.
+    /// Merges a claim and a published body, each only if it supersedes the known one. Fails if the view has no capacity
+    /// for another member.
     pub(super) fn learn(
         &mut self,
         report: ClaimReport,
@@ -190,12 +191,12 @@
         } else {
             accuser
         };
-        self.spread_and_report(ClaimReport { accuser, ..report }, None, actions);
+        self.disseminate_and_report(ClaimReport { accuser, ..report }, None, actions);
         Ok(())
     }
 
-    /// Another process has a member's name: what the former one published, or was accused of, is not valid for it. Its
-    /// address counts until another is known, so that it can be probed.
+    /// Resets a member when another process has its name: the body and the accusations of the former process are not
+    /// valid for the new one. The former address is used until another is known, so that the member can be probed.
     fn reset_for_new_process(&mut self, name: &str, published: &PublishedBody) {
         self.toggle_digest(name);
         if let Some(member) = self.members.get_mut(name) {
@@ -213,8 +214,8 @@
         self.toggle_digest(name);
     }
 
-    /// Replaces a member's body by a later revision; and by one without revision, which has only an address, where the
-    /// address is not known yet.
+    /// Replaces a member's body with a later revision. A body without a revision, which contains only an address, is
+    /// used if the member's address is unknown.
     fn update_body(
         &mut self,
         report: ClaimReport,
@@ -242,7 +243,7 @@
         if is_present {
             self.membership_changed_at = self.now;
         }
-        // What comes by anti-entropy spreads by it as well.
+        // Bodies learned by anti-entropy also spread by anti-entropy.
         if source != ClaimSource::AntiEntropy {
             self.rumors.insert(name, self.members.len());
         }
@@ -283,7 +284,7 @@
         if former.state.is_present() != claim.state.is_present() || former.start != claim.start {
             self.membership_changed_at = self.now;
         }
-        self.spread_and_report(report, Some(former), actions);
+        self.disseminate_and_report(report, Some(former), actions);
     }
 
     fn replace_claim(&mut self, name: &str, claim: Claim, accuser: &str) {
--- a/crates/membership/src/view/name_conflict.rs
+++ b/crates/membership/src/view/name_conflict.rs
@@ -1,17 +1,18 @@
-//! Two processes of one name. Each takes a later start than the other's; the first that sees the other do so again
-//! knows that it is alive, and withdraws.
+//! Resolution of conflicts between two processes with the same name. Each adopts a later start than the other. The
+//! first process that sees the other adopt a later start again knows that the other is alive, and withdraws.
 //!
-//! Invariants: each other process is superseded at most once, and their number is bounded; a withdrawn proxy sends
-//! nothing more and never returns; one that leaves supersedes nobody, as that would be a claim to be alive.
+//! Invariants: each other process is superseded at most once, and the number of superseded processes is bounded; a
+//! withdrawn proxy sends no more messages and never returns; a proxy that is leaving supersedes no other process,
+//! because that would be a claim to be alive.
 
 use super::{Action, Change, View};
 use crate::claim::supersede_start;
 
-/// Other processes of its name that this proxy supersedes before it withdraws.
+/// Maximum number of processes with its name that this proxy supersedes before it withdraws.
 const MAX_SUPERSEDED_PROCESSES: usize = 3;
 
 impl View {
-    /// Another process has this proxy's name.
+    /// Handles another process with this proxy's name: supersedes its start, or withdraws this proxy.
     pub(super) fn resolve_name_conflict(
         &mut self,
         start: u64,
--- a/crates/membership/src/view/own.rs
+++ b/crates/membership/src/view/own.rs
@@ -1,7 +1,7 @@
 //! This proxy as a member of the fleet: its claim and the body that it publishes.
 //!
-//! Invariants: its claim and the revision of its body only grow; until it leaves, the digest has an entry of both as
-//! they are.
+//! Invariants: the claim and the revision of the body only grow; until this proxy leaves, the digest contains an entry
+//! for the current values of both.
 
 use super::{MemberIdentity, View};
 use crate::claim::{Claim, MemberState};
@@ -9,11 +9,11 @@
 use crate::wire::{Body, Record, Value, MAX_VALUES_LENGTH};
 use crate::Micros;
 
-/// This proxy's own entry.
+/// This proxy's own state as a member.
 #[derive(Clone, Debug)]
 pub(super) struct OwnMember {
     pub name: String,
-    /// Tells processes of one name apart.
+    /// Random number that distinguishes processes with the same name.
     pub nonce: u64,
     pub claim: Claim,
     /// Revision of `body`.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// False, and nothing is changed, where all values together would be too large.
+    /// Replaces the value of the same kind. Returns false, and changes nothing, if all values together are too large.
     pub(super) fn put_value(&mut self, value: Value) -> bool {
         let mut values = self.body.values.clone();
         values.retain(|other| other.kind != value.kind);
@@ -56,7 +56,7 @@
         true
     }
 
-    /// The record of this proxy without its body.
+    /// The record of this proxy, without its body.
     pub(super) fn record(&self) -> Record {
         Record {
             name: self.name.clone(),
@@ -78,8 +78,8 @@
 }
 
 impl View {
-    /// Publishes a value of another module with this proxy's body, in place of an earlier one of the same kind. False,
-    /// and nothing is changed, where all values together would be too large.
+    /// Publishes a value of another module with this proxy's body, and replaces an earlier value of the same kind.
+    /// Returns false, and changes nothing, if all values together are too large.
     pub fn put_value(&mut self, now: Micros, value: Value) -> bool {
         self.now = now;
         if !self.own.put_value(value) {
@@ -91,7 +91,7 @@
 
     /// Publishes this proxy's body under a new revision.
     pub(super) fn publish_own_body(&mut self) {
-        // A proxy that leaves is no longer in the digest.
+        // The digest no longer contains a proxy that is leaving.
         let in_digest = self.own.claim.state == MemberState::Alive;
         if in_digest {
             self.toggle_own_digest();
@@ -101,7 +101,7 @@
             self.toggle_own_digest();
         }
         self.own.encoded_body = prost::Message::encode_to_vec(&self.own.body);
-        self.spread_own_record();
+        self.disseminate_own_record();
     }
 
     /// Publishes a new claim of this proxy about itself.
@@ -112,10 +112,10 @@
         }
         self.own.claim = claim;
         self.toggle_own_digest();
-        self.spread_own_record();
+        self.disseminate_own_record();
     }
 
-    fn spread_own_record(&mut self) {
+    fn disseminate_own_record(&mut self) {
         self.rumors.insert(&self.own.name, self.members.len());
         self.schedule_push();
     }
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -1,34 +1,33 @@
-//! Probes of other members: a ping, after a while ping requests to some helpers, and at last a failure.
+//! Probes of other members: a direct ping, then ping requests to helpers, then failure.
 //!
-//! States of a probe: direct until `indirect_at`, indirect until `deadline`, then failed. It ends earlier with an
-//! ack, from the target or relayed by a helper, or when this process was paused. Invariants: there is at most one
-//! open probe of a member; probes and relayed probes share one count of sequence numbers, so an ack belongs to one of
-//! them only.
+//! States of a probe: direct until `indirect_at`, indirect until `deadline`, then failed. A probe ends earlier with an
+//! ack, from the target or relayed by a helper, or when this process was paused. Invariants: there is at most one open
+//! probe of each member; probes and relayed probes share one sequence counter, so an ack belongs to only one of them.
 
-use super::budget::ESSENTIAL_SHARE;
+use super::budget::ESSENTIAL_FRACTION;
 use super::recipients::Recipient;
 use super::{Action, View};
 use crate::wire::{Payload, Ping, PingRequest};
 use crate::Micros;
 
-/// The part of a probe period that a direct probe may take, as a divisor.
+/// Divisor of the probe period that gives the timeout of a direct probe.
 pub(super) const DIRECT_TIMEOUT_DIVISOR: Micros = 3;
-/// Helpers that are requested to probe a target indirectly.
+/// Number of helpers that are requested to probe a target indirectly.
 const INDIRECT_HELPERS: usize = 3;
 /// Weight of a new sample in the smoothed round trip time.
 const ROUND_TRIP_SMOOTHING: f64 = 0.2;
 
-/// A probe without a response yet.
+/// A probe that has no response yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     target: String,
     sent_at: Micros,
     /// When helpers are requested to probe the target as well.
     indirect_at: Micros,
-    /// When the probe has failed.
+    /// When the probe fails if there is no response.
     deadline: Micros,
     indirect_requested: bool,
-    /// A helper reported that it got no response either: this proxy itself is not cut off.
+    /// Whether a helper reported that it got no response either, which shows that this proxy itself is not cut off.
     helper_responded: bool,
 }
 
@@ -44,7 +43,7 @@
 }
 
 impl View {
-    /// Pings a member, unless a probe of it is open.
+    /// Pings a member, unless a probe of it is already open.
     pub(super) fn probe(&mut self, name: &str, actions: &mut Vec<Action>) {
         let Some(address) = self.address_of(name) else {
             return;
@@ -75,7 +74,7 @@
         );
     }
 
-    /// Takes the next step of each probe that is due, own and relayed.
+    /// Executes the due steps of all probes, both this proxy's own and relayed ones.
     pub(super) fn process_probe_deadlines(&mut self, actions: &mut Vec<Action>) {
         self.request_due_indirect_probes(actions);
         self.fail_expired_probes(actions);
@@ -105,10 +104,10 @@
         let Some(address) = self.address_of(&target) else {
             return;
         };
-        // While many fail at once the bytes are needed to spread that. One helper is enough to show that this proxy is
-        // not the one cut off.
+        // When many members fail at once, the send budget is needed to disseminate the failures. One helper is enough
+        // to show that this proxy is not the one that is cut off.
         self.budget.refill(self.now);
-        let helpers = if self.budget.has_share(ESSENTIAL_SHARE) {
+        let helpers = if self.budget.has_fraction(ESSENTIAL_FRACTION) {
             INDIRECT_HELPERS
         } else {
             1
@@ -142,7 +141,7 @@
         }
     }
 
-    /// No response came, neither directly nor through a helper.
+    /// Handles a probe without a response, neither directly nor through a helper.
     fn fail_probe(&mut self, probe: Probe, actions: &mut Vec<Action>) {
         self.counters.failed_probes += 1;
         let has_other_members = self
@@ -157,7 +156,7 @@
         self.suspect_unresponsive(&probe.target, actions);
     }
 
-    /// Handles the response to a probe of this proxy, or to one relayed for another.
+    /// Handles the response to a probe of this proxy, or to a probe relayed for another proxy.
     pub(super) fn receive_ack(&mut self, from: &str, sequence: u64, actions: &mut Vec<Action>) {
         if self.complete_relayed_probe(sequence, actions) {
             return;
@@ -175,14 +174,15 @@
             let smooth = |former: f64| former + ROUND_TRIP_SMOOTHING * (sample - former);
             member.round_trip = Some(member.round_trip.map_or(sample, smooth));
         }
-        // This proxy withdraws its accusation. Other accusers learn from the member's refutation: the suspicion came
-        // with the probe.
+        // This proxy withdraws its accusation. Other accusers learn of this from the member's refutation, because the
+        // probe carried the suspicion to the member.
         if let Some(suspicion) = &mut member.suspicion {
             suspicion.accusers.remove(&self.own.name);
         }
     }
 
-    /// A helper got no response in time: the target may be dead, but this proxy reaches others.
+    /// Handles a helper's report that it got no response in time: the target may be dead, but this proxy can reach
+    /// other members.
     pub(super) fn receive_nack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
             probe.helper_responded = true;
--- a/crates/membership/src/view/receive.rs
+++ b/crates/membership/src/view/receive.rs
@@ -1,7 +1,8 @@
-//! Received messages: what their header says of the sender, and their dispatch.
+//! Handling of received messages: learning from the header, and dispatch of the payload.
 //!
-//! Invariant: a message changes the view only where it is of this fleet, from another name, and from a process that is
-//! neither forgotten nor considered dead; all others are counted by the reason for which they were dropped.
+//! Invariant: a message changes what the view knows of other members only if it belongs to this fleet and comes from a
+//! process with another name that is neither forgotten nor considered dead. All other messages are counted by the
+//! reason for dropping them.
 
 use super::member::PublishedBody;
 use super::merge::ClaimReport;
@@ -13,7 +14,7 @@
 use std::net::SocketAddr;
 
 impl View {
-    /// Handles a datagram, or a message of a stream.
+    /// Handles a datagram or a stream message.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.counters.messages_received += 1;
@@ -55,7 +56,7 @@
             address,
         };
         if self.tombstones.covers(sender.name, packet.start) {
-            // The reply carries that claim. The sender returns by a later start.
+            // The reply carries the claim that the sender was forgotten, so the sender returns with a later start.
             self.send(sender, None, actions);
             return Err(DropReason::SenderDead);
         }
@@ -79,8 +80,8 @@
         Err(DropReason::NameConflict)
     }
 
-    /// Learns that the sender is alive, unless it leaves, and when it last sent something. Fails where the view has no
-    /// capacity for it, or considers the sending process dead.
+    /// Learns that the sender is alive, unless it is leaving, and records when it last sent a message. Fails if the
+    /// view has no capacity for the sender, or considers the sending process dead.
     fn learn_from_header(
         &mut self,
         sender: Recipient,
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// The sender is alive, and this is its address.
+    /// Learns that the sender is alive, and its address.
     fn learn_sender(
         &mut self,
         packet: &Packet,
@@ -134,9 +135,10 @@
         })
     }
 
-    /// The reply carries what this proxy claims of such a sender, so that it can refute that; what it claims of
-    /// others does not count until then. A message that requests nothing gets a reply only after a refutation: two
-    /// proxies that consider each other dead would go on replying for ever.
+    /// Replies to a sender that this proxy considers dead or departed. The reply carries this proxy's claim about the
+    /// sender, so that the sender can refute it; until then the sender's claims about other members are ignored. A
+    /// message without a payload gets a reply only if it led to a refutation. Otherwise two proxies that consider each
+    /// other dead would reply to each other forever.
     fn reply_to_departed(
         &mut self,
         sender: Recipient,
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Handles probes, requests for them and their responses. Returns whether it was one that a reply belongs to.
+    /// Handles pings, ping requests and their responses. Returns whether the message was a ping or a valid ping
+    /// request.
     fn receive_probe_message(
         &mut self,
         sender: Recipient,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Responds to a ping, unless it is meant for a member that had this address before.
+    /// Responds to a ping, unless it is addressed to a member that used this proxy's address before.
     fn receive_ping(&mut self, sender: Recipient, ping: Ping, actions: &mut Vec<Action>) {
         if ping.target.is_empty() || ping.target == self.own.name {
             let ack = SequenceNumber {
@@ -221,7 +224,7 @@
     }
 }
 
-/// What the header claims of the sender, with this state.
+/// The claim about the sender with the start and incarnation of the header and this state.
 fn sender_claim(packet: &Packet, state: MemberState) -> Claim {
     Claim {
         start: packet.start,
--- a/crates/membership/src/view/recipients.rs
+++ b/crates/membership/src/view/recipients.rs
@@ -1,14 +1,14 @@
-//! Recipients of messages, and the random choice of them.
+//! Recipients of messages, and their random selection.
 
 use super::View;
 use crate::claim::MemberState;
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Candidates drawn for each random choice: the power of several choices (Mitzenmacher, 2001).
+/// Number of candidates drawn for each random choice: the power of several choices (Mitzenmacher, 2001).
 const CANDIDATES_PER_CHOICE: usize = 3;
 
-/// The name and the address that a message goes to; the name is empty where only the address is known.
+/// Name and address of the recipient of a message. The name is empty if only the address is known.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Recipient<'a> {
     pub name: &'a str,
@@ -38,9 +38,9 @@
 }
 
 impl View {
-    /// Random members that are alive. Of the candidates drawn for each choice the one from which this proxy received
-    /// something most recently is taken, by whole periods: just after many have died most of those in the view are
-    /// dead.
+    /// Chooses random members that are alive. For each choice, several candidates are drawn, and the one from which
+    /// this proxy received a message most recently is taken. The times are compared in full probe periods. Shortly
+    /// after many members have died, most members that the view still considers alive are dead.
     pub(super) fn random_peers(&mut self, count: usize, except: &str) -> Vec<Peer> {
         let mut candidates: Vec<Candidate> = self
             .members
--- a/crates/membership/src/view/refutation.rs
+++ b/crates/membership/src/view/refutation.rs
@@ -1,13 +1,13 @@
-//! Claims of others about this proxy: wrong ones are refuted by a later incarnation or a later start.
+//! Refutation of wrong claims about this proxy, with a later incarnation or a later start.
 //!
-//! Invariants: only this proxy raises its own incarnation and start; one that has left refutes no claim.
+//! Invariants: only this proxy raises its own incarnation and start; a proxy that has left refutes no claims.
 
 use super::{Action, Change, View};
 use crate::claim::{refute, supersede_start, Claim, MemberState};
 use crate::wire::ReceiverClaim;
 
 impl View {
-    /// Handles what another proxy claims of this one. Returns whether this proxy published a new claim because of it.
+    /// Handles another proxy's claim about this proxy. Returns whether this proxy published a new claim in response.
     pub(super) fn receive_claim_about_self(
         &mut self,
         received: ReceiverClaim,
@@ -36,8 +36,8 @@
         true
     }
 
-    /// Takes a later start than one that was forgotten or that is of another process. A proxy that is leaving takes none:
-    /// it would be alive by that.
+    /// Adopts a start later than that of a forgotten process or of another process. A proxy that is leaving adopts no
+    /// start, because that would be a claim to be alive.
     fn advance_start(&mut self, received: ReceiverClaim, actions: &mut Vec<Action>) -> bool {
         if self.departure.is_some() {
             return false;
--- a/crates/membership/src/view/relaying.rs
+++ b/crates/membership/src/view/relaying.rs
@@ -1,7 +1,7 @@
-//! Indirect probes that other proxies request: this proxy pings the target and relays the response.
+//! Indirect probes on behalf of other proxies: this proxy pings the target and relays the response.
 //!
-//! A relayed probe ends with the target's ack, or after one probe period. Invariants: it sends one ping, at most one
-//! nack (no answer yet) and at most one ack; the number of relayed probes is bounded.
+//! A relayed probe ends with the target's ack, or after one probe period. Invariants: a relayed probe sends one ping,
+//! at most one nack (the target has not responded yet) and at most one ack; the number of relayed probes is bounded.
 
 use super::probing::DIRECT_TIMEOUT_DIVISOR;
 use super::recipients::{Peer, Recipient};
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct RelayedProbe {
     requester: Peer,
-    /// The sequence number of the request, which the ack or nack repeats.
+    /// Sequence number of the request, which the ack or nack repeats.
     requested_sequence: u64,
-    /// When the requester is sent a nack, as there is no response yet; none once it was.
+    /// When to send the requester a nack if there is no response; `None` after it was sent.
     nack_at: Option<Micros>,
     expires_at: Micros,
 }
@@ -28,7 +28,8 @@
 }
 
 impl View {
-    /// Pings the target of the request, where its address is valid. Returns whether it is.
+    /// Pings the target of a request, unless its address is invalid or too many relayed probes are open. Returns
+    /// whether the address is valid.
     pub(super) fn receive_ping_request(
         &mut self,
         requester: Recipient,
@@ -67,7 +68,7 @@
         true
     }
 
-    /// Relays the response to a relayed probe. False if the sequence number is of none.
+    /// Relays the response to a relayed probe. Returns false if the sequence number belongs to no relayed probe.
     pub(super) fn complete_relayed_probe(
         &mut self,
         sequence: u64,
@@ -96,10 +97,10 @@
                 due.push((relayed.requester.clone(), relayed.requested_sequence));
             }
         }
-        for (requester, seq) in due {
+        for (requester, sequence) in due {
             self.send(
                 requester.recipient(),
-                Some(Payload::Nack(SequenceNumber { sequence: seq })),
+                Some(Payload::Nack(SequenceNumber { sequence })),
                 actions,
             );
         }
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -1,7 +1,8 @@
-//! The probe schedule: which observed members are probed when.
+//! The probe schedule, which determines when each observed member is probed.
 //!
-//! A round lasts one probe period and probes each observed member once; pending probes share the time that is left of
-//! it. Invariant: `pending` is a part of `scheduled`, so no member is probed twice in a round.
+//! A round lasts one probe period and probes each observed member once. The pending probes are spread evenly over the
+//! remaining time of the round. Invariant: `pending` is a subset of `scheduled`, so no member is probed twice in a
+//! round.
 
 use super::{Action, View};
 use crate::Micros;
@@ -10,9 +11,9 @@
 /// The probes of one round.
 #[derive(Clone, Debug)]
 pub(super) struct ProbeSchedule {
-    /// Members still to be probed in this round.
+    /// Members that still have to be probed in this round.
     pending: VecDeque<String>,
-    /// All members of this round, probed or pending.
+    /// All members of this round, whether already probed or pending.
     scheduled: BTreeSet<String>,
     round_started_at: Micros,
     /// When the next probe is due.
@@ -34,7 +35,7 @@
         self.scheduled.clear();
     }
 
-    /// Adds those that are not in this round yet.
+    /// Adds the members that are not in this round yet.
     fn add(&mut self, names: Vec<String>) {
         for name in names {
             if self.scheduled.insert(name.clone()) {
@@ -43,14 +44,14 @@
         }
     }
 
-    /// The member to probe now; the remaining ones share what is left of the period.
+    /// Returns the member to probe now, and spreads the remaining members over the rest of the period.
     fn take_next(&mut self, now: Micros, period: Micros) -> Option<String> {
         let remaining = (self.round_started_at + period - now).max(1);
         self.next_at = now + remaining / self.pending.len().max(1) as Micros;
         self.pending.pop_front()
     }
 
-    /// Makes the next pending probe due at once.
+    /// Makes the next pending probe due immediately.
     pub(super) fn expedite(&mut self, now: Micros) {
         if !self.pending.is_empty() {
             self.next_at = self.next_at.min(now);
@@ -59,7 +60,7 @@
 }
 
 impl View {
-    /// Probes the next member of the round, and begins another round after the last.
+    /// Probes the next member of the round, and begins another round if no member is pending.
     pub(super) fn probe_next_scheduled(&mut self, actions: &mut Vec<Action>) {
         if self.schedule.pending.is_empty() {
             self.schedule.begin_round(self.now);
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Adds to the round the members that this proxy observes by now. One that has not joined knows only a few contacts
-    /// and would overload them together with all others that join: it observes none yet.
+    /// Adds the members that this proxy currently observes to the round. A proxy that has not joined observes no
+    /// members: it knows only a few contacts, which all joining proxies together would overload.
     pub(super) fn schedule_observed_members(&mut self) {
         if self.joined {
             let observed = self
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -1,17 +1,17 @@
-//! Encoding and sending of datagrams, with the rumors that they carry.
+//! Encoding and sending of datagrams and of the rumors that they carry.
 //!
-//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; one to a member that this proxy does not
-//! consider alive says so, which is how that member comes to refute it.
+//! Invariants: no datagram is longer than [`wire::MAX_DATAGRAM_LENGTH`]; a datagram to a member that this proxy does
+//! not consider alive carries that claim, so that the member can refute it.
 
-use super::budget::{BODY_RUMORS_SHARE, ESSENTIAL_SHARE};
+use super::budget::{BODY_RUMORS_FRACTION, ESSENTIAL_FRACTION};
 use super::recipients::Recipient;
 use super::{Action, View};
 use crate::claim::{Claim, MemberState};
 use crate::wire::{self, Packet, Payload, ReceiverClaim, Record};
 
-/// What a record takes in a message besides its own encoding, at most.
+/// Upper bound of the bytes that a record takes in a message in addition to its own encoding.
 pub(super) const RECORD_OVERHEAD: usize = 4;
-/// The kind under which metrics count datagrams without a payload.
+/// Kind of datagrams without a payload in metrics.
 const RUMORS_ONLY: &str = "news";
 
 impl View {
@@ -24,7 +24,7 @@
         self.send_with_record(to, payload, None, actions);
     }
 
-    /// Sends a datagram. One with a given record carries no rumors.
+    /// Sends a datagram. A datagram with a given record carries no rumors.
     pub(super) fn send_with_record(
         &mut self,
         to: Recipient,
@@ -37,7 +37,7 @@
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Payload::name);
         let records = record.into_iter().collect();
         let mut packet = self.packet(self.claim_about(to.name), payload, records);
-        // A member that is not known well may not know this proxy either.
+        // A member whose body this proxy does not know may not know this proxy either.
         let introduces_itself = self
             .members
             .get(to.name)
@@ -46,7 +46,9 @@
             packet.records.push(self.own.record_with_body());
         }
         // Rumors to a member that may be dead would be wasted.
-        if may_carry_rumors && self.budget.has_share(ESSENTIAL_SHARE) && !self.is_unhealthy(to.name)
+        if may_carry_rumors
+            && self.budget.has_fraction(ESSENTIAL_FRACTION)
+            && !self.is_unhealthy(to.name)
         {
             self.attach_rumors(&mut packet, introduces_itself);
         }
@@ -59,7 +61,7 @@
         });
     }
 
-    /// What a datagram claims of its receiver, where that is not that it is alive.
+    /// The claim that a datagram carries about its receiver, unless the receiver is alive or unknown.
     fn claim_about(&self, name: &str) -> Option<ReceiverClaim> {
         let (claim, forgotten) = match self.members.get(name) {
             Some(member) if member.is_alive() => return None,
@@ -77,9 +79,10 @@
         })
     }
 
-    /// Adds rumors as far as they fit into the datagram; those with published bodies only where the budget is ample.
+    /// Adds as many rumors as fit into the datagram. Rumors with published bodies are added only while enough of the
+    /// send budget is available.
     fn attach_rumors(&mut self, packet: &mut Packet, includes_own_record: bool) {
-        let allows_bodies = self.budget.has_share(BODY_RUMORS_SHARE);
+        let allows_bodies = self.budget.has_fraction(BODY_RUMORS_FRACTION);
         let mut size = wire::encoded_length(packet);
         let mut rumors = std::mem::take(&mut self.rumors);
         rumors.transmit(|name| {
@@ -103,7 +106,7 @@
         self.rumors = rumors;
     }
 
-    /// Encodes into the send buffer, without records where they make it too long.
+    /// Encodes a packet into the send buffer, without its records if they make the datagram too long.
     fn encode_datagram(&mut self, mut packet: Packet) {
         wire::encode(&packet, &mut self.send_buffer);
         if self.send_buffer.len() > wire::MAX_DATAGRAM_LENGTH {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// The record of this proxy or of a member, with its published body.
+    /// The record of this proxy or of another member, with its published body.
     pub(super) fn record_with_body(&self, name: &str) -> Option<Record> {
         if name == self.own.name {
             return Some(self.own.record_with_body());
@@ -143,7 +146,7 @@
     }
 }
 
-/// Whether messages of this kind carry rumors: probes and their acks, which are frequent, and pushes.
+/// Whether messages of this kind carry rumors: probes and acks, which are frequent, and pushes.
 fn carries_rumors(payload: Option<&Payload>) -> bool {
     matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)))
 }
--- a/crates/membership/src/view/status.rs
+++ b/crates/membership/src/view/status.rs
@@ -1,4 +1,4 @@
-//! What a host can read of a view: its members, this proxy, and how settled it is.
+//! The state of a view that a host can read: its members, this proxy, and whether the membership is stable.
 
 use super::{Member, View};
 use crate::claim::{Claim, MemberState};
@@ -11,24 +11,24 @@
         &self.own.name
     }
 
-    /// What this proxy publishes of itself.
+    /// This proxy's claim about itself and the body that it publishes.
     pub fn own(&self) -> (Claim, &Body) {
         (self.own.claim, &self.own.body)
     }
 
-    /// All known members but this proxy, with those that are dead or have left until they are forgotten.
+    /// All known members except this proxy. Members that are dead or have left are included until they are forgotten.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
         self.members
             .iter()
             .map(|(name, member)| (name.as_str(), member))
     }
 
-    /// The member of that name, if it is known and not this proxy.
+    /// The member with this name, if it is known and is not this proxy.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Number of present members, this proxy included.
+    /// Number of present members, including this proxy.
     pub fn present_count(&self) -> usize {
         self.members
             .values()
@@ -37,18 +37,18 @@
             + 1
     }
 
-    /// Hash over the present members and their revisions: equal at all proxies whose views agree.
+    /// Hash of the present members and their revisions. It is equal on all proxies whose views agree.
     pub fn digest(&self) -> u64 {
         self.digest.root()
     }
 
-    /// Number of times a member's published body was learned or replaced. A member's first one counts here although it
-    /// is not reported as a [`Change::BodyReplaced`](super::Change::BodyReplaced).
+    /// Number of times that a member's published body was learned or replaced. The first body of a member is counted
+    /// although it is not reported as a [`Change::BodyReplaced`](super::Change::BodyReplaced).
     pub fn body_updates(&self) -> u64 {
         self.body_updates
     }
 
-    /// When the membership last changed; none while a member is suspected or this proxy has not joined.
+    /// When the membership last changed, or `None` while a member is suspected or this proxy has not joined.
     pub fn settled_since(&self) -> Option<Micros> {
         let suspects = self
             .members
@@ -57,12 +57,12 @@
         (!suspects && self.joined).then_some(self.membership_changed_at)
     }
 
-    /// Whether this proxy's view has agreed with that of another proxy since it started.
+    /// Whether this proxy's view has been equal to the view of another proxy since it started.
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// The local health score: 0 is healthy, larger ones make probe timeouts longer.
+    /// The local health score: 0 is healthy, and larger scores lengthen timeouts.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
@@ -72,14 +72,14 @@
         self.withdrawn
     }
 
-    /// Whether a departure is complete: enough members have confirmed it, or its deadline has passed.
+    /// Whether this proxy's departure is complete: enough members have confirmed it, or its deadline has passed.
     pub fn has_left(&self) -> bool {
         self.departure
             .as_ref()
             .is_some_and(|departure| departure.is_complete(self.now))
     }
 
-    /// Names of those that probe this member.
+    /// Names of the members that probe this member.
     pub fn observers_of(&self, name: &str) -> Vec<&str> {
         self.rings
             .observers_of(name, |name| self.is_unhealthy(name))
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -1,10 +1,10 @@
-//! Suspicion: a member that failed a probe is suspected until it refutes that, or is declared dead after a timeout that
-//! shrinks as more of its observers agree (Lifeguard).
+//! Suspicion: a member that did not respond to a probe is suspected until it refutes the suspicion, or is declared dead
+//! after a timeout. The timeout becomes shorter as more of the member's observers agree (Lifeguard).
 //!
-//! Transitions: alive to suspected by a failed probe, here or elsewhere; suspected to alive by the member's
-//! refutation, a later incarnation; suspected to dead by the timeout. Invariants: this proxy declares a member dead
-//! only while it is itself among the accusers; the number of accusers is bounded; the timeout lies between the
-//! shortest and [`MAX_TIMEOUT_FACTOR`] times that, before local health extends it.
+//! Transitions: alive to suspected by a failed probe of this or another proxy; suspected to alive by the member's
+//! refutation, which has a later incarnation; suspected to dead by the timeout. Invariants: this proxy declares a
+//! member dead only while it is itself among the accusers; the number of accusers is bounded; the timeout lies between
+//! the minimum and [`MAX_TIMEOUT_FACTOR`] times the minimum, before local health extends it.
 
 use super::merge::ClaimReport;
 use super::recipients::Recipient;
@@ -13,19 +13,19 @@
 use crate::wire::Record;
 use crate::{mutant, Micros};
 
-/// Accusers besides the first that make the timeout the shortest.
+/// Number of accusers, in addition to the first, that reduce the timeout to its minimum.
 const CONFIRMING_ACCUSERS: usize = 2;
-/// The longest timeout, as a multiple of the shortest.
+/// Maximum timeout, as a multiple of the minimum timeout.
 const MAX_TIMEOUT_FACTOR: f64 = 5.0;
-/// Accusers remembered for one suspicion.
+/// Maximum number of accusers that are stored for one suspicion.
 const MAX_ACCUSERS: usize = 16;
-/// Observers that are notified directly of a suspicion.
+/// Maximum number of observers that are notified directly of a suspicion.
 const NOTIFIED_OBSERVERS: usize = 4;
-/// After so many of the longest timeouts this proxy probes the member itself, where others leave a suspicion undecided.
+/// Age at which this proxy probes a member that only other proxies accuse, as a multiple of the maximum timeout.
 const UNDECIDED_TIMEOUTS: f64 = 2.0;
 
 impl View {
-    /// Suspects a member that did not respond to a probe of this proxy, and notifies its other observers.
+    /// Suspects a member that did not respond to a probe of this proxy, and notifies the member's other observers.
     pub(super) fn suspect_unresponsive(&mut self, name: &str, actions: &mut Vec<Action>) {
         let Some(member) = self
             .members
@@ -46,7 +46,7 @@
             },
             actions,
         );
-        // The next members on the rings are observed at once.
+        // The members that follow the suspect on the rings are scheduled immediately.
         self.schedule_observed_members();
         self.schedule.expedite(self.now);
         if mutant("no-suspicion") {
@@ -56,7 +56,7 @@
         self.notify_observers(name, actions);
     }
 
-    /// Sends a suspicion to the other observers at once: together they can decide sooner.
+    /// Sends a suspicion to the other observers immediately, because the timeout is shorter if several observers agree.
     fn notify_observers(&mut self, suspect: &str, actions: &mut Vec<Action>) {
         let observers: Vec<String> = self
             .observers_of(suspect)
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The record of a member with this proxy as its accuser.
+    /// The record of a member with this proxy as the accuser.
     fn accusation(&self, name: &str) -> Option<Record> {
         let member = self.members.get(name)?;
         Some(Record {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Merges the claim that a member is suspected. An empty accuser adds none.
+    /// Merges a claim that a member is suspected. An empty accuser is not added to the suspicion.
     pub(super) fn suspect(&mut self, report: ClaimReport, actions: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(report.name) else {
             return;
@@ -118,21 +118,23 @@
         }
         let is_new = suspicion.accusers.insert(report.accuser.into());
         if is_new && report.accuser == self.own.name {
-            // This proxy's own evidence is one probe period old at most: a later response withdraws the accusation.
+            // This proxy's own evidence is at most one probe period old, because a later response withdraws the
+            // accusation.
             suspicion.since = suspicion.since.max(self.now - self.settings.probe_period);
         }
     }
 
-    /// How long this proxy has to share a suspicion before it declares the member dead.
+    /// How long this proxy must be among the accusers of a member before it declares the member dead.
     fn suspicion_timeout(&self, name: &str, suspicion: &Suspicion) -> Micros {
         let size_factor = ((self.present_count() as f64).log10() / 2.0).max(1.0);
-        let shortest = self.settings.probe_period as f64 * size_factor;
-        let longest = shortest * MAX_TIMEOUT_FACTOR;
-        let timeout = longest - (longest - shortest) * self.agreement(name, suspicion);
+        let min_timeout = self.settings.probe_period as f64 * size_factor;
+        let max_timeout = min_timeout * MAX_TIMEOUT_FACTOR;
+        let timeout = max_timeout - (max_timeout - min_timeout) * self.agreement(name, suspicion);
         timeout as Micros * self.health.timeout_multiplier()
     }
 
-    /// From 0, where no observer but this proxy accuses the member, to 1, where enough of them do.
+    /// The agreement of the observers with a suspicion: 0 if no observer except this proxy accuses the member, and 1 if
+    /// enough observers accuse it.
     fn agreement(&self, name: &str, suspicion: &Suspicion) -> f64 {
         let observers = self.observers_of(name);
         let agreeing = observers
@@ -140,12 +142,12 @@
             .filter(|name| suspicion.accusers.contains(**name))
             .count()
             .saturating_sub(1);
-        // Observers that are suspected themselves may never respond: where many have died the rest decide.
-        let able = observers
+        // Observers that are not alive may never accuse: if many members have died, the remaining observers decide.
+        let eligible = observers
             .iter()
             .filter(|name| self.can_accuse(name))
             .count();
-        let needed = CONFIRMING_ACCUSERS.min(able.saturating_sub(1));
+        let needed = CONFIRMING_ACCUSERS.min(eligible.saturating_sub(1));
         if needed == 0 {
             return 1.0;
         }
@@ -157,8 +159,8 @@
         name == self.own.name || self.members.get(name).is_some_and(Member::is_alive)
     }
 
-    /// Declares members dead whose suspicion timed out, and probes those that this proxy does not accuse itself but
-    /// others have suspected for too long.
+    /// Declares members dead whose suspicion timed out. Probes members that this proxy does not accuse itself and that
+    /// have been suspected for too long.
     pub(super) fn decide_suspicions(&mut self, actions: &mut Vec<Action>) {
         let mut expired = Vec::new();
         let mut undecided = Vec::new();
--- a/crates/membership/src/view/timers.rs
+++ b/crates/membership/src/view/timers.rs
@@ -1,7 +1,8 @@
-//! When a view has to be called, what is then due, and what a pause of the process means.
+//! Timers of a view, and recovery from a pause of the process.
 //!
 //! Invariant: [`View::next_timeout`] is the earliest of all pending deadlines, so a host that calls
-//! [`View::handle_timeout`] then misses none; a call that comes much too late shows that the process was paused.
+//! [`View::handle_timeout`] at that time misses none. A call that is much too late indicates that the process was
+//! paused.
 
 use super::probing::Probe;
 use super::relaying::RelayedProbe;
@@ -9,15 +10,15 @@
 use crate::health::pause_length;
 use crate::{mutant, Micros};
 
-/// The part of a probe period from the end of a pause to the first probe, as a divisor: messages that arrived meanwhile
-/// are handled first.
+/// Divisor of the probe period that gives the delay of the first probe after a pause, so that the messages that arrived
+/// during the pause are handled first.
 const PROBE_DELAY_DIVISOR: Micros = 4;
 
 impl View {
     /// When [`View::handle_timeout`] has to be called next.
     pub fn next_timeout(&self) -> Micros {
         if self.withdrawn {
-            // Probes and pushes that were due are never sent any more.
+            // A withdrawn proxy sends no more probes or rumors.
             return self.maintenance.next_at;
         }
         let timers = [self.maintenance.next_at, self.schedule.next_at].into_iter();
@@ -37,7 +38,7 @@
             .fold(Micros::MAX, Micros::min)
     }
 
-    /// Runs everything that is due.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let due = self.next_timeout();
         self.now = now;
@@ -69,19 +70,19 @@
         }
     }
 
-    /// This process was paused: what it observed before is outdated.
+    /// Handles a pause of this process: observations from before the pause are outdated.
     fn recover_from_pause(&mut self, duration: Micros, actions: &mut Vec<Action>) {
         self.health.record_pause();
         if !mutant("trusts-itself") {
-            self.withdraw_observations();
+            self.discard_observations();
         }
         self.maintenance.next_at = self.now;
         self.schedule.next_at = self.now + self.settings.probe_period / PROBE_DELAY_DIVISOR;
         actions.push(Action::Notify(Change::ProcessPaused { duration }));
     }
 
-    /// Drops all open probes and the accusations of this proxy. Suspicions of others start over.
-    fn withdraw_observations(&mut self) {
+    /// Discards all open probes and this proxy's accusations. All suspicions start again.
+    fn discard_observations(&mut self) {
         self.probes.clear();
         self.relayed_probes.clear();
         let members = self.members.values_mut();
--- a/crates/membership/src/view/tombstones.rs
+++ b/crates/membership/src/view/tombstones.rs
@@ -1,12 +1,13 @@
-//! Tombstones of forgotten members: the start of each, so that no old message brings that process back.
+//! Tombstones of forgotten members. They store the start of each forgotten process, so that old messages do not add the
+//! process to the view again.
 //!
-//! Invariants: a name is either a member or has a tombstone; a tombstone covers its start and all earlier ones; their
-//! number is bounded, and the oldest are dropped first.
+//! Invariants: no name has both a member and a tombstone; a tombstone covers its start and all earlier starts; the
+//! number of tombstones is bounded, and the oldest are dropped first.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Most tombstones, as a multiple of the members that there may be.
+/// Maximum number of tombstones, as a multiple of the maximum number of members.
 const CAPACITY_FACTOR: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -30,12 +31,12 @@
         }
     }
 
-    /// The start of the process that was forgotten under this name.
+    /// The start of the forgotten process with this name.
     pub(super) fn start_of(&self, name: &str) -> Option<u64> {
         self.tombstones.get(name).map(|tombstone| tombstone.start)
     }
 
-    /// Whether this process, or a later one of its name, was forgotten.
+    /// Whether this process, or a later one with its name, was forgotten.
     pub(super) fn covers(&self, name: &str, start: u64) -> bool {
         self.start_of(name)
             .is_some_and(|forgotten| start <= forgotten)
@@ -55,7 +56,7 @@
         self.tombstones.remove(name);
     }
 
-    /// Drops the oldest ones above the capacity.
+    /// Drops the oldest tombstones in excess of the capacity.
     pub(super) fn drop_oldest(&mut self) {
         while self.tombstones.len() > self.capacity {
             let oldest = self
--- a/crates/membership/src/view/transfer.rs
+++ b/crates/membership/src/view/transfer.rs
@@ -1,7 +1,7 @@
-//! Transfer of records between two proxies: requests for them and their delivery, in datagrams or over a stream.
+//! Transfer of records between two proxies: requests for records and their delivery, in datagrams or over a stream.
 //!
-//! Invariant: chunks, and all datagrams of a transfer but the last, are sent only while the send budget allows it; what
-//! is not sent is left to a later exchange.
+//! Invariant: stream chunks, and all datagrams of a transfer except the last, are sent only while the send budget
+//! allows it. A later exchange transfers the records that were not sent.
 
 use super::recipients::Recipient;
 use super::send::RECORD_OVERHEAD;
@@ -10,23 +10,25 @@
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Bytes that one part of an exchange may take in a datagram, besides its header.
+/// Maximum length of one part of an exchange in a datagram, in bytes. The rest of the datagram is left for its header.
 pub(super) const DATAGRAM_CAPACITY: usize = wire::MAX_DATAGRAM_LENGTH - 220;
-/// Parts of an exchange longer than this go over a stream.
+/// Parts of an exchange longer than this number of bytes are sent over a stream.
 pub(super) const STREAM_THRESHOLD: usize = 2 * DATAGRAM_CAPACITY;
-/// Length of one message of a stream before compression; compressed it is about what the default rate allows at once.
+/// Length of one stream message before compression, in bytes. Its compressed length is about as much as the default
+/// rate allows at once.
 pub(super) const STREAM_CHUNK: usize = 20 * DATAGRAM_CAPACITY;
-/// Names requested in one datagram.
+/// Maximum number of names requested in one datagram.
 const NAMES_PER_DATAGRAM: usize = 24;
-/// More names than this are requested over a stream.
+/// A request for more names than this is sent over a stream.
 const STREAMED_NAMES: usize = STREAM_THRESHOLD / NAMES_PER_DATAGRAM;
 /// More records than this are sent over a stream.
 pub(super) const MAX_DATAGRAM_RECORDS: usize = 9;
-/// How long streams to an address that refused one are avoided, in probe periods; datagrams do the same in more bytes.
+/// How long streams to an address are avoided after one failed, in probe periods. Datagrams replace them, but need more
+/// bytes.
 const STREAM_RETRY_PERIODS: Micros = 30;
 
 impl View {
-    /// Reports that a stream to this address failed: datagrams are used in its place for a while.
+    /// Reports that a stream to this address failed. Datagrams are used instead of streams for a while.
     pub fn stream_failed(&mut self, now: Micros, to: SocketAddr) {
         if self.failed_streams.len() < self.settings.max_members {
             self.failed_streams
@@ -34,12 +36,12 @@
         }
     }
 
-    /// Whether messages for this address may go over a stream.
+    /// Whether messages to this address may be sent over a stream.
     pub(super) fn can_stream(&self, to: SocketAddr) -> bool {
         self.settings.use_streams && !self.failed_streams.contains_key(&to)
     }
 
-    /// Requests the records of these members. False where the budget did not allow all of the datagrams.
+    /// Requests the records of these members. Returns false if the send budget did not allow all datagrams.
     pub(super) fn request_records(
         &mut self,
         to: Recipient,
@@ -72,7 +74,7 @@
         true
     }
 
-    /// Records that this proxy requested, and names whose records the other requests.
+    /// Handles records that this proxy requested, and names whose records the other proxy requests.
     pub(super) fn receive_transfer(
         &mut self,
         sender: Recipient,
@@ -85,7 +87,7 @@
         self.send_records(sender, transfer.names, actions);
     }
 
-    /// Sends the records of these members, as far as they are known and the budget allows.
+    /// Sends the known records of these members, until the send budget is exhausted.
     pub(super) fn send_records(
         &mut self,
         to: Recipient,
@@ -93,7 +95,7 @@
         actions: &mut Vec<Action>,
     ) {
         if names.len() > MAX_DATAGRAM_RECORDS && self.can_stream(to.address) {
-            // Where the budget does not allow all, another exchange sends others.
+            // If the budget does not allow all records, another exchange sends different ones.
             self.rng.shuffle(&mut names);
             return self.stream_records(to.address, &names, actions);
         }
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Sends a message over a stream; one that is too long even when compressed is dropped.
+    /// Sends a message over a stream. A message that is too long even after compression is dropped.
     pub(super) fn send_chunk(
         &mut self,
         to: SocketAddr,
--- a/crates/membership/src/wire/messages.rs
+++ b/crates/membership/src/wire/messages.rs
@@ -1,10 +1,10 @@
-//! The protobuf messages. Field numbers are the wire format and never change their meaning; a field that a build does
-//! not know is skipped by it.
+//! The protobuf messages. Field numbers are part of the wire format and never change their meaning. A build skips
+//! fields that it does not know.
 
 use crate::claim::{Claim, MemberState};
 use prost::Message;
 
-/// A message, with what its sender claims of itself and of the receiver.
+/// A message, with the sender's claims about itself and about the receiver.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
     /// Hash of the fleet's name.
@@ -19,22 +19,22 @@
     /// Incarnation of the sender.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Tells processes of one name apart.
+    /// Random number that distinguishes processes with the same name.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
-    /// Where the sender receives: replies go there, not to the datagram's source address.
+    /// Address at which the sender receives datagrams. Replies are sent to it, not to the datagram's source address.
     #[prost(string, tag = "6")]
     pub address: String,
     /// Revision of the sender's body.
     #[prost(uint64, tag = "7")]
     pub revision: u64,
-    /// What the sender knows of the receiver, if that is not that it is alive.
+    /// The sender's claim about the receiver, unless the sender considers it alive.
     #[prost(message, optional, tag = "8")]
     pub receiver_claim: Option<ReceiverClaim>,
-    /// What the message is for; none where it only carries rumors.
+    /// The payload; absent if the message only carries records.
     #[prost(oneof = "Payload", tags = "9, 10, 11, 12, 13, 14, 15, 16, 17, 18")]
     pub payload: Option<Payload>,
-    /// Piggybacked rumors.
+    /// Piggybacked records, usually rumors.
     #[prost(message, repeated, tag = "30")]
     pub records: Vec<Record>,
 }
@@ -51,31 +51,31 @@
     /// Requests an indirect probe.
     #[prost(message, tag = "11")]
     PingRequest(PingRequest),
-    /// Responds to a ping request: the target has not responded yet.
+    /// Responds to a ping request if the target has not responded yet.
     #[prost(message, tag = "12")]
     Nack(SequenceNumber),
-    /// The sender leaves the fleet.
+    /// Announces that the sender leaves the fleet.
     #[prost(message, tag = "13")]
     Leaving(SequenceNumber),
-    /// Confirms that the receiver leaves.
+    /// Confirms that the sender received the receiver's departure announcement.
     #[prost(message, tag = "14")]
     Confirmed(SequenceNumber),
     /// Begins an anti-entropy exchange.
     #[prost(message, tag = "15")]
     RootDigest(RootDigest),
-    /// Responds to a root digest that differs.
+    /// Responds to a root digest that differs from the local one.
     #[prost(message, tag = "16")]
     BucketDigests(BucketDigests),
-    /// Responds to bucket digests that differ.
+    /// Responds to bucket digests that differ from the local ones.
     #[prost(message, tag = "17")]
     Inventory(Inventory),
-    /// Requested and delivered records of an anti-entropy exchange, as against rumors.
+    /// Requests and delivers records of an anti-entropy exchange, as opposed to rumors.
     #[prost(message, tag = "18")]
     RecordTransfer(RecordTransfer),
 }
 
 impl Payload {
-    /// Its kind in metrics.
+    /// The name of the payload kind in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Payload::Ping(_) => "ping",
@@ -98,13 +98,13 @@
     /// Start of the process that the claim is about.
     #[prost(uint64, tag = "1")]
     pub start: u64,
-    /// Its incarnation.
+    /// Incarnation of that process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The number of its state.
+    /// Number of the claimed state.
     #[prost(uint32, tag = "3")]
     pub state: u32,
-    /// The sender has forgotten the process with this start, and accepts only a later one.
+    /// Whether the sender has forgotten the process with this start, and accepts only a later one.
     #[prost(bool, tag = "4")]
     pub forgotten: bool,
 }
@@ -112,18 +112,18 @@
 /// A probe of the receiver.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ping {
-    /// The number that the ack repeats.
+    /// Sequence number that the ack repeats.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The member that is to respond; empty for whichever receives it.
+    /// Name of the member that has to respond; empty if any receiver may respond.
     #[prost(string, tag = "2")]
     pub target: String,
 }
 
-/// The sequence number of the message that a reply belongs to.
+/// The sequence number of a message, which its reply repeats.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SequenceNumber {
-    /// The number.
+    /// The sequence number.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
 }
@@ -131,24 +131,24 @@
 /// A request to ping a target and relay its response.
 #[derive(Clone, PartialEq, Message)]
 pub struct PingRequest {
-    /// The number that the ack or nack repeats.
+    /// Sequence number that the ack or nack repeats.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
     /// Name of the member to probe.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// Where it receives datagrams.
+    /// Address at which the target receives datagrams.
     #[prost(string, tag = "3")]
     pub address: String,
 }
 
-/// The digest of the sender's whole view.
+/// The digest of the sender's complete view.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct RootDigest {
-    /// Hash over all buckets.
+    /// Hash of all buckets.
     #[prost(fixed64, tag = "1")]
     pub digest: u64,
-    /// Number of members that the sender knows to be present.
+    /// Number of present members in the sender's view.
     #[prost(uint64, tag = "2")]
     pub count: u64,
 }
@@ -156,15 +156,15 @@
 /// The digest of each bucket of the sender's view.
 #[derive(Clone, PartialEq, Message)]
 pub struct BucketDigests {
-    /// In the order of the buckets.
+    /// One digest per bucket, in the order of the buckets.
     #[prost(fixed32, repeated, tag = "1")]
     pub digests: Vec<u32>,
 }
 
-/// What the sender knows in some buckets.
+/// The sender's records in some buckets, without bodies.
 #[derive(Clone, PartialEq, Message)]
 pub struct Inventory {
-    /// Buckets that are complete: the sender knows no members of them but the listed ones.
+    /// Complete buckets: the sender knows no members in them other than the listed ones.
     #[prost(uint32, repeated, tag = "1")]
     pub buckets: Vec<u32>,
     /// Records without bodies.
@@ -172,7 +172,7 @@
     pub items: Vec<Record>,
 }
 
-/// Names of which the sender requests records, and records that it delivers.
+/// Names whose records the sender requests, and records that it delivers.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordTransfer {
     /// Names of the requested records.
@@ -183,34 +183,34 @@
     pub records: Vec<Record>,
 }
 
-/// What the sender knows of a member.
+/// The sender's knowledge of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
     /// Name of the member.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Start of its process.
+    /// Start of the member's process.
     #[prost(uint64, tag = "2")]
     pub start: u64,
-    /// Its incarnation.
+    /// Incarnation of the member.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// The number of its state.
+    /// Number of the member's state.
     #[prost(uint32, tag = "4")]
     pub state: u32,
     /// The observer whose probe failed, for a member that is suspected or dead.
     #[prost(string, tag = "5")]
     pub accuser: String,
-    /// Revision of the body, counted by the member from 1 at each start; 0 for none.
+    /// Revision of the body, which the member counts from 1 at each start; 0 if there is no body.
     #[prost(uint64, tag = "6")]
     pub revision: u64,
-    /// A [`Body`] as the member itself encoded it.
+    /// The [`Body`] as the member itself encoded it.
     #[prost(bytes = "vec", tag = "7")]
     pub body: Vec<u8>,
 }
 
 impl Record {
-    /// The claim in it, if its state is a known one.
+    /// The claim of the record, or `None` if the number of its state is unknown.
     pub fn claim(&self) -> Option<Claim> {
         Some(Claim {
             start: self.start,
@@ -220,30 +220,30 @@
     }
 }
 
-/// What a member publishes of itself.
+/// The information that a member publishes about itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct Body {
-    /// Where it receives datagrams.
+    /// Address at which the member receives datagrams.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Its zone.
+    /// Zone of the member.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Its weight against other proxies.
+    /// Weight of the member relative to other proxies.
     #[prost(uint32, tag = "3")]
     pub weight: u32,
-    /// The version of its program.
+    /// Version of the member's program.
     #[prost(string, tag = "4")]
     pub version: String,
-    /// Tells processes of one name apart.
+    /// Random number that distinguishes processes with the same name.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
-    /// What its other modules publish.
+    /// Values that other modules of the member publish.
     #[prost(message, repeated, tag = "7")]
     pub values: Vec<Value>,
 }
 
-/// What another module of the member publishes with its body.
+/// A value that another module of the member publishes with its body.
 #[derive(Clone, PartialEq, Message)]
 pub struct Value {
     /// Number of the module; a body has one value of each kind.
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -141,7 +141,7 @@
             (&mut self.view, &mut self.replica, &mut self.subscription);
         let (actions, replica_acts) = (&mut self.actions, &mut self.replica_acts);
         self.datagrams.receive(|bytes| {
-            match (subscription.as_mut(), envelope::message_mark(bytes)) {
+            match (subscription.as_mut(), envelope::message_magic(bytes)) {
                 (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
                 _ => dispatch::receive(view, replica, now, bytes, (actions, replica_acts)),
             }
--- a/crates/proxy/src/net/peers/dispatch.rs
+++ b/crates/proxy/src/net/peers/dispatch.rs
@@ -99,7 +99,7 @@
     (actions, replica_acts): (&mut Vec<Action>, &mut Vec<replica::Action>),
 ) {
     let for_replica = matches!(
-        envelope::message_mark(bytes),
+        envelope::message_magic(bytes),
         Some(wire::MARK | wire::CHUNK_MARK)
     );
     match replica {
