--- a/crates/membership/tests/claim.rs
+++ b/crates/membership/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Which of two claims about one member supersedes the other, and how a wrong one is refuted.
+//! Tests of the rules by which a claim supersedes another one, and by which a wrong claim is refuted.
 
 use meadowrill_membership::claim::{refute, Claim, MemberState};
 
--- a/crates/membership/tests/rumors.rs
+++ b/crates/membership/tests/rumors.rs
@@ -1,4 +1,4 @@
-//! The order in which rumors are sent, and how often.
+//! Tests of the order and the number of transmissions of rumors.
 
 use meadowrill_membership::rumors::Rumors;
 
