--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     score: u32,
-    /// Whether the score changes timeouts. Disabled only in baselines.
+    /// Whether the score changes timeouts. Disabled only in baseline comparisons.
     enabled: bool,
 }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -59,7 +59,7 @@
     pub bytes_per_second: u64,
     /// How long members that are dead or have left are retained in the view. Default: ten minutes.
     pub departed_retention: Micros,
-    /// Whether local health extends timeouts. Disabled only in baselines.
+    /// Whether local health extends timeouts. Disabled only in baseline comparisons.
     pub local_health: bool,
     /// Whether large messages of an anti-entropy exchange may be sent over a stream. Default: true.
     pub use_streams: bool,
--- a/crates/membership/src/view/budget.rs
+++ b/crates/membership/src/view/budget.rs
@@ -13,8 +13,8 @@
 /// Fraction of the capacity above which rumors carry published bodies. Below it, the budget is left to anti-entropy,
 /// which sends no record twice.
 pub(super) const BODY_RUMORS_FRACTION: f64 = 0.5;
-/// Fraction of the capacity above which rumors without bodies (failures and returns) are sent, additional exchanges are
-/// begun and indirect probes are requested from all helpers.
+/// Fraction of the capacity above which rumors without bodies (about members that are dead, have left or have not
+/// published a body yet) are sent, additional exchanges are begun and indirect probes are requested from all helpers.
 pub(super) const ESSENTIAL_FRACTION: f64 = 0.2;
 
 /// Token bucket of the bytes that may be sent.
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of rumors: all are piggybacked on probes, and urgent ones are also pushed to random members.
+//! Dissemination of rumors: all are piggybacked on probes and acks, and urgent ones are also pushed to random members.
 //!
 //! Invariant: at most one push is scheduled, at the earliest time that any urgent change requires.
 
@@ -48,8 +48,8 @@
             .members
             .get(report.name)
             .is_some_and(|m| !m.encoded_body.is_empty());
-        let is_bare = report.claim.state == MemberState::Alive && !has_body;
-        (report.source != ClaimSource::AntiEntropy && !is_bare) || has_returned(former)
+        let lacks_body = report.claim.state == MemberState::Alive && !has_body;
+        (report.source != ClaimSource::AntiEntropy && !lacks_body) || has_returned(former)
     }
 
     /// Schedules a push of rumors after a short delay.
--- a/crates/membership/src/view/inventory.rs
+++ b/crates/membership/src/view/inventory.rs
@@ -42,9 +42,9 @@
 #[derive(Default)]
 struct Difference {
     /// Names of members for which the other proxy has a newer record.
-    wanted: Vec<String>,
+    newer_remotely: Vec<String>,
     /// Names of members for which this proxy has a newer record.
-    newer: Vec<String>,
+    newer_locally: Vec<String>,
 }
 
 impl View {
@@ -91,11 +91,11 @@
                 list.push(member.record(name, &self.own.name));
             }
         }
-        let take = |bucket: &usize| BucketItems {
+        let take_items = |bucket: &usize| BucketItems {
             bucket: *bucket,
             items: items.remove(bucket).unwrap_or_default(),
         };
-        buckets.iter().map(take).collect()
+        buckets.iter().map(take_items).collect()
     }
 
     /// Sends as many complete buckets as fit into one stream chunk. The next comparison finds the remaining ones.
@@ -200,10 +200,10 @@
             .map(|bucket| *bucket as usize)
             .collect();
         difference
-            .newer
+            .newer_locally
             .extend(self.missing_names(&complete, &listed));
-        if self.request_records(sender, difference.wanted, actions) {
-            self.send_records(sender, difference.newer, actions);
+        if self.request_records(sender, difference.newer_remotely, actions) {
+            self.send_records(sender, difference.newer_locally, actions);
         }
     }
 
@@ -223,7 +223,7 @@
         let name = item.name.clone();
         self.receive_record(item, ClaimSource::AntiEntropy, actions);
         if is_outdated || claim.state != MemberState::Alive {
-            difference.newer.push(name);
+            difference.newer_locally.push(name);
         }
     }
 
@@ -236,7 +236,7 @@
     ) {
         let Some(member) = self.members.get(&item.name) else {
             if !self.tombstones.covers(&item.name, item.start) {
-                difference.wanted.push(item.name);
+                difference.newer_remotely.push(item.name);
             }
             return;
         };
@@ -250,12 +250,12 @@
         let is_outdated = known > claim || (same_process && member.revision > item.revision);
         let name = item.name.clone();
         if body_is_newer {
-            difference.wanted.push(name.clone());
+            difference.newer_remotely.push(name.clone());
         } else if claim > known {
             self.receive_record(item, ClaimSource::AntiEntropy, actions);
         }
         if is_outdated {
-            difference.newer.push(name);
+            difference.newer_locally.push(name);
         }
     }
 
--- a/crates/membership/src/view/member.rs
+++ b/crates/membership/src/view/member.rs
@@ -71,7 +71,12 @@
 }
 
 impl Member {
-    pub(super) fn new(claim: Claim, published: PublishedBody, by: &str, now: Micros) -> Member {
+    pub(super) fn new(
+        claim: Claim,
+        published: PublishedBody,
+        accuser: &str,
+        now: Micros,
+    ) -> Member {
         Member {
             claim,
             state_since: now,
@@ -79,7 +84,7 @@
             body: published.body,
             encoded_body: published.encoded,
             suspicion: (claim.state == MemberState::Suspected).then(|| Suspicion::new(now)),
-            declared_dead_by: by.to_string(),
+            declared_dead_by: accuser.to_string(),
             acknowledged_at: None,
             received_at: None,
             round_trip: None,
--- a/crates/membership/src/view/transfer.rs
+++ b/crates/membership/src/view/transfer.rs
@@ -12,16 +12,16 @@
 
 /// Maximum length of one part of an exchange in a datagram, in bytes. The rest of the datagram is left for its header.
 pub(super) const DATAGRAM_CAPACITY: usize = wire::MAX_DATAGRAM_LENGTH - 220;
-/// Parts of an exchange longer than this number of bytes are sent over a stream.
+/// Parts of an exchange that are longer than this number of bytes are sent over a stream if streams are usable.
 pub(super) const STREAM_THRESHOLD: usize = 2 * DATAGRAM_CAPACITY;
 /// Length of one stream message before compression, in bytes. Its compressed length is about as much as the default
 /// rate allows at once.
 pub(super) const STREAM_CHUNK: usize = 20 * DATAGRAM_CAPACITY;
 /// Maximum number of names requested in one datagram.
 const NAMES_PER_DATAGRAM: usize = 24;
-/// A request for more names than this is sent over a stream.
+/// A request for more names than this is sent over a stream if streams are usable.
 const STREAMED_NAMES: usize = STREAM_THRESHOLD / NAMES_PER_DATAGRAM;
-/// More records than this are sent over a stream.
+/// More records than this are sent over a stream if streams are usable.
 pub(super) const MAX_DATAGRAM_RECORDS: usize = 9;
 /// How long streams to an address are avoided after one failed, in probe periods. Datagrams replace them, but need more
 /// bytes.
--- a/crates/membership/src/wire/messages.rs
+++ b/crates/membership/src/wire/messages.rs
@@ -31,7 +31,7 @@
     /// The sender's claim about the receiver, unless the sender considers it alive.
     #[prost(message, optional, tag = "8")]
     pub receiver_claim: Option<ReceiverClaim>,
-    /// The payload; absent if the message only carries records.
+    /// The payload; absent if the message carries only records or a claim about the receiver.
     #[prost(oneof = "Payload", tags = "9, 10, 11, 12, 13, 14, 15, 16, 17, 18")]
     pub payload: Option<Payload>,
     /// Piggybacked records, usually rumors.
