--- a/crates/replication/src/ledger/claim_set.rs
+++ b/crates/replication/src/ledger/claim_set.rs
@@ -1,4 +1,4 @@
-//! All claims of a key, and what they say together.
+//! All claims to a key, and the status of the key that results from them.
 
 use super::{Ledger, Voters};
 use crate::map::Map;
@@ -8,37 +8,38 @@
 use crate::wire_time;
 use crate::Micros;
 
-/// An attempt of a claim that was sent later than this from now was sent nobody knows when: its holder's clock is wrong.
+/// If a claim's first attempt is further in the future than this, the time at which it was sent is unknown, because its
+/// holder's clock is wrong.
 const MAX_CLOCK_SKEW: Micros = 500_000;
-/// A claim whose holder's client has stopped waiting is waited for no longer than this.
+/// An open claim is waited for until this long after its holder's client has stopped waiting.
 const DEADLINE_GRACE: Micros = 100_000;
 
-/// What the claims of a key say together. The strongest counts.
+/// The status of a key that results from its claims. The strongest claim determines it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus {
     /// Nothing conflicts with a new claim.
     Unclaimed,
-    /// The outcome of a claim is to be waited for.
+    /// A claim is open whose outcome can still become known.
     InProgress {
         /// When the first attempt may have been sent.
         first_sent_at: Micros,
     },
-    /// It may have run, and no outcome will be known.
+    /// An attempt may have run, and its outcome will not become known.
     OutcomeLost {
         /// When the first attempt may have been sent.
         first_sent_at: Micros,
     },
-    /// It ran.
+    /// An attempt ran.
     Completed {
         /// Whether the response was current.
         current: bool,
-        /// The response; none where it was too long to store.
+        /// The response; none if it was too long to store.
         body: Option<Vec<u8>>,
     },
 }
 
 impl KeyStatus {
-    /// What one claim says; none if it says nothing.
+    /// The status that results from one claim; none for a claim that did not run.
     fn of_claim(
         state: ClaimState,
         claim: Claim,
@@ -61,8 +62,8 @@
         }
     }
 
-    /// What two claims say together: the earliest attempt counts for the origin's window, and a claim that is still
-    /// waited for counts before one that is not.
+    /// Combines the statuses that result from two claims. The earliest attempt counts for the origin's deduplication
+    /// window, and a claim in progress takes precedence over one with a lost outcome.
     fn combine(self, next: KeyStatus) -> KeyStatus {
         use KeyStatus::{Completed, InProgress, OutcomeLost, Unclaimed};
         match (self, next) {
@@ -82,7 +83,7 @@
     }
 }
 
-/// What the claims of a key but `except` say together.
+/// The status of a key according to all its claims other than `except`.
 pub fn key_status(
     map: &Map,
     prefix: &[u8],
@@ -102,7 +103,7 @@
     status
 }
 
-/// All claims of a key but `except`.
+/// All claims of a key other than `except`.
 pub(super) fn claims_of_key<'a>(
     map: &'a Map,
     prefix: &'a [u8],
@@ -116,7 +117,7 @@
         })
 }
 
-/// The part of a claim's name that all claims of its key share.
+/// The prefix of a claim's name that all claims to the same key share.
 pub(super) fn shared_prefix(claim: &Key) -> &[u8] {
     let length = claim
         .name
@@ -125,8 +126,8 @@
     &claim.name[..length.min(claim.name.len())]
 }
 
-/// When the first attempt for a claim's key may have been sent; long ago where the claim cannot tell, so that nobody relies
-/// on the origin's window.
+/// When the first attempt for a claim's key may have been sent. If the claim's time is implausible this is 0, long
+/// ago, so that no proxy relies on the origin's deduplication window.
 fn first_sent_at(claim: &Claim, now: Micros) -> Micros {
     let sent_at = wire_time::from_wire(claim.first_sent_at);
     if sent_at > now + MAX_CLOCK_SKEW {
@@ -135,13 +136,13 @@
     sent_at
 }
 
-/// Whether nobody will end a claim any more: its holder is gone or late.
+/// Whether a claim is not expected to be ended any more: its holder is gone or past the deadline.
 pub(super) fn is_abandoned(claim: &Claim, voters: &Voters, now: Micros) -> bool {
     !voters.is_holder_alive(claim) || now > wire_time::from_wire(claim.deadline) + DEADLINE_GRACE
 }
 
 impl Ledger {
-    /// The history of one key: the state of each of its claims, oldest first.
+    /// The claims to one key with their states, ordered by the time of their first attempt.
     pub fn claim_history(map: &Map, key: &[u8]) -> Vec<(ClaimState, Claim)> {
         let prefix = records::claim_prefix(key);
         let mut history: Vec<_> = claims_of_key(map, &prefix, None)
--- a/crates/replication/src/ledger/messages.rs
+++ b/crates/replication/src/ledger/messages.rs
@@ -1,5 +1,5 @@
-//! What goes into the ledger and comes out of it: the terms and the outcome of a request, decisions, requests to owners
-//! and votes.
+//! The input and output types of the ledger: the terms and the outcome of a request, decisions, vote requests to
+//! owners, and votes.
 
 use crate::wire::ClaimRequest;
 use crate::Micros;
@@ -7,27 +7,28 @@
 /// The terms of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestTerms {
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Micros,
-    /// Its latency budget, a duration.
+    /// The latency budget of the request, a duration.
     pub latency_budget: Micros,
-    /// How long the origin drops repeats of its idempotency key; 0 where it does not.
+    /// How long the origin drops repeats of the idempotency key; 0 if it does not.
     pub dedup_window: Micros,
 }
 
-/// The ledger's decision on a request. `token` is the host's number for the request.
+/// The ledger's decision on a request. `token` is the number that the caller has assigned to the request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It may be sent.
+    /// The request may be sent.
     Admit {
         /// The request.
         token: u64,
-        /// No attempt may be sent from then on.
+        /// From this time on no attempt may be sent.
         send_until: Micros,
-        /// An earlier claim may have run, so it would be untrue to reject the request.
+        /// An attempt under an earlier claim may have run. A rejection, which promises that nothing ran, could be
+        /// false.
         earlier_may_have_run: bool,
     },
-    /// It has run before: this was the response.
+    /// The request has run before; the client gets the stored response.
     Replay {
         /// The request.
         token: u64,
@@ -36,12 +37,13 @@
         /// The response.
         body: Vec<u8>,
     },
-    /// It may have run before, and no outcome will be known.
+    /// The request ran or may have run before, and its response is not known.
     Fail {
         /// The request.
         token: u64,
     },
-    /// Nothing of it ran, here or by a claim that is known.
+    /// No attempt of the request was sent here. A request that would take over from a claim that may have run gets
+    /// [`Decision::Fail`] instead.
     Reject {
         /// The request.
         token: u64,
@@ -53,11 +55,11 @@
 /// How a request that was admitted ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// There is proof that it did not run.
+    /// There is proof that the request did not run.
     NotRun,
-    /// It may have run; the outcome is not known.
+    /// The request may have run; its outcome is not known.
     MayHaveRun,
-    /// It ran.
+    /// The request ran.
     Ran {
         /// Whether the response was current.
         current: bool,
@@ -66,25 +68,26 @@
     },
 }
 
-/// A request for the vote of an owner.
+/// A vote request to an owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerRequest {
-    /// The owner.
+    /// The name of the owner.
     pub to: String,
-    /// The request.
+    /// The vote request.
     pub request: ClaimRequest,
 }
 
 /// An owner's vote on a claim. The numbers are those of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Vote {
-    /// The owner stores the claim.
+    /// The owner has stored the claim.
     Granted = 0,
-    /// Another claim conflicts.
+    /// The owner stores a claim that conflicts.
     Conflict = 1,
-    /// The owner takes other proxies for the owners of this key.
+    /// The owner computes other owners for this key than the requester, or cannot decode the claim.
     OwnersDiffer = 2,
-    /// The owner does not know enough yet to vote.
+    /// The owner cannot vote yet: it has not compared its claims with all other owners since its start, or has not
+    /// agreed on the membership.
     NotReady = 3,
     /// The owner has no capacity for the claim.
     Full = 4,
--- a/crates/replication/src/ledger/mod.rs
+++ b/crates/replication/src/ledger/mod.rs
@@ -1,20 +1,23 @@
-//! The ledger of effects: which proxy may send a keyed request, and what a retry with the same idempotency key gets.
+//! The ledger of side effects: decides which proxy may send a keyed request, and how a retry with the same idempotency
+//! key is answered.
 //!
-//! The proxy that receives a keyed request claims its key before any attempt. The claim goes to the owners of the key, a
-//! few proxies chosen by rendezvous hashing over all that are known, also those that are held to be dead. A quorum, more
-//! than half of them, has to grant it while no other claim conflicts.
+//! The proxy that receives a keyed request claims its key before it sends any attempt. The claim is sent to the
+//! owners of the key: a few proxies that rendezvous hashing selects from all known proxies, including those
+//! considered dead. The claim is granted if a quorum, more than half of the owners, grants it; an owner does so only
+//! while no other claim conflicts.
 //!
 //! Invariants:
-//! - Two open claims of one key never both have a quorum, on whichever sides of a network split: any two quorums share
-//!   an owner, and an owner grants no claim that conflicts with one it stores.
-//! - A claim is ended by its holder alone: not run, completed with an outcome, or lost. What nobody ended may have run.
-//! - An owner that restarted has forgotten what it granted, and does not vote on a key until it has compared its claims
-//!   with all other owners of the key, whatever became of them (see [`crate::replica`]).
-//! - An owner votes only if it takes the same proxies for the owners as the requester, so that no quorum rests on a stale
-//!   view of the membership.
+//! - Two open claims of one key never both have a quorum, even during a network split: any two quorums share an
+//!   owner, and an owner grants no claim that conflicts with a claim it stores.
+//! - Only its holder ends a claim: as not run, as completed with an outcome, or as lost. A claim that was not ended may
+//!   have run.
+//! - An owner loses its granted claims when it restarts. It does not vote on a key until it has compared its claims
+//!   with all other owners of the key, alive or not (see [`crate::replica`]).
+//! - An owner grants a claim only if it computes the same owners of the key as the requester. So no quorum is based
+//!   on a stale view of the membership.
 //!
-//! A request passes the phases of `pending_request`; `request` holds its begin, decision and end, `quorum` the holder's
-//! side of a claim, and `owner` the owner's.
+//! `pending_request` defines the phases of a request; `request` contains its start, decision and end, `quorum` the
+//! holder's side of a claim, and `owner` the owner's side.
 
 mod claim_set;
 mod messages;
@@ -40,57 +43,57 @@
 /// Counters for metrics.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LedgerCounters {
-    /// Keyed requests.
+    /// Keyed requests that were received.
     pub requests: u64,
-    /// Claims granted by a quorum, or sent without one where the installation allows that.
+    /// Requests admitted because a quorum granted their claim, or without a quorum where the settings allow that.
     pub granted: u64,
     /// Claims that no quorum granted in time.
     pub without_quorum: u64,
-    /// Times that a request began to wait for another's outcome.
+    /// Times that a request which had already claimed its key started to wait for the outcome of another claim.
     pub waited: u64,
-    /// Requests answered with the outcome of another.
+    /// Requests answered with the stored response of an earlier claim.
     pub replayed: u64,
-    /// Requests that failed because another may have run.
+    /// Requests that failed because an earlier claim ran or may have run, and its response is not known.
     pub failed: u64,
-    /// Requests rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Claims that took over from one whose holder is gone.
+    /// Admitted requests whose claim took over from a claim with a lost outcome.
     pub takeovers: u64,
-    /// Claims withdrawn because another was made at the same time.
+    /// Claims withdrawn because another claim to the key was made at the same time.
     pub conflicts: u64,
 }
 
-/// One proxy's part in deciding on effects: its own keyed requests, and its votes as an owner.
+/// One proxy's ledger: its own keyed requests, and its votes as an owner.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     settings: LedgerSettings,
     name: String,
     incarnation: u64,
-    /// Hash of name and incarnation: the first part of the ids of its claims.
+    /// Hash of name and incarnation: the first part of the ids of this proxy's claims.
     holder_id: u64,
-    /// Number of its last claim: the second part.
+    /// Number of this proxy's last claim: the second part of the claim's id.
     last_claim_number: u64,
-    /// Requests that have not ended, by their token.
+    /// Requests that have not ended, by token.
     pending: BTreeMap<u64, PendingRequest>,
-    /// Tokens of requests, by the number of their claim.
+    /// Tokens of requests, by the number of the request's claim.
     tokens_by_claim: BTreeMap<u64, u64>,
     rng: fastrand::Rng,
     /// Counters for metrics.
     pub counts: LedgerCounters,
 }
 
-/// What a step of the ledger works on.
+/// The input of a step of the ledger.
 pub struct StepInput<'a> {
-    /// The time.
+    /// The current time.
     pub now: Micros,
-    /// The records that are stored.
+    /// The stored records.
     pub map: &'a mut Map,
     /// The proxies that vote on claims.
     pub voters: &'a Voters,
 }
 
 impl StepInput<'_> {
-    /// Merges a record, and notes it as changed; false if it was not merged.
+    /// Merges a record and adds its key to the changed keys. Returns false if the record was not merged.
     fn merge(&mut self, key: &Key, entry: Entry, out: &mut StepOutput) -> bool {
         let outcome = self.map.merge(key.clone(), entry, self.now);
         let merged = matches!(outcome, MergeOutcome::Merged { .. });
@@ -101,19 +104,19 @@
     }
 }
 
-/// What a step of the ledger brings about.
+/// The output of a step of the ledger.
 #[derive(Debug, Default)]
 pub struct StepOutput {
     /// Decisions on requests.
     pub decisions: Vec<Decision>,
-    /// Requests for the votes of owners.
+    /// Vote requests to owners.
     pub requests: Vec<OwnerRequest>,
-    /// Keys of records that have changed and are to be disseminated.
+    /// Keys of records that changed and have to be disseminated.
     pub changed_keys: Vec<Key>,
 }
 
 impl Ledger {
-    /// An empty ledger of the proxy `name` in this incarnation.
+    /// Creates an empty ledger for the proxy `name` in this incarnation.
     pub fn new(settings: LedgerSettings, name: &str, incarnation: u64, seed: u64) -> Ledger {
         Ledger {
             settings,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// How many requests have not ended.
+    /// Number of requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.pending.len()
     }
@@ -141,7 +144,8 @@
             .min()
     }
 
-    /// Time has passed, or others' claims or the voters have changed.
+    /// Advances all undecided requests. To be called when time has passed, or when the voters or the claims of other
+    /// proxies have changed.
     pub fn tick(&mut self, input: &mut StepInput, out: &mut StepOutput) {
         let undecided: Vec<u64> = self
             .pending
@@ -166,14 +170,14 @@
                 self.retry_claim(token, input, out);
             }
             Phase::Conflicted { retry_at } if input.now >= *retry_at => {
-                self.consider_request(token, input, out);
+                self.evaluate_request(token, input, out);
             }
-            Phase::Waiting => self.consider_request(token, input, out),
+            Phase::Waiting => self.evaluate_request(token, input, out),
             Phase::Requesting { .. } | Phase::Conflicted { .. } | Phase::Admitted => {}
         }
     }
 
-    /// Records the state of this proxy's own claim for a request.
+    /// Stores a new state of this proxy's own claim for a request.
     fn update_own_claim(
         &self,
         request: &mut PendingRequest,
--- a/crates/replication/src/ledger/owner.rs
+++ b/crates/replication/src/ledger/owner.rs
@@ -1,6 +1,6 @@
-//! The owner's side of a claim: whether this proxy grants it and stores it from then on.
+//! The owner's side of a claim: this proxy votes on a claim, and stores it if it grants it.
 //!
-//! Invariant: an owner grants no claim while it stores one that conflicts, and what it granted it never evicts.
+//! Invariant: an owner grants no claim while it stores a conflicting one, and never evicts a claim that it granted.
 
 use super::claim_set::{claims_of_key, is_abandoned, shared_prefix};
 use super::{Ledger, StepInput, Vote, Voters};
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 impl Ledger {
-    /// The vote on a requested claim, and the claims that conflict with it. What is granted is stored from here on.
+    /// Votes on a claim. Returns the vote and the claims that conflict. A granted claim is stored.
     pub fn vote(&mut self, request: &ClaimRequest, input: &mut StepInput) -> (Vote, Vec<Record>) {
         let is_claim = |record: &&Record| record.record_type == RecordType::Claim as u32;
         let Some(record) = request.claim.as_ref().filter(is_claim) else {
@@ -38,14 +38,14 @@
         (store_claim(key, record, input), Vec::new())
     }
 
-    /// Whether this proxy knows all that it may have granted before its start: it granted that together with one of the
-    /// key's other owners, so it has compared with each of them.
+    /// Whether this proxy knows all claims that it may have granted before its start. Another owner of the key granted
+    /// each of those as well, so this proxy knows them once it has compared its claims with each other owner.
     fn can_vote_among(&self, owners: &[String], voters: &Voters) -> bool {
         let is_known = |owner: &String| *owner == self.name || voters.compared_with.contains(owner);
         voters.membership_agreed && owners.iter().all(is_known)
     }
 
-    /// The other owners of a claim's key: they are notified at once when the claim ends.
+    /// The other owners of a claim's key, which are notified immediately when the claim ends.
     pub fn other_owners(&self, claim: &Key, voters: &Voters) -> BTreeSet<String> {
         let owners = voters.owners(shared_prefix(claim), self.settings.owners_per_key);
         owners
@@ -55,23 +55,23 @@
     }
 }
 
-/// The claims of the same key that conflict with this one.
+/// The stored claims to the same key that conflict with this claim.
 fn conflicting_claims(
     key: &Key,
     claim: &Claim,
-    takes_over: bool,
+    is_takeover: bool,
     input: &StepInput,
 ) -> Vec<Record> {
     let mut conflicting = Vec::new();
     for (other_key, state, other) in claims_of_key(input.map, shared_prefix(key), Some(key)) {
-        // The origin drops repeats of the other's attempts for as long as the requester will send.
-        let covered = takes_over && other.first_sent_at >= claim.first_sent_at;
+        // The origin drops repeats of the other claim's attempts for as long as the requester sends attempts.
+        let is_deduplicated = is_takeover && other.first_sent_at >= claim.first_sent_at;
         let conflicts = match state {
             ClaimState::NotRun => false,
             ClaimState::Completed => true,
-            ClaimState::OutcomeLost => !covered,
+            ClaimState::OutcomeLost => !is_deduplicated,
             ClaimState::Requested | ClaimState::MayHaveRun => {
-                !(covered && is_abandoned(&other, input.voters, input.now))
+                !(is_deduplicated && is_abandoned(&other, input.voters, input.now))
             }
         };
         if conflicts {
@@ -81,7 +81,7 @@
     conflicting
 }
 
-/// Stores a claim, if there is capacity for it.
+/// Stores a claim if there is capacity for it.
 fn store_claim(key: Key, record: &Record, input: &mut StepInput) -> Vote {
     if input.map.get(&key).is_none() && !input.map.has_capacity(RecordType::Claim) {
         return Vote::Full;
--- a/crates/replication/src/ledger/pending_request.rs
+++ b/crates/replication/src/ledger/pending_request.rs
@@ -1,4 +1,4 @@
-//! A keyed request from its arrival to its end.
+//! The state of a keyed request from its arrival to its end.
 //!
 //! ```text
 //! Waiting ──▶ Requesting ──▶ Admitted
@@ -7,8 +7,8 @@
 //!    └────── Conflicted
 //! ```
 //!
-//! Invariants: `claim_key` is set exactly while this proxy's own claim for the request is open; in `Requesting` it is set,
-//! and a vote that was `Granted` stays so. Nothing of the request is sent before `Admitted`.
+//! Invariants: `claim_key` is set exactly while this proxy's own claim for the request is open, and therefore in
+//! `Requesting`. A `Granted` vote is never replaced by another. No attempt is sent before `Admitted`.
 
 use super::claim_set::{key_status, KeyStatus};
 use super::{RequestTerms, StepInput, Vote};
@@ -17,48 +17,50 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A request's response goes out so long before its client stops waiting.
+/// The response to a request is sent at least this long before its client stops waiting.
 const RESPONSE_MARGIN: Micros = 20_000;
 
-/// A request that the ledger has yet to decide on, or that it admitted and that has not ended.
+/// A request that is undecided, or that was admitted and has not ended.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) token: u64,
-    /// The beginning of the names of all claims of its key.
+    /// The prefix of the names of all claims to the request's key.
     pub(super) prefix: Vec<u8>,
-    /// Its claim's id: the holder's hash, and the number there.
+    /// The id of the request's claim: the holder's hash and the holder's claim number.
     pub(super) claim_id: (u64, u64),
-    /// The key of its claim while that is open.
+    /// The key of the claim's record while the claim is open.
     pub(super) claim_key: Option<Key>,
     pub(super) claim: Claim,
     pub(super) owners: Vec<String>,
     pub(super) terms: RequestTerms,
-    /// How long it may take until its claim is granted.
+    /// How long a quorum may take to grant the claim.
     pub(super) quorum_budget: Micros,
-    /// When that is over: counted from its arrival, or from when it had waited for another's outcome.
+    /// When `quorum_budget` is used up. It starts with the request's arrival, or once the request has waited for the
+    /// outcome of another claim.
     pub(super) quorum_deadline: Micros,
     pub(super) phase: Phase,
-    /// Its claim takes over from one whose holder is gone, the first attempt of which may have been sent at this time.
-    pub(super) takes_over: Option<Micros>,
+    /// If the claim takes over from a claim with a lost outcome: when the first attempt of that claim may have been
+    /// sent.
+    pub(super) takeover_first_sent_at: Option<Micros>,
 }
 
-/// How far a request has come.
+/// The phase of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// Owners are requested to grant its claim.
+    /// The owners have been requested to vote on its claim.
     Requesting {
-        /// Votes so far, by owner.
+        /// Votes received so far, by owner.
         votes: BTreeMap<String, Vote>,
-        /// When it is given up.
+        /// When the proxy stops requesting votes.
         deadline: Micros,
-        /// When those that have not granted it are requested again.
+        /// When the owners that have not granted the claim are requested again.
         retry_at: Micros,
     },
-    /// Its claim was withdrawn because another was made at the same time; it is claimed again then.
+    /// Its claim was withdrawn because another claim was made at the same time. The key is claimed again at `retry_at`.
     Conflicted { retry_at: Micros },
-    /// Waits for another's outcome.
+    /// It waits for the outcome of another claim.
     Waiting,
-    /// It was admitted.
+    /// It was admitted and has not ended.
     Admitted,
 }
 
@@ -80,7 +82,7 @@
             quorum_budget,
             quorum_deadline: 0,
             phase: Phase::Waiting,
-            takes_over: None,
+            takeover_first_sent_at: None,
         }
     }
 
@@ -88,12 +90,12 @@
         matches!(self.phase, Phase::Admitted)
     }
 
-    /// Its response has to go out by then.
+    /// The latest time to send the response.
     pub(super) fn respond_by(&self) -> Micros {
         self.terms.deadline - RESPONSE_MARGIN
     }
 
-    /// When something is due.
+    /// When the request has to be evaluated next.
     pub(super) fn next_wake(&self) -> Option<Micros> {
         match &self.phase {
             Phase::Requesting {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// What the claims of its key but its own say.
+    /// The status of the request's key according to all claims other than the request's own.
     pub(super) fn key_status(&self, input: &StepInput) -> KeyStatus {
         key_status(
             input.map,
@@ -116,13 +118,13 @@
         )
     }
 
-    /// The record of its claim.
+    /// The record of the request's claim.
     pub(super) fn claim_record(&self, state: ClaimState, expires_at: Micros) -> (Key, Entry) {
         let key = &self.prefix[1..];
         records::claim_record(key, self.claim_id, state, &self.claim, expires_at)
     }
 
-    /// How many owners have voted so.
+    /// Number of owners that have cast this vote.
     pub(super) fn vote_count(&self, vote: Vote) -> usize {
         let Phase::Requesting { votes, .. } = &self.phase else {
             return 0;
--- a/crates/replication/src/ledger/quorum.rs
+++ b/crates/replication/src/ledger/quorum.rs
@@ -1,7 +1,8 @@
-//! The holder's side of a claim: votes are requested from the owners of the key until a quorum grants it or time is up.
+//! The holder's side of a claim: it requests votes from the owners of the key until a quorum grants the claim or the
+//! deadline has passed.
 //!
-//! Invariants: a claim has a new number each time it is made, so that late votes on a former one count for nothing; a
-//! claim that is given up is recorded as not run before anything else happens to its request.
+//! Invariants: each claim gets a new number, so late votes on an earlier claim are ignored. A claim that is released is
+//! recorded as not run before its request is processed further.
 
 use super::claim_set::KeyStatus;
 use super::pending_request::{PendingRequest, Phase};
@@ -14,20 +15,20 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Owners that have not granted a claim are requested again after the time that is left, divided by this.
+/// Owners that have not granted a claim are requested again after the remaining time divided by this number.
 const RETRY_DIVISOR: Micros = 5;
-/// But not sooner than this.
+/// Minimum time before the owners of a claim are requested again.
 const MIN_RETRY_INTERVAL: Micros = 10_000;
-/// Of two claims made at the same time each is made again after a random time up to this.
+/// Maximum random back-off before a claim is made again after a conflict with a simultaneous claim.
 const MAX_CONFLICT_BACKOFF: Micros = 15_000;
 
 impl Ledger {
-    /// Claims a key anew, and requests the votes of its owners. `takes_over`: when the first attempt of the claim that
-    /// this one takes over may have been sent.
+    /// Makes a new claim to the request's key and requests the votes of its owners. `takeover_first_sent_at` is set
+    /// if the claim takes over from another, the first attempt of which may have been sent at that time.
     pub(super) fn request_claim(
         &mut self,
         token: u64,
-        takes_over: Option<Micros>,
+        takeover_first_sent_at: Option<Micros>,
         input: &mut StepInput,
         out: &mut StepOutput,
     ) {
@@ -41,36 +42,41 @@
         if input.now >= request.quorum_deadline {
             return self.give_up_quorum(token, input, out);
         }
-        self.assign_claim(token, takes_over, input);
+        self.assign_claim(token, takeover_first_sent_at, input);
         if !self.store_own_claim(token, input, out) {
             return self.give_up_quorum(token, input, out);
         }
         self.request_votes(token, input, out);
     }
 
-    /// Gives a request a new claim.
-    fn assign_claim(&mut self, token: u64, takes_over: Option<Micros>, input: &StepInput) {
+    /// Assigns a new claim to a request.
+    fn assign_claim(
+        &mut self,
+        token: u64,
+        takeover_first_sent_at: Option<Micros>,
+        input: &StepInput,
+    ) {
         let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
         self.last_claim_number += 1;
         self.tokens_by_claim.remove(&request.claim_id.1);
         request.claim_id = (self.holder_id, self.last_claim_number);
-        request.takes_over = takes_over;
+        request.takeover_first_sent_at = takeover_first_sent_at;
         request.owners = input
             .voters
             .owners(&request.prefix, self.settings.owners_per_key);
         request.claim = Claim {
             holder: self.name.clone(),
             incarnation: self.incarnation,
-            first_sent_at: takes_over.unwrap_or(input.now) as u64,
+            first_sent_at: takeover_first_sent_at.unwrap_or(input.now) as u64,
             deadline: request.terms.deadline as u64,
             body: None,
             current: false,
         };
     }
 
-    /// Stores a request's new claim in this proxy's own map; false where there is no capacity for it.
+    /// Stores a request's new claim in this proxy's own map. Returns false if there is no capacity for it.
     fn store_own_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) -> bool {
         let Some(request) = self.pending.get_mut(&token) else {
             return false;
@@ -91,7 +97,8 @@
         true
     }
 
-    /// Requests the votes of the owners that have not granted the claim, this proxy itself among them where it is one.
+    /// Requests the votes of the owners that have not granted the claim. If this proxy is one of them, it votes at
+    /// once.
     fn request_votes(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         let Some(request) = self.pending.get_mut(&token) else {
             return;
@@ -121,7 +128,7 @@
         }
     }
 
-    /// An owner has voted.
+    /// Processes the vote of an owner.
     pub fn receive_vote(
         &mut self,
         from: &str,
@@ -155,7 +162,7 @@
         if !request.owners.iter().any(|owner| owner == from) {
             return;
         }
-        // What was granted stays granted: the owner stores it.
+        // A granted vote is final: the owner has stored the claim.
         if votes.get(from) != Some(&Vote::Granted) {
             votes.insert(from.into(), vote);
         }
@@ -177,31 +184,32 @@
         if request.vote_count(Vote::Granted) >= quorum && enough_voters {
             self.admit(token, input, out);
         } else if matches!(request.key_status(input), KeyStatus::Completed { .. }) {
-            // One owner's record is enough to know that it ran.
+            // The record of a single owner is enough to prove that the request ran.
             self.release_claim(token, input, out);
-            self.consider_request(token, input, out);
+            self.evaluate_request(token, input, out);
         } else if request.vote_count(Vote::Conflict) > owners - quorum {
             self.withdraw_claim(token, input, out);
         }
     }
 
-    /// Another claim conflicts at so many owners that this one can't be granted.
+    /// Withdraws a claim that conflicts with another at so many owners that no quorum can grant it.
     fn withdraw_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         self.release_claim(token, input, out);
         let Some(request) = self.pending.get_mut(&token) else {
             return;
         };
         if request.key_status(input) != KeyStatus::Unclaimed {
-            return self.consider_request(token, input, out);
+            return self.evaluate_request(token, input, out);
         }
-        // Both were made at the same time, and the other has been withdrawn too.
+        // The two claims were made at the same time, and the other one has been withdrawn too.
         request.phase = Phase::Conflicted {
             retry_at: input.now + self.rng.i64(1..MAX_CONFLICT_BACKOFF),
         };
         self.counts.conflicts += 1;
     }
 
-    /// Requests the missing votes again. If the owners of the key have changed it is claimed anew: nothing was sent yet.
+    /// Requests the missing votes again. If the owners of the key have changed, the claim is released and the key
+    /// claimed anew, which is safe because no attempt has been sent.
     pub(super) fn retry_claim(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         let Some(request) = self.pending.get(&token) else {
             return;
@@ -211,10 +219,10 @@
             return self.request_votes(token, input, out);
         }
         self.release_claim(token, input, out);
-        self.consider_request(token, input, out);
+        self.evaluate_request(token, input, out);
     }
 
-    /// No quorum has granted the claim in time.
+    /// Admits or rejects a request whose claim no quorum has granted in time, depending on the settings.
     pub(super) fn give_up_quorum(
         &mut self,
         token: u64,
@@ -223,8 +231,8 @@
     ) {
         self.counts.without_quorum += 1;
         let request = self.pending.get(&token);
-        // A claim that takes over is not sent on a guess: the other may have run.
-        let is_first = request.is_some_and(|request| request.takes_over.is_none());
+        // A request that takes over is never sent without a quorum, because the earlier claim may have run.
+        let is_first = request.is_some_and(|request| request.takeover_first_sent_at.is_none());
         if self.settings.without_quorum == WithoutQuorum::Send && is_first {
             self.admit(token, input, out);
         } else {
@@ -232,7 +240,7 @@
         }
     }
 
-    /// Ends a claim by which nothing was sent, nor will be.
+    /// Ends a claim as not run. No attempt was sent under it, and none will be.
     pub(super) fn release_claim(
         &mut self,
         token: u64,
@@ -248,7 +256,7 @@
     }
 }
 
-/// The message that requests a vote on a request's claim.
+/// The vote request for a request's claim.
 fn vote_request(request: &PendingRequest, input: &StepInput) -> ClaimRequest {
     let takeover_until = |first_sent_at| (first_sent_at + request.terms.dedup_window) as u64;
     ClaimRequest {
@@ -258,6 +266,6 @@
             .as_ref()
             .and_then(|key| input.map.record(key)),
         owners: request.owners.clone(),
-        takeover_until: request.takes_over.map_or(0, takeover_until),
+        takeover_until: request.takeover_first_sent_at.map_or(0, takeover_until),
     }
 }
--- a/crates/replication/src/ledger/request.rs
+++ b/crates/replication/src/ledger/request.rs
@@ -1,7 +1,10 @@
-//! The proxy that receives a request: by the claims of the key it claims it, waits, or answers; and the request's end.
+//! The receiving proxy's side of a request: depending on the claims of the key, the ledger claims the key, waits for
+//! another claim or answers; when an admitted request ends, it records the outcome.
 //!
-//! Invariants: each request gets one decision at most; the ledger never rejects a request that may have run under an earlier
-//! claim. (The router may reject one whose class allows repeats: its rejections promise that sending again is harmless.)
+//! Invariants: each request gets at most one decision. A request whose claim would take over from one that may have run
+//! is not rejected by the ledger but fails. (The router may reject it if its class allows repeats: a rejection by the
+//! router promises that sending again is harmless.) A request beyond `MAX_PENDING` is rejected before the claims of its
+//! key are looked up.
 
 use super::claim_set::KeyStatus;
 use super::pending_request::{PendingRequest, Phase};
@@ -10,15 +13,16 @@
 use crate::records::ClaimState;
 use crate::Micros;
 
-/// Nothing is sent so shortly before the end of an origin's window: an attempt takes time to arrive, and clocks differ.
+/// No attempt is sent within this time before the origin's deduplication window ends: an attempt takes time to
+/// arrive, and clocks differ.
 const DEDUP_WINDOW_MARGIN: Micros = 500_000;
-/// Retry-After of a rejection: claims and views of the membership have settled by then.
+/// Retry-After of a rejection: by then claims and views of the membership have converged.
 const RETRY_AFTER: Micros = 200_000;
-/// Requests that have not ended.
+/// Maximum number of requests that have not ended.
 const MAX_PENDING: usize = 20_000;
 
 impl Ledger {
-    /// A keyed request came: a decision on it comes at once or later.
+    /// Starts a keyed request. The decision on it is made in this step or in a later one.
     pub fn begin_request(
         &mut self,
         token: u64,
@@ -36,11 +40,11 @@
         let budget = terms.latency_budget as f64 * self.settings.quorum_budget_fraction;
         let request = PendingRequest::new(token, key, terms, budget as Micros);
         self.pending.insert(token, request);
-        self.consider_request(token, input, out);
+        self.evaluate_request(token, input, out);
     }
 
-    /// Does what the known claims of its key call for.
-    pub(super) fn consider_request(
+    /// Claims the key, waits or decides, depending on the known claims to the request's key.
+    pub(super) fn evaluate_request(
         &mut self,
         token: u64,
         input: &mut StepInput,
@@ -66,12 +70,12 @@
                 };
                 self.decide(decision, out);
             }
-            // The response was too long to store: it is known to have run, and nothing more.
+            // The request has run, but its response was too long to store.
             KeyStatus::Completed { body: None, .. } => self.decide(Decision::Fail { token }, out),
         }
     }
 
-    /// Waits for another's outcome.
+    /// Waits for the outcome of another claim; fails the request once no time is left to respond.
     fn wait(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         let Some(request) = self.pending.get_mut(&token) else {
             return;
@@ -85,8 +89,8 @@
         }
     }
 
-    /// Claims the key after a claim whose outcome is lost, while the origin still drops repeats of its attempts: a new
-    /// attempt brings the first one's outcome, or is the first to run.
+    /// Takes over from a claim with a lost outcome, if the origin still drops repeats of that claim's attempts. A new
+    /// attempt then returns the outcome of the first one, or is the first to run.
     fn take_over(
         &mut self,
         token: u64,
@@ -99,7 +103,7 @@
         };
         let window = request.terms.dedup_window;
         let send_until = first_sent_at + window - DEDUP_WINDOW_MARGIN;
-        // The margin once more: what is claimed now still needs time to be sent.
+        // The margin is applied a second time, because the claim takes time before an attempt can be sent.
         if window > 0 && input.now + DEDUP_WINDOW_MARGIN < send_until {
             self.request_claim(token, Some(first_sent_at), input, out);
         } else {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Decides on a request that is not admitted.
+    /// Ends a request with a decision other than to admit it.
     fn decide(&mut self, decision: Decision, out: &mut StepOutput) {
         let (token, count) = match &decision {
             Decision::Admit { .. } => return,
@@ -122,15 +126,15 @@
         out.decisions.push(decision);
     }
 
-    /// Rejects a request whose claim was not granted in time. Where it would have taken over from a claim that may have
-    /// run, it fails instead.
+    /// Rejects a request whose claim was not granted in time. If the claim would have taken over from one that may have
+    /// run, the request fails instead.
     pub(super) fn reject(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
-        let takes_over = self
+        let is_takeover = self
             .pending
             .get(&token)
-            .is_some_and(|request| request.takes_over.is_some());
+            .is_some_and(|request| request.takeover_first_sent_at.is_some());
         self.release_claim(token, input, out);
-        let decision = if takes_over {
+        let decision = if is_takeover {
             Decision::Fail { token }
         } else {
             rejection(token)
@@ -138,7 +142,7 @@
         self.decide(decision, out);
     }
 
-    /// Admits a request.
+    /// Admits a request, and records that its claim may have run from now on.
     pub(super) fn admit(&mut self, token: u64, input: &mut StepInput, out: &mut StepOutput) {
         let Some(mut request) = self.pending.remove(&token) else {
             return;
@@ -146,13 +150,13 @@
         request.phase = Phase::Admitted;
         self.counts.granted += 1;
         let mut send_until = request.terms.deadline;
-        if let Some(first_sent_at) = request.takes_over {
+        if let Some(first_sent_at) = request.takeover_first_sent_at {
             self.counts.takeovers += 1;
             let window_end = first_sent_at + request.terms.dedup_window;
             send_until = send_until.min(window_end - DEDUP_WINDOW_MARGIN);
         }
         self.update_own_claim(&mut request, ClaimState::MayHaveRun, input, out);
-        let earlier_may_have_run = request.takes_over.is_some();
+        let earlier_may_have_run = request.takeover_first_sent_at.is_some();
         self.pending.insert(token, request);
         out.decisions.push(Decision::Admit {
             token,
@@ -161,7 +165,7 @@
         });
     }
 
-    /// A request that was admitted has ended.
+    /// Records the outcome of an admitted request.
     pub fn finish_request(
         &mut self,
         token: u64,
@@ -189,7 +193,8 @@
         self.update_own_claim(&mut request, state, input, out);
     }
 
-    /// The client of a request has gone. True if the request was not admitted, so that nothing of it was sent.
+    /// Cancels a request whose client has disconnected. Returns true if the request was still undecided, so that no
+    /// attempt of it was sent.
     pub fn cancel_request(
         &mut self,
         token: u64,
--- a/crates/replication/src/ledger/voters.rs
+++ b/crates/replication/src/ledger/voters.rs
@@ -7,20 +7,20 @@
 /// Seed of the hash of keys.
 const KEY_SEED: u64 = 1;
 
-/// The proxies that vote on claims, as one of them has it.
+/// The proxies that vote on claims, according to one proxy's view of the membership.
 #[derive(Clone, Debug, Default)]
 pub struct Voters {
-    /// By name, with the incarnation of those that are alive.
+    /// The voters by name. A voter that is alive has its incarnation here.
     pub members: BTreeMap<String, Option<u64>>,
-    /// This proxy has agreed with another on the membership, or is known to be alone. Until then it may be one of many
-    /// that it knows nothing of.
+    /// Whether this proxy has agreed on the membership with another proxy, or is known to be the only one. Until then
+    /// there may be many proxies that it does not know of.
     pub membership_agreed: bool,
-    /// Those that this proxy has compared its claims with since its start.
+    /// The proxies with which this proxy has compared its claims since its start.
     pub compared_with: BTreeSet<String>,
 }
 
 impl Voters {
-    /// The owners of a key by rendezvous hashing: the same on all proxies that have the same voters.
+    /// The owners of a key by rendezvous hashing. All proxies with the same voters compute the same owners.
     pub fn owners(&self, key: &[u8], count: usize) -> Vec<String> {
         let key = xxh3_64_with_seed(key, KEY_SEED);
         let mut ranked: Vec<(u64, &String)> = self
@@ -36,7 +36,8 @@
             .collect()
     }
 
-    /// Whether the process that holds a claim is alive; a later incarnation of its name knows nothing of the claim.
+    /// Whether the process that holds a claim is alive. A later incarnation of the same proxy does not know of the
+    /// claim.
     pub(super) fn is_holder_alive(&self, claim: &Claim) -> bool {
         self.members
             .get(&claim.holder)
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,10 +1,12 @@
-//! State that the proxies share, and how replicas that differ converge: purges, the phases of endpoints, claims to effects
-//! that may have run, observations, usage by tenant. A pure state machine: messages and events go in, messages and
-//! actions come out; it does no I/O, reads no clock and draws random numbers by a seed (docs/replication.md).
+//! Replicated state of the proxies: purges, phases of endpoints, claims to side effects that may have run,
+//! observations, and usage by tenant. Replicas that differ converge. The crate is a pure state machine: its input is
+//! messages and events, its output messages and actions. It does no I/O, reads no clock and uses a seeded random
+//! number generator (see docs/replication.md).
 //!
-//! From the bottom up: [`wire`] holds the messages, and [`wire_time`] reads the times in them; [`record_type`] and [`record`] are plain types; [`records`] encodes
-//! the records of each type; [`map`] stores and merges records; [`snapshot`], [`shared_estimate`] and [`ledger`] work on
-//! a map; [`replica`] joins all of it into one proxy's replica.
+//! From the bottom up: [`wire`] defines the messages, and [`wire_time`] decodes the times in them; [`record_type`] and
+//! [`record`] are plain types; [`records`] encodes the records of each type; [`map`] stores and merges records;
+//! [`snapshot`], [`shared_estimate`] and [`ledger`] work on a map; [`replica`] combines all of them into the replica of
+//! one proxy.
 
 pub mod ledger;
 pub mod map;
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -1,10 +1,11 @@
-//! The replicated map: records by type and key, each with a rank. Of two records of one key the larger wins, by rank,
-//! then by bytes. So merging is commutative, associative and idempotent, and a build merges types that it does not know
-//! as well as those that it does.
+//! The replicated map: records by type and key, each with a rank. Of two records of one key the larger wins, compared
+//! by rank, then by value and expiry. So merging is commutative, associative and idempotent, and works the same for
+//! record types that a build does not know.
 //!
 //! Invariants: `by_expiry`, `buckets` and `sizes` describe exactly the records in `entries`; no type has more records
-//! than its limit; claims are never evicted. A record is admitted only within the limit of bytes, whether new or in place
-//! of another; but a claim that replaces a smaller form of itself may exceed it by the difference.
+//! than its limit; claims are never evicted. A record is stored only within the limit of bytes, whether it is new or
+//! replaces another. The exception is a claim that replaces a smaller version of itself: it may exceed the limit by the
+//! difference.
 
 mod buckets;
 
@@ -24,60 +25,61 @@
 /// Longest value of a record.
 pub const MAX_VALUE_BYTES: usize = 4096;
 
-/// No record is stored for longer: twice the longest retention that the settings allow. One that says so was written by a
-/// proxy whose clock is wrong, or is corrupt, and would hold its place for ever.
+/// Maximum time for which a record is stored: twice the longest retention that the settings allow. A record that
+/// expires later was written by a proxy with a wrong clock, or is corrupt, and would take up capacity forever.
 pub const MAX_RETENTION: Micros = 2 * 86_400 * SEC;
 
-/// The roots of the trees are folded by exclusive or and this rotation.
+/// [`Map::digest`] combines the roots of the trees by exclusive or and this rotation.
 const DIGEST_ROTATION: u32 = 21;
 
-/// What became of a record that was to be merged.
+/// The outcome of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is stored now.
+    /// The record is stored now.
     Merged {
-        /// It took the place of a smaller record of its key.
+        /// Whether it replaced a smaller record of its key.
         replaced: bool,
     },
-    /// The same or a larger record is stored.
+    /// The same or a larger record of its key is stored.
     AlreadyKnown,
-    /// It has expired or would be stored for too long, is too large, or there is no capacity for it.
+    /// The record has expired, would be stored for too long, is too large, or there is no capacity for it.
     Rejected,
 }
 
-/// Limits that hold for each record type by itself.
+/// Limits that apply to each record type separately.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MapLimits {
-    /// Most records.
+    /// Maximum number of records.
     pub entries: usize,
-    /// Most bytes of names and values.
+    /// Maximum number of bytes of names and values.
     pub bytes: usize,
 }
 
-/// How much is stored of one record type.
+/// The stored size of one record type.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StoredSize {
-    /// Records.
+    /// Number of records.
     pub entries: usize,
-    /// Bytes of their names and values.
+    /// Bytes of the records' names and values.
     pub bytes: usize,
 }
 
-/// Records by key, with what it takes to bound, expire and compare them.
+/// Records by key, with the indexes that are needed to limit, expire and compare them.
 #[derive(Clone, Debug)]
 pub struct Map {
     entries: BTreeMap<Key, Entry>,
-    /// The order of expiry, which is also the order of eviction: the same on all replicas that store the same.
+    /// Keys in the order of expiry, which is also the order of eviction. It is the same on all replicas that store the
+    /// same records.
     by_expiry: BTreeSet<(Micros, Key)>,
     buckets: BucketIndex,
     sizes: BTreeMap<u32, StoredSize>,
     limits: MapLimits,
-    /// Records that were rejected or evicted for want of capacity.
+    /// Number of records that were rejected or evicted for lack of capacity.
     pub displaced: u64,
 }
 
 impl Map {
-    /// An empty map.
+    /// Creates an empty map.
     pub fn new(limits: MapLimits) -> Map {
         Map {
             entries: BTreeMap::new(),
@@ -89,27 +91,27 @@
         }
     }
 
-    /// The entry that is stored for a key.
+    /// The entry stored for a key.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// How many records are stored.
+    /// Number of stored records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is stored.
+    /// Whether no records are stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All records, in order.
+    /// All records, in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.iter()
     }
 
-    /// All records of a type whose names begin with `prefix`, in order.
+    /// All records of a type whose names begin with `prefix`, in the order of their keys.
     pub fn with_prefix<'a>(
         &'a self,
         record_type: RecordType,
@@ -123,7 +125,7 @@
             .take_while(move |(key, _)| matches(key))
     }
 
-    /// All records of a type, in order.
+    /// All records of a type, in the order of their keys.
     pub fn of_type(&self, record_type: RecordType) -> impl Iterator<Item = (&Key, &Entry)> {
         self.with_prefix(record_type, &[])
     }
@@ -133,7 +135,7 @@
         self.entries.get(key).map(|entry| to_wire(key, entry))
     }
 
-    /// The records of a tree that follow `after`, in the order of their keys.
+    /// The records of a tree that follow the key `after`, in the order of their keys.
     pub fn records_after<'a>(
         &'a self,
         tree: Tree,
@@ -155,7 +157,7 @@
         })
     }
 
-    /// How much is stored, by the number of the record type.
+    /// The stored sizes by the number of the record type.
     pub fn sizes(&self) -> &BTreeMap<u32, StoredSize> {
         &self.sizes
     }
@@ -164,14 +166,14 @@
         self.sizes.get(&record_type).copied().unwrap_or_default()
     }
 
-    /// Whether one more record of this type fits, whatever its size, without evicting another.
+    /// Whether one more record of this type and of any size fits without evicting another.
     pub fn has_capacity(&self, record_type: RecordType) -> bool {
         let stored = self.size_of(record_type as u32);
         stored.entries < self.limits.entries
             && stored.bytes + MAX_NAME_BYTES + MAX_VALUE_BYTES < self.limits.bytes
     }
 
-    /// Merges a record: it is stored from now on if it is larger than what was stored for its key.
+    /// Merges a record: stores it if it is larger than the stored record of its key and fits within the limits.
     pub fn merge(&mut self, key: Key, entry: Entry, now: Micros) -> MergeOutcome {
         if entry.expires_at <= now
             || entry.expires_at > now + MAX_RETENTION
@@ -197,7 +199,8 @@
         MergeOutcome::Merged { replaced }
     }
 
-    /// Evicts records that expire sooner than this one until it fits; false where it would be evicted first itself.
+    /// Evicts records of the same type that expire sooner than this one until it fits. Returns false if it cannot
+    /// fit, as no other record of its type expires sooner or as it is a claim.
     fn evict_for(&mut self, key: &Key, entry: &Entry) -> bool {
         let added = key.name.len() + entry.value.len();
         loop {
@@ -205,7 +208,7 @@
             if stored.entries < self.limits.entries && stored.bytes + added <= self.limits.bytes {
                 return true;
             }
-            // A claim that is forgotten could be granted twice: a request for one more is rejected instead.
+            // If a claim were evicted, its key could be granted a second time. So a new claim is rejected instead.
             if RecordType::from_wire(key.record_type) == Some(RecordType::Claim) {
                 return false;
             }
@@ -217,7 +220,7 @@
         }
     }
 
-    /// The record of a type that expires first, if that is before `expires_at`.
+    /// The key of the record of a type that expires first, if it expires before `expires_at`.
     fn first_to_expire(&self, record_type: u32, expires_at: Micros) -> Option<Key> {
         let mut of_type = self
             .by_expiry
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Removes what has expired.
+    /// Removes all records that have expired.
     pub fn remove_expired(&mut self, now: Micros) {
         while let Some((expires_at, key)) = self.by_expiry.first().cloned() {
             if expires_at > now {
@@ -263,14 +266,14 @@
         self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 
-    // Anti-entropy comparison.
+    // Anti-entropy comparison
 
-    /// Digest of a whole tree.
+    /// Digest of a complete tree.
     pub fn root(&self, tree: Tree) -> u64 {
         self.buckets.root(tree)
     }
 
-    /// Digest of all trees: the same on all replicas that store the same.
+    /// Digest of all trees, which is the same on all replicas that store the same records.
     pub fn digest(&self) -> u64 {
         Tree::ALL.into_iter().fold(0, |digest, tree| {
             (digest ^ self.root(tree)).rotate_left(DIGEST_ROTATION)
@@ -282,11 +285,11 @@
         self.buckets.digests(tree)
     }
 
-    /// Buckets whose digests differ from another map's.
-    pub fn differing_buckets(&self, tree: Tree, theirs: &[u32]) -> Vec<usize> {
+    /// The buckets of a tree whose digests differ from those of another map.
+    pub fn differing_buckets(&self, tree: Tree, other: &[u32]) -> Vec<usize> {
         let own = self.bucket_digests(tree);
         (0..BUCKETS)
-            .filter(|bucket| theirs.get(*bucket) != own.get(*bucket))
+            .filter(|bucket| other.get(*bucket) != own.get(*bucket))
             .collect()
     }
 
@@ -306,7 +309,7 @@
     }
 }
 
-/// Whether an entry takes the place of another of its key.
+/// Whether an entry replaces another entry of the same key.
 fn supersedes(entry: &Entry, former: &Entry) -> bool {
     if mutant("last-write-wins") {
         entry != former
--- a/crates/replication/src/map/buckets.rs
+++ b/crates/replication/src/map/buckets.rs
@@ -1,19 +1,19 @@
-//! The index by which two maps are compared: each record lies in one of 256 buckets of its tree by the hash of its key,
-//! and each bucket has a digest over the hashes of its records.
+//! The index by which two maps are compared. The hash of its key assigns each record to one of the 256 buckets of its
+//! tree, and each bucket has a digest over the hashes of its records.
 //!
-//! Invariant: a bucket's digest is the exclusive or of the hashes of its records, so that it does not depend on the
-//! order in which they came.
+//! Invariant: the digest of a bucket is the exclusive or of the hashes of its records, so that it does not depend on
+//! the order in which they were inserted.
 
 use crate::record::Key;
 use crate::record_type::{Tree, TREES};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Buckets in the digest of one tree.
+/// Number of buckets of one tree.
 pub const BUCKETS: usize = 256;
 
-/// The root starts with this value, and each bucket's digest is folded in by exclusive or, a multiplication by the prime
-/// of FNV-1a and a rotation: part of the protocol, as all replicas have to agree on it.
+/// The root starts with this value. The digest of each bucket is folded in by exclusive or, a multiplication by the
+/// prime of FNV-1a and a rotation. These values are part of the protocol: all replicas have to use the same.
 const ROOT_SEED: u64 = 7;
 const ROOT_PRIME: u64 = 0x0100_0000_01b3;
 const ROOT_ROTATION: u32 = 23;
@@ -23,7 +23,7 @@
 pub(super) struct BucketIndex {
     /// Keys by the hash of their record.
     by_hash: BTreeMap<u64, Key>,
-    /// Tree, bucket and hash of each record.
+    /// The tree, bucket and hash of each record.
     hashes: BTreeSet<(usize, usize, u64)>,
     digests: [[u64; BUCKETS]; TREES],
 }
@@ -47,7 +47,7 @@
         self.by_hash.remove(&hash);
     }
 
-    /// Adds a record to the digest and the hashes of its bucket, or takes it out again.
+    /// Adds a record to the digest and the hashes of its bucket, or removes it if it is there.
     fn toggle(&mut self, key: &Key, hash: u64) {
         let (tree, bucket) = (Tree::of_type(key.record_type) as usize, bucket_of(key));
         self.digests[tree][bucket] ^= hash;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Digest of a whole tree.
+    /// Digest of a complete tree.
     pub(super) fn root(&self, tree: Tree) -> u64 {
         let fold = |root: u64, digest: &u64| {
             (root ^ digest)
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,6 +1,6 @@
-//! A replicated record: the key it is found by, the entry that is stored for the key, and their form on the wire.
+//! A replicated record: its key, the entry stored for the key, and their conversion to and from the wire format.
 //!
-//! Invariant: entries of one key are totally ordered, and merging keeps the larger, so merging is commutative,
+//! Invariant: entries of one key are totally ordered, and a merge keeps the larger one. So merging is commutative,
 //! associative and idempotent.
 
 use crate::record_type::RecordType;
@@ -9,17 +9,17 @@
 use crate::Micros;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a record is found by.
+/// The key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     /// The record type's number on the wire.
     pub record_type: u32,
-    /// The name within its type, encoded by `records`.
+    /// The name within the record type, encoded by `records`.
     pub name: Vec<u8>,
 }
 
 impl Key {
-    /// The key of a known record type.
+    /// Creates a key of a known record type.
     pub fn new(record_type: RecordType, name: impl Into<Vec<u8>>) -> Key {
         Key {
             record_type: record_type as u32,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The key of a record from the wire.
+    /// Returns the key of a record from the wire.
     pub fn from_wire(record: &Record) -> Key {
         Key {
             record_type: record.record_type,
@@ -36,19 +36,19 @@
     }
 }
 
-/// What is stored for a key. Entries are compared in the order of these fields; the larger wins.
+/// The entry stored for a key. Entries are compared field by field in this order, and the larger wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Entry {
-    /// The version that the record's type gives it: compared first, part by part.
+    /// The version, defined by the record type. It is compared first, part by part.
     pub rank: (u64, u64),
     /// The value, encoded by `records`.
     pub value: Vec<u8>,
-    /// Unix time from which the record is treated as if it had never been.
+    /// Unix time from which the record is treated as if it had never existed.
     pub expires_at: Micros,
 }
 
 impl Entry {
-    /// The entry of a record from the wire.
+    /// Returns the entry of a record from the wire.
     pub fn from_wire(record: &Record) -> Entry {
         Entry {
             rank: (record.rank_high, record.rank_low),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A key and its entry as a record for the wire.
+/// Converts a key and its entry to a record for the wire.
 pub fn to_wire(key: &Key, entry: &Entry) -> Record {
     Record {
         record_type: key.record_type,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Hash of a whole record; the same on every replica that stores the same record.
+/// Hash over all parts of a record; the same on every replica that stores the same record.
 pub fn record_hash(key: &Key, entry: &Entry) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(&key.record_type.to_le_bytes());
--- a/crates/replication/src/record_type.rs
+++ b/crates/replication/src/record_type.rs
@@ -1,19 +1,19 @@
-//! The types of replicated record and the trees in which they are compared: plain enumerations that the map of records
-//! and the encodings of the single types both build on.
+//! The types of replicated records and the hash trees by which replicas compare them. Both are plain enumerations that
+//! the map and the encodings of the record types depend on.
 
-/// What a record is about. The numbers are those of the wire format: a build that does not know a number merges such
-/// records by rank, passes them on and drops them once they have expired.
+/// The type of a record. The numbers are part of the wire format. A build that does not know a number merges such
+/// records by rank, forwards them and drops them once they have expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordType {
-    /// An object or a group was purged.
+    /// A purge of an object or a group.
     Purge = 1,
     /// A cache endpoint and the phase of its process.
     Endpoint = 2,
-    /// A claim to a keyed request that has a side effect.
+    /// A claim to the side effect of a keyed request.
     Claim = 3,
-    /// What one proxy observed of an object or an endpoint.
+    /// One proxy's observation of an object or an endpoint.
     Observation = 16,
-    /// What one proxy admitted for a tenant.
+    /// The usage that one proxy admitted for a tenant.
     Usage = 17,
 }
 
@@ -46,25 +46,25 @@
     }
 }
 
-/// Types that are compared together, by how soon all replicas have to agree on them. The numbers are those of the wire
-/// format.
+/// A hash tree over the record types that are compared together, grouped by how soon all replicas have to agree on
+/// them. The numbers are part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tree {
-    /// Purges, endpoints, and unknown types with a number below the first background type.
+    /// Purges, endpoints, and unknown types with numbers below the first background type.
     Urgent = 0,
-    /// Claims to effects.
+    /// Claims to side effects.
     Claims = 1,
-    /// Everything that can wait.
+    /// All other types, which can wait.
     Background = 2,
 }
 
-/// How many trees there are.
+/// Number of trees.
 pub const TREES: usize = 3;
-/// Types with smaller numbers are urgent, also those that this build does not know.
+/// Types with smaller numbers are urgent, including those that this build does not know, except claims.
 const FIRST_BACKGROUND_TYPE: u32 = 16;
 
 impl Tree {
-    /// All trees, by their numbers.
+    /// All trees, in the order of their numbers.
     pub const ALL: [Tree; TREES] = [Tree::Urgent, Tree::Claims, Tree::Background];
 
     /// The tree of a record type, by the type's number on the wire.
@@ -81,7 +81,7 @@
         Tree::ALL.get(number as usize).copied()
     }
 
-    /// The numbers of its record types, as half-open ranges.
+    /// The numbers of the tree's record types, as half-open ranges.
     pub fn type_ranges(self) -> &'static [(u32, u32)] {
         const CLAIM: u32 = RecordType::Claim as u32;
         match self {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether updates to its records are disseminated as rumors; the others spread by anti-entropy alone.
+    /// Whether updates to the tree's records are disseminated as rumors. Other records spread by anti-entropy only.
     pub fn is_disseminated(self) -> bool {
         self != Tree::Background
     }
--- a/crates/replication/src/records/bounded_name.rs
+++ b/crates/replication/src/records/bounded_name.rs
@@ -1,11 +1,12 @@
-//! Parts of records' names that have a longest length: what is longer is told apart by a hash.
+//! Length limit for parts of record names. Longer parts are distinguished by a hash.
 
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Bytes of the hash that replaces the end of what is too long.
+/// Bytes of the hash that replaces the end of a text that is too long.
 const HASH_BYTES: usize = 16;
 
-/// The text itself, or, where it is longer than `max_bytes`, its beginning and a hash of all of it: `max_bytes` together.
+/// Returns the text itself or, if it is longer than `max_bytes`, its beginning and a hash of the complete text, which
+/// together have `max_bytes`.
 pub(super) fn bounded(text: &[u8], max_bytes: usize) -> Vec<u8> {
     if text.len() <= max_bytes {
         return text.to_vec();
--- a/crates/replication/src/records/claim.rs
+++ b/crates/replication/src/records/claim.rs
@@ -1,5 +1,5 @@
-//! Claims to effects. Rank: the state, which only advances. Each claim is written by its holder alone; `ledger` decides
-//! what the claims of one key say together.
+//! Claims to side effects. The rank is the state, which only advances. Only its holder writes a claim; `ledger` derives
+//! the status of a key from all its claims.
 
 use super::bounded_name::bounded;
 use crate::record::{Entry, Key};
@@ -7,23 +7,24 @@
 use crate::Micros;
 use prost::Message;
 
-/// The state of one claim. A later state wins over an earlier one; the numbers are those of the wire format.
+/// The state of one claim. A later state wins over an earlier one. The numbers are part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimState {
-    /// Requested. Nothing is sent before a quorum has granted it, but other proxies can't tell when that happens.
+    /// The claim was requested. No attempt is sent before a quorum grants it, but other proxies cannot know when that
+    /// happens.
     Requested = 0,
-    /// An attempt may be in flight, or was and nobody knows how it ended.
+    /// An attempt may be in flight, or was in flight and its outcome is unknown.
     MayHaveRun = 1,
-    /// The claim ended with proof that no attempt of it ran.
+    /// The claim ended with proof that no attempt under it ran.
     NotRun = 2,
-    /// Ended without proof: it may have run, and no outcome is known.
+    /// The claim ended without proof: an attempt may have run, and its outcome is not known.
     OutcomeLost = 3,
-    /// It ran with this outcome.
+    /// An attempt ran, and the claim contains its outcome.
     Completed = 4,
 }
 
 impl ClaimState {
-    /// All states, by their numbers.
+    /// All states, in the order of their numbers.
     pub const ALL: [ClaimState; 5] = [
         ClaimState::Requested,
         ClaimState::MayHaveRun,
@@ -48,28 +49,28 @@
         }
     }
 
-    /// Whether the claim has not ended, so that it may conflict with another.
+    /// Whether the claim has not ended, so that it may conflict with another claim.
     pub fn is_open(self) -> bool {
         self <= ClaimState::MayHaveRun
     }
 }
 
-/// A proxy's claim to the effect of one idempotency key.
+/// A proxy's claim to the side effect of one idempotency key.
 #[derive(Clone, PartialEq, Message)]
 pub struct Claim {
-    /// The name of the proxy that holds it.
+    /// The name of the proxy that holds the claim.
     #[prost(string, tag = "1")]
     pub holder: String,
     /// The holder's incarnation: when its process started.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// When the first attempt for this key may have been sent, by any claim: the origin drops repeats from then on.
+    /// When the first attempt for this key may have been sent, under any claim. The origin drops repeats from then on.
     #[prost(uint64, tag = "3")]
     pub first_sent_at: u64,
-    /// The deadline of its holder's client: by then its outcome is known or lost.
+    /// The deadline of the holder's client. By then the outcome of the claim is known or lost.
     #[prost(uint64, tag = "4")]
     pub deadline: u64,
-    /// The body of the response; none where it was too long to store.
+    /// The body of the response; none if it was too long to store.
     #[prost(bytes = "vec", optional, tag = "5")]
     pub body: Option<Vec<u8>>,
     /// Whether the response was current.
@@ -77,17 +78,17 @@
     pub current: bool,
 }
 
-/// Longest part of a key that goes into a record's name as it is.
+/// Maximum length of a key that is included in a record's name unchanged.
 pub const MAX_PLAIN_KEY_BYTES: usize = 80;
 
-/// The beginning of the names of all claims to a key: they are adjacent in the map, ordered by holder and number.
+/// The prefix of the names of all claims to a key, which are adjacent in the map and ordered by holder and number.
 pub fn claim_prefix(key: &[u8]) -> Vec<u8> {
-    // The length in front keeps one key from being the prefix of another.
+    // The length prefix ensures that no encoded key is a prefix of another.
     let key = bounded(key, MAX_PLAIN_KEY_BYTES);
     [&[key.len() as u8][..], &key].concat()
 }
 
-/// The record of a claim; `id` is its holder's hash and its number there.
+/// The record of a claim. `id` is the holder's hash and the holder's number for the claim.
 pub fn claim_record(
     key: &[u8],
     id: (u64, u64),
--- a/crates/replication/src/records/endpoint.rs
+++ b/crates/replication/src/records/endpoint.rs
@@ -1,5 +1,5 @@
-//! Cache endpoints. Rank: the start of the process, then its phase, so that within one start the phase only advances and
-//! a later start wins over all earlier ones.
+//! Cache endpoints. The rank is the start time of the process, then its phase. So the phase of one process only
+//! advances, and a later start wins over all earlier ones.
 
 use crate::record::{Entry, Key};
 use crate::record_type::RecordType;
@@ -7,19 +7,19 @@
 use crate::Micros;
 use prost::Message;
 
-/// The phase of an endpoint's process. The numbers are those of the wire format.
+/// The phase of an endpoint's process. The numbers are part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointPhase {
-    /// It serves.
+    /// It serves requests.
     Ready = 0,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its open requests and accepts no new ones.
     Draining = 1,
-    /// It was removed.
+    /// The endpoint was removed.
     Removed = 2,
 }
 
 impl EndpointPhase {
-    /// The phase in a record's rank; numbers that this build does not know count as the last phase.
+    /// The phase with this number in a record's rank. Unknown numbers count as the last phase.
     pub fn from_rank(number: u64) -> EndpointPhase {
         match number {
             0 => EndpointPhase::Ready,
@@ -29,10 +29,10 @@
     }
 }
 
-/// What is known of a cache endpoint beside its phase.
+/// The properties of a cache endpoint other than its phase.
 #[derive(Clone, PartialEq, Message)]
 pub struct EndpointInfo {
-    /// Where it listens.
+    /// The address on which it listens.
     #[prost(string, tag = "1")]
     pub address: String,
     /// Its locality.
@@ -49,8 +49,8 @@
     pub size: f64,
 }
 
-/// The record of an endpoint's phase. `started_at` is when its process started, in Unix time, as the discovery service
-/// reports it.
+/// The record of an endpoint's phase. `started_at` is the Unix time at which its process started, as reported by the
+/// discovery service.
 pub fn endpoint_record(
     id: &str,
     started_at: Micros,
@@ -66,7 +66,7 @@
     (Key::new(RecordType::Endpoint, id), entry)
 }
 
-/// Decodes an endpoint: its id, start, phase and what else is known of it.
+/// Decodes an endpoint. Returns its id, start time, phase and other properties.
 pub fn decode_endpoint(
     key: &Key,
     entry: &Entry,
--- a/crates/replication/src/records/mod.rs
+++ b/crates/replication/src/records/mod.rs
@@ -1,5 +1,5 @@
-//! How the records of each type are encoded and ranked. The rank is the type's rule for conflict resolution: of two
-//! records of one key the one with the larger rank wins.
+//! Encoding and rank of the records of each type. The rank is the type's rule for conflict resolution: of two records
+//! of one key, the one with the larger rank wins.
 
 mod bounded_name;
 mod claim;
--- a/crates/replication/src/records/purge.rs
+++ b/crates/replication/src/records/purge.rs
@@ -1,20 +1,21 @@
-//! Purges. Rank: the stamp, so that the latest purge of an object or a group wins. A purge is never undone.
+//! Purges. The rank is the timestamp, so that the latest purge of an object or a group wins. A purge is never undone.
 
 use crate::record::{Entry, Key};
 use crate::record_type::RecordType;
 use crate::wire_time;
 use crate::Micros;
 
-/// First byte of the name of an object's purge; the object follows.
+/// First byte of the name of an object's purge, followed by the object.
 const OBJECT: u8 = b'o';
-/// First byte of the name of a group's purge; the group follows.
+/// First byte of the name of a group's purge, followed by the group.
 const GROUP: u8 = b'g';
 
-/// The record of a purge of one object, or of a whole group where there is none; `stamp` is Unix time in microseconds.
+/// The record of a purge of one object, or of a complete group if `object` is none. `timestamp` is Unix time in
+/// microseconds.
 pub fn purge_record(
     object: Option<u64>,
     group: u32,
-    stamp: Micros,
+    timestamp: Micros,
     retention: Micros,
 ) -> (Key, Entry) {
     let name = match object {
@@ -22,20 +23,24 @@
         None => [&[GROUP][..], &group.to_be_bytes()].concat(),
     };
     let entry = Entry {
-        rank: (stamp.max(0) as u64, 0),
+        rank: (timestamp.max(0) as u64, 0),
         value: Vec::new(),
-        expires_at: stamp + retention,
+        expires_at: timestamp + retention,
     };
     (Key::new(RecordType::Purge, name), entry)
 }
 
-/// Decodes a purge: the object or the group, and the stamp.
+/// Decodes a purge. Returns the object (none for a group), the group, and the timestamp.
 pub fn decode_purge(key: &Key, entry: &Entry) -> Option<(Option<u64>, u32, Micros)> {
     let (scope, name) = key.name.split_first()?;
-    let stamp = wire_time::from_wire(entry.rank.0);
+    let timestamp = wire_time::from_wire(entry.rank.0);
     match *scope {
-        OBJECT => Some((Some(u64::from_be_bytes(name.try_into().ok()?)), 0, stamp)),
-        GROUP => Some((None, u32::from_be_bytes(name.try_into().ok()?), stamp)),
+        OBJECT => Some((
+            Some(u64::from_be_bytes(name.try_into().ok()?)),
+            0,
+            timestamp,
+        )),
+        GROUP => Some((None, u32::from_be_bytes(name.try_into().ok()?), timestamp)),
         _ => None,
     }
 }
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an installation configures of the shared state, with the bounds of each setting.
+//! The settings of the replicated state, and the bounds of each.
 
 use crate::{Micros, SEC};
 use std::error::Error;
@@ -7,9 +7,9 @@
 /// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Its key, below `fleet.replica`.
+    /// The key of the setting, below `fleet.replica`.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
@@ -21,60 +21,60 @@
 
 impl Error for InvalidSetting {}
 
-/// What is done with a keyed request whose claim no quorum granted in time.
+/// What happens to a keyed request whose claim no quorum granted in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WithoutQuorum {
-    /// It is sent as without a ledger, and may run a second time elsewhere.
+    /// It is sent as if there were no ledger, and may run a second time elsewhere.
     Send,
-    /// It is rejected: the client learns that nothing ran.
+    /// It is rejected, which informs the client that nothing ran.
     #[default]
     Reject,
 }
 
-/// The settings of the shared state.
+/// The settings of the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationSettings {
-    /// Hash of the fleet's name, as the membership view has it.
+    /// Hash of the fleet's name, the same as in the membership view.
     pub fleet_id: u64,
     /// This proxy's zone.
     pub zone: String,
-    /// Time between two comparisons with another proxy.
+    /// Time between two anti-entropy comparisons with another proxy.
     pub period: Micros,
-    /// Budget for messages in ordinary operation.
+    /// Send budget for messages in ordinary operation.
     pub bytes_per_second: u64,
-    /// Budget for the records handed to proxies that catch up.
+    /// Send budget for records to proxies that are catching up.
     pub catch_up_bytes_per_second: u64,
-    /// Most records of each type.
+    /// Maximum number of records of each type.
     pub max_entries: usize,
-    /// Most bytes of names and values of each type.
+    /// Maximum number of bytes of names and values of each type.
     pub max_bytes: usize,
-    /// How long a purge is stored: as long as an older copy may linger somewhere.
+    /// How long a purge is stored. It has to cover the time for which an older copy may be cached anywhere.
     pub purge_retention: Micros,
-    /// How long an endpoint's phase is stored, at least.
+    /// Minimum time for which the phase of an endpoint is stored.
     pub endpoint_retention: Micros,
     /// How long observations and usage are stored.
     pub observation_retention: Micros,
-    /// A proxy reports that it is ready this long after its start, although it has not caught up.
+    /// Time after its start at which a proxy reports that it is ready even if it has not caught up.
     pub ready_timeout: Micros,
-    /// None: keyed requests are sent like any other.
+    /// The settings of the ledger. Without a ledger, keyed requests are sent like all others.
     pub ledger: Option<LedgerSettings>,
 }
 
-/// The settings of the ledger of effects.
+/// The settings of the ledger of side effects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LedgerSettings {
-    /// Owners of a key; more than half of them have to grant a claim.
+    /// Number of owners of a key. More than half of them have to grant a claim.
     pub owners_per_key: usize,
-    /// Fraction of a request's latency budget that it may take until its claim is granted.
+    /// Fraction of a request's latency budget within which a quorum has to grant its claim.
     pub quorum_budget_fraction: f64,
-    /// What is done where it took longer.
+    /// What happens to the request if no quorum grants the claim in time.
     pub without_quorum: WithoutQuorum,
     /// How long a claim is stored.
     pub claim_retention: Micros,
-    /// Proxies that have to be known before any claim is granted: guards against a proxy that is cut off and does not
-    /// know it.
+    /// Minimum number of known voters for a claim to be granted. It guards against a proxy that is partitioned from the
+    /// others without having noticed it.
     pub min_voters: usize,
-    /// Longest response that is stored for a retry; of a longer one only that it ran.
+    /// Longest response that is stored for retries. For a longer one, only the fact that the request ran is stored.
     pub max_body_bytes: usize,
 }
 
@@ -111,22 +111,22 @@
 }
 
 impl ReplicationSettings {
-    /// Whether all settings are within their bounds.
+    /// Checks that all settings are within their bounds.
     ///
     /// # Errors
     ///
-    /// The first setting that is not.
+    /// Returns the first setting that is out of bounds.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
-        within("period_ms", millis(self.period), 50.0, 60_000.0)?;
-        within("bytes_per_s", self.bytes_per_second as f64, 2000.0, 1e9)?;
+        check_range("period_ms", millis(self.period), 50.0, 60_000.0)?;
+        check_range("bytes_per_s", self.bytes_per_second as f64, 2000.0, 1e9)?;
         let catch_up = self.catch_up_bytes_per_second as f64;
-        within("catch_up_bytes_per_s", catch_up, 2000.0, 1e9)?;
-        within("entries_most", self.max_entries as f64, 100.0, 1e6)?;
-        within("bytes_most", self.max_bytes as f64, 1e5, 1e9)?;
-        within("purge_keep_s", seconds(self.purge_retention), 1.0, 86_400.0)?;
+        check_range("catch_up_bytes_per_s", catch_up, 2000.0, 1e9)?;
+        check_range("entries_most", self.max_entries as f64, 100.0, 1e6)?;
+        check_range("bytes_most", self.max_bytes as f64, 1e5, 1e9)?;
+        check_range("purge_keep_s", seconds(self.purge_retention), 1.0, 86_400.0)?;
         let observations = seconds(self.observation_retention);
-        within("learned_keep_s", observations, 1.0, 86_400.0)?;
-        within("ready_after_ms", millis(self.ready_timeout), 0.0, 60_000.0)?;
+        check_range("learned_keep_s", observations, 1.0, 86_400.0)?;
+        check_range("ready_after_ms", millis(self.ready_timeout), 0.0, 60_000.0)?;
         self.ledger
             .as_ref()
             .map_or(Ok(()), LedgerSettings::validate)
@@ -135,20 +135,20 @@
 
 impl LedgerSettings {
     fn validate(&self) -> Result<(), InvalidSetting> {
-        within("ledger.copies", self.owners_per_key as f64, 1.0, 9.0)?;
-        within("ledger.write_part", self.quorum_budget_fraction, 0.01, 0.9)?;
+        check_range("ledger.copies", self.owners_per_key as f64, 1.0, 9.0)?;
+        check_range("ledger.write_part", self.quorum_budget_fraction, 0.01, 0.9)?;
         let retention = seconds(self.claim_retention);
-        within("ledger.keep_s", retention, 1.0, 86_400.0)?;
-        within("ledger.fronts_least", self.min_voters as f64, 1.0, 65_536.0)?;
-        within("ledger.body_bytes", self.max_body_bytes as f64, 0.0, 3500.0)
+        check_range("ledger.keep_s", retention, 1.0, 86_400.0)?;
+        check_range("ledger.fronts_least", self.min_voters as f64, 1.0, 65_536.0)?;
+        check_range("ledger.body_bytes", self.max_body_bytes as f64, 0.0, 3500.0)
     }
 }
 
-fn within(key: &'static str, value: f64, least: f64, most: f64) -> Result<(), InvalidSetting> {
-    if (least..=most).contains(&value) {
+fn check_range(key: &'static str, value: f64, min: f64, max: f64) -> Result<(), InvalidSetting> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let reason = format!("is not within {least} to {most}");
+    let reason = format!("is not within {min} to {max}");
     Err(InvalidSetting { key, reason })
 }
 
--- a/crates/replication/src/shared_estimate.rs
+++ b/crates/replication/src/shared_estimate.rs
@@ -1,5 +1,5 @@
-//! The estimate that several proxies' observations of one subject add up to: a weighted median, so that a proxy which is
-//! faulty or lies moves the result no further than to the next values in order.
+//! Combines several proxies' observations of one subject into an estimate. It is a weighted median, so that a faulty or
+//! malicious proxy moves the result at most to the neighboring values.
 
 use crate::map::Map;
 use crate::record_type::RecordType;
@@ -7,26 +7,26 @@
 use crate::wire_time;
 use crate::Micros;
 
-/// The age at which an observation's weight has halved.
+/// Age at which the weight of an observation has halved.
 const HALF_LIFE_MICROS: f64 = 30.0e6;
-/// The weight of a proxy in another zone: it observes other links.
+/// Relative weight of a proxy in another zone, which observes other links.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
-/// Where there are more than two proxies, none has more than this fraction of the weight.
+/// Maximum fraction of the total weight that one of more than two observations has.
 const MAX_WEIGHT_FRACTION: f64 = 0.4;
 
-/// What several proxies' observations of a subject add up to.
+/// The estimate that several proxies' observations of a subject result in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedEstimate {
-    /// The medians of what was observed, value by value.
+    /// The weighted median of each observed value.
     pub values: Vec<f64>,
-    /// How many observations there are.
+    /// Number of observations, one per writer.
     pub writers: usize,
-    /// The age of the youngest.
+    /// Age of the latest observation.
     pub age: Micros,
 }
 
-/// The observations of a subject by all processes but the one with this name and incarnation; those of earlier
-/// incarnations of its name count.
+/// The observations of a subject by all processes other than the one with this name and incarnation. Observations by
+/// earlier incarnations of the same name are included.
 pub fn observations_by_others(
     map: &Map,
     record_type: RecordType,
@@ -47,7 +47,7 @@
     observations
 }
 
-/// Combines observations; none where there are none, or where one has no values.
+/// Combines observations. Returns none if there are no observations, or if one of them has no values.
 pub fn combine(observations: &[Observation], zone: &str, now: Micros) -> Option<SharedEstimate> {
     let weights = weights(observations, zone, now);
     let lengths = observations.iter().map(|each| each.values.len());
@@ -70,12 +70,12 @@
 
 fn weights(observations: &[Observation], zone: &str, now: Micros) -> Vec<f64> {
     let weight = |observation: &Observation| {
-        let proximity = if observation.zone == zone {
+        let zone_weight = if observation.zone == zone {
             1.0
         } else {
             OTHER_ZONE_WEIGHT
         };
-        proximity * 0.5f64.powf(age(observation, now) as f64 / HALF_LIFE_MICROS)
+        zone_weight * 0.5f64.powf(age(observation, now) as f64 / HALF_LIFE_MICROS)
     };
     let mut weights: Vec<f64> = observations.iter().map(weight).collect();
     if weights.len() > 2 {
@@ -87,7 +87,7 @@
     weights
 }
 
-/// The first of the values, in order, with which half of the weight is reached; those that are not finite don't count.
+/// The smallest value at which the cumulative weight reaches half of the total. Values that are not finite are ignored.
 fn weighted_median(mut values: Vec<(f64, f64)>) -> f64 {
     values.retain(|(value, _)| value.is_finite());
     values.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! Snapshots: all records as one file, which the host writes aside and moves into place, and which is read whole or not at
-//! all. It is a sequence of parts, each packed by itself behind its length.
+//! Snapshots: all records in one file. The host writes it to a temporary file and then renames that. A snapshot is
+//! either read completely or rejected. It is a sequence of parts, each compressed separately and prefixed with its
+//! length.
 
 use crate::map::{Map, MergeOutcome};
 use crate::record::{to_wire, Entry, Key};
@@ -12,16 +13,17 @@
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
-/// Marks a part.
+/// Magic bytes of a part.
 const MARK: [u8; 2] = *b"ms";
-/// The version of the format.
+/// Version of the format.
 const VERSION: u8 = 1;
-/// A snapshot from further in the future is rejected: a clock was wrong, and so are all times inside.
+/// A snapshot that was written further in the future than this is rejected: a clock was wrong, and so are all times
+/// in it.
 const MAX_CLOCK_SKEW: Micros = 5_000_000;
-/// Records in one part.
-const PART_RECORDS: usize = 1000;
-/// Bytes of the length in front of a part.
-const LENGTH_BYTES: usize = 4;
+/// Maximum number of records in one part.
+const RECORDS_PER_PART: usize = 1000;
+/// Bytes of the length prefix of a part.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 #[derive(Clone, PartialEq, Message)]
 struct Part {
@@ -30,28 +32,28 @@
     /// Unix time in microseconds.
     #[prost(uint64, tag = "2")]
     written_at: u64,
-    /// Counted from 0.
+    /// The index of the part, from 0.
     #[prost(uint32, tag = "3")]
     number: u32,
-    /// How many parts there are in all.
+    /// The number of parts in the snapshot.
     #[prost(uint32, tag = "4")]
     parts: u32,
     #[prost(message, repeated, tag = "5")]
     records: Vec<Record>,
 }
 
-/// Why a snapshot was rejected.
+/// The reason for which a snapshot was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Parts are missing or cut off.
+    /// Parts are missing, truncated or out of order.
     Truncated,
-    /// A part can't be decoded.
+    /// A part cannot be decoded.
     Corrupt(DropReason),
     /// It was written by a proxy of another fleet.
     OtherFleet,
     /// It was written in the future.
     FromFuture,
-    /// It is too old to be of use.
+    /// It is older than the maximum age.
     TooOld,
 }
 
@@ -77,22 +79,22 @@
 
 impl Error for SnapshotError {}
 
-/// What a snapshot brought.
+/// The result of reading a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Restored {
-    /// Records that were merged.
+    /// Number of records that were merged.
     pub records: usize,
     /// Time since the snapshot was written.
     pub age: Micros,
 }
 
-/// Writes a snapshot of all records, open claims among them: what may have run must not be forgotten.
+/// Encodes a snapshot of all records. Open claims are included, as a request that may have run must not be forgotten.
 pub fn write(map: &Map, fleet_id: u64, now: Micros) -> Vec<u8> {
     let records: Vec<Record> = map.iter().map(|(key, entry)| to_wire(key, entry)).collect();
     let chunks: Vec<&[Record]> = if records.is_empty() {
         vec![&[]]
     } else {
-        records.chunks(PART_RECORDS).collect()
+        records.chunks(RECORDS_PER_PART).collect()
     };
     let (mut snapshot, mut bytes) = (Vec::new(), Vec::new());
     for (number, chunk) in (0..).zip(&chunks) {
@@ -114,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// The snapshot is damaged, of another fleet, or not written within `max_age` before `now`; nothing was merged then.
+/// The snapshot is damaged, of another fleet, or not written within `max_age` before `now`. No record is merged then.
 pub fn read(
     bytes: &[u8],
     map: &mut Map,
@@ -132,7 +134,7 @@
     }
     let mut merged = 0;
     let records = parts.into_iter().flat_map(|part| part.records);
-    for record in records.filter(outlives_restart) {
+    for record in records.filter(survives_restart) {
         let outcome = map.merge(Key::from_wire(&record), Entry::from_wire(&record), now);
         merged += usize::from(matches!(outcome, MergeOutcome::Merged { .. }));
     }
@@ -146,7 +148,7 @@
     let (mut rest, mut parts): (&[u8], Vec<Part>) = (bytes, Vec::new());
     while !rest.is_empty() {
         let (length, after) = rest
-            .split_first_chunk::<LENGTH_BYTES>()
+            .split_first_chunk::<LENGTH_PREFIX_BYTES>()
             .ok_or(SnapshotError::Truncated)?;
         let length = u32::from_le_bytes(*length) as usize;
         let (part, after) = after
@@ -158,7 +160,7 @@
     Ok(parts)
 }
 
-/// Whether the parts are all parts of one snapshot of this fleet; when it was written.
+/// Checks that the parts form one complete snapshot of this fleet. Returns the time at which it was written.
 fn check_parts(parts: &[Part], fleet_id: u64) -> Result<Micros, SnapshotError> {
     let first = parts.first().ok_or(SnapshotError::Truncated)?;
     if first.parts as usize != parts.len() {
@@ -167,17 +169,18 @@
     if parts.iter().any(|part| part.fleet_id != fleet_id) {
         return Err(SnapshotError::OtherFleet);
     }
-    let follows = |(number, part): (u32, &Part)| {
+    let is_next_part = |(number, part): (u32, &Part)| {
         part.number == number && part.parts == first.parts && part.written_at == first.written_at
     };
-    if !(0..).zip(parts).all(follows) {
+    if !(0..).zip(parts).all(is_next_part) {
         return Err(SnapshotError::Truncated);
     }
     Ok(wire_time::from_wire(first.written_at))
 }
 
-/// Observations of before a restart say little of now; all else holds until it expires.
-fn outlives_restart(record: &Record) -> bool {
+/// Whether a record is restored. Observations and usage from before a restart say little about the present; all other
+/// records are valid until they expire.
+fn survives_restart(record: &Record) -> bool {
     let record_type = RecordType::from_wire(record.record_type);
     !matches!(
         record_type,
--- a/crates/replication/src/wire.rs
+++ b/crates/replication/src/wire.rs
@@ -1,19 +1,19 @@
-//! The messages between proxies about what they share, in the envelope that the membership view uses as well
-//! (`meadowrill_membership::envelope`): marked `mp` in a datagram, and `mq` when packed for a stream. On the wire fields
-//! are known by their tags alone; tags and types must not change.
+//! The messages of the replication protocol. They use the same envelope as the messages of the membership protocol
+//! (`meadowrill_membership::envelope`), with the mark `mp` in a datagram, and the mark `mq` when compressed for a
+//! stream. On the wire only the tags identify the fields, so tags and types must not change.
 
 use meadowrill_membership::envelope::{self, DropReason};
 use prost::Message;
 
-/// Marks a message in a datagram.
+/// The envelope's mark for a message in a datagram.
 pub const MARK: [u8; 2] = *b"mp";
-/// Marks a packed message on a stream.
+/// The envelope's mark for a compressed message on a stream.
 pub const CHUNK_MARK: [u8; 2] = *b"mq";
-/// The version of the format.
+/// Version of the format.
 pub const VERSION: u8 = 1;
-/// Largest datagram, with the headers of the lower layers.
+/// Size of the largest datagram, including the headers of the lower layers.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Longest name of a proxy, in bytes.
+/// Maximum length of a proxy's name.
 const MAX_SENDER_BYTES: usize = 64;
 
 /// One message with its sender.
@@ -25,7 +25,7 @@
     /// The sender's name.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// The sender's incarnation: when its process started.
+    /// The sender's incarnation: the start time of its process.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
     /// The message itself.
@@ -36,28 +36,28 @@
 /// The message in a packet.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// Rumors: updates to urgent records, which the receiver disseminates further.
+    /// Rumors: updates to records of the urgent and claims trees, which the receiver disseminates further.
     #[prost(message, tag = "4")]
     Rumors(Records),
-    /// Anti-entropy: records that were requested or found to be missing; they are not disseminated further.
+    /// Anti-entropy: records that were requested or found to be missing. They are not disseminated further.
     #[prost(message, tag = "5")]
     Delta(Delta),
-    /// Anti-entropy: begins a comparison of all trees.
+    /// Anti-entropy: starts a comparison of all trees.
     #[prost(message, tag = "6")]
     Roots(Roots),
-    /// Anti-entropy: begins a comparison of one tree, or follows from different roots.
+    /// Anti-entropy: starts a comparison of one tree, or continues one after roots differed.
     #[prost(message, tag = "7")]
     BucketDigests(BucketDigests),
-    /// Anti-entropy: answers digests that differ.
+    /// Anti-entropy: the answer to digests that differ.
     #[prost(message, tag = "8")]
     BucketHashes(BucketHashes),
     /// Anti-entropy: requests records by their hashes.
     #[prost(message, tag = "9")]
     RecordRequest(RecordRequest),
-    /// Catching up: requests records from a donor.
+    /// Catch-up: requests records from another proxy, the donor.
     #[prost(message, tag = "10")]
     CatchUpRequest(CatchUpRequest),
-    /// Catching up: the donor's answer.
+    /// Catch-up: the donor's answer.
     #[prost(message, tag = "11")]
     CatchUpPage(CatchUpPage),
     /// Claims: requests an owner's vote on a claim to a key.
@@ -68,7 +68,7 @@
     ClaimReply(ClaimReply),
 }
 
-/// The types of message, in the order of their labels.
+/// The types of message, in the order of their labels in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageType {
     /// [`ClaimRequest`].
@@ -132,30 +132,30 @@
 /// A replicated record.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
-    /// The number of its record type.
+    /// The number of the record's type.
     #[prost(uint32, tag = "1")]
     pub record_type: u32,
-    /// Its name within the type.
+    /// The name of the record within its type.
     #[prost(bytes = "vec", tag = "2")]
     pub name: Vec<u8>,
-    /// The first part of its rank: of two records of one name the one with the larger rank wins.
+    /// The first part of the rank: of two records with the same name, the one with the larger rank wins.
     #[prost(uint64, tag = "3")]
     pub rank_high: u64,
-    /// The second part of its rank.
+    /// The second part of the rank.
     #[prost(uint64, tag = "4")]
     pub rank_low: u64,
-    /// Its value, as its type encodes it.
+    /// The value, in the encoding of the record's type.
     #[prost(bytes = "vec", tag = "5")]
     pub value: Vec<u8>,
-    /// When it expires, in Unix time in microseconds.
+    /// When the record expires, in Unix time in microseconds.
     #[prost(uint64, tag = "6")]
     pub expires_at: u64,
 }
 
-/// Some records.
+/// A list of records.
 #[derive(Clone, PartialEq, Message)]
 pub struct Records {
-    /// In no particular order.
+    /// The records, in no particular order.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<Record>,
 }
@@ -174,7 +174,7 @@
 /// Digests of all trees.
 #[derive(Clone, PartialEq, Message)]
 pub struct Roots {
-    /// By the number of the tree.
+    /// The digests of the trees, in the order of the trees' numbers.
     #[prost(fixed64, repeated, tag = "1")]
     pub roots: Vec<u64>,
 }
@@ -185,7 +185,7 @@
     /// The number of the tree.
     #[prost(uint32, tag = "1")]
     pub tree: u32,
-    /// By the number of the bucket.
+    /// The digests of the buckets, in the order of the buckets' numbers.
     #[prost(fixed32, repeated, tag = "2")]
     pub digests: Vec<u32>,
 }
@@ -199,16 +199,17 @@
     /// The numbers of the buckets.
     #[prost(uint32, repeated, tag = "2")]
     pub buckets: Vec<u32>,
-    /// The hashes, of all these buckets together.
+    /// The hashes of the records in all these buckets.
     #[prost(fixed64, repeated, tag = "3")]
     pub hashes: Vec<u64>,
-    /// The proxies that vote on claims, as the sender has them; for a receiver that can't vote yet.
+    /// The voters known to the sender, for a receiver that cannot vote yet.
     #[prost(string, repeated, tag = "4")]
     pub voters: Vec<String>,
-    /// These are all buckets that differ.
+    /// Whether the message covers all buckets that differ.
     #[prost(bool, tag = "5")]
     pub covers_all: bool,
-    /// The sender counts the receiver among the voters: from now on it accepts no quorum without regard to it.
+    /// Whether the sender counts the receiver as a voter. If so, it takes the receiver into account in every quorum
+    /// that it accepts from now on.
     #[prost(bool, tag = "6")]
     pub receiver_votes: bool,
 }
@@ -216,7 +217,7 @@
 /// Requests records.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordRequest {
-    /// Their hashes.
+    /// The hashes of the requested records.
     #[prost(fixed64, repeated, tag = "1")]
     pub hashes: Vec<u64>,
 }
@@ -227,7 +228,7 @@
     /// The number of the tree.
     #[prost(uint32, tag = "1")]
     pub tree: u32,
-    /// From the first record on; the key has no meaning then.
+    /// Whether the request is for records from the first one on. The key is ignored then.
     #[prost(bool, tag = "2")]
     pub from_start: bool,
     /// The record type of the key.
@@ -247,24 +248,25 @@
     /// The records.
     #[prost(message, repeated, tag = "2")]
     pub records: Vec<Record>,
-    /// No others follow.
+    /// Whether no more records follow.
     #[prost(bool, tag = "3")]
     pub last: bool,
 }
 
-/// Requests an owner's vote on a claim to the effect of a key.
+/// Requests an owner's vote on a claim to the side effect of a key.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRequest {
-    /// The number of the request, which the reply repeats.
+    /// The number of the claim, which the reply repeats.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The claim.
     #[prost(message, optional, tag = "2")]
     pub claim: Option<Record>,
-    /// The owners of the key, as the sender has them.
+    /// The owners of the key according to the sender.
     #[prost(string, repeated, tag = "3")]
     pub owners: Vec<String>,
-    /// Another's claim may be taken over until then, as the origin drops repeats for that long; 0 for never.
+    /// Time until which the origin drops repeats of an earlier claim's attempts, so that this claim may take over
+    /// from it; 0 if it does not take over from another.
     #[prost(uint64, tag = "4")]
     pub takeover_until: u64,
 }
@@ -272,13 +274,13 @@
 /// An owner's vote on a claim.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimReply {
-    /// The number of the request.
+    /// The number of the claim.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The number of the vote.
     #[prost(uint32, tag = "2")]
     pub vote: u32,
-    /// The claims that conflict with it.
+    /// The claims that conflict with the requested claim.
     #[prost(message, repeated, tag = "3")]
     pub conflicting_claims: Vec<Record>,
 }
@@ -288,16 +290,17 @@
     envelope::encode(MARK, VERSION, packet, into);
 }
 
-/// Encodes and packs a message for a stream.
+/// Encodes and compresses a message for a stream.
 pub fn write_chunk(packet: &Packet, into: &mut Vec<u8>) {
     envelope::encode_compressed(CHUNK_MARK, VERSION, envelope::FAST_LEVEL, packet, into);
 }
 
-/// Decodes a message in either form, and checks that it is of this fleet.
+/// Decodes a message in either encoding, and checks that it is of this fleet.
 ///
 /// # Errors
 ///
-/// The reason why the message is dropped: it can't be decoded, is of another fleet, or its sender's name is out of bounds.
+/// Returns the reason for which the message has to be dropped: it cannot be decoded, is of another fleet, or its
+/// sender's name has no valid length.
 pub fn read(bytes: &[u8], fleet_id: u64) -> Result<Packet, DropReason> {
     let packet: Packet = envelope::decode(MARK, CHUNK_MARK, VERSION, bytes)?;
     if packet.fleet_id != fleet_id {
--- a/crates/replication/src/wire_time.rs
+++ b/crates/replication/src/wire_time.rs
@@ -1,11 +1,12 @@
-//! Times on the wire: unsigned microseconds of Unix time, which may be anything.
+//! Decoding of times on the wire: unsigned microseconds of Unix time, which may have any value.
 
 use crate::{Micros, SEC};
 
-/// The latest time that is taken from the wire, in the year 5138: sums of it with any span of the settings cannot overflow.
+/// The latest time that is accepted from the wire, in the year 5138. Its sum with any duration from the settings cannot
+/// overflow.
 pub const MAX_TIME: Micros = 100_000_000_000 * SEC;
 
-/// A time from the wire; any beyond [`MAX_TIME`] is taken for that.
+/// Decodes a time from the wire. A time beyond [`MAX_TIME`] becomes [`MAX_TIME`].
 pub fn from_wire(time: u64) -> Micros {
     Micros::try_from(time).map_or(MAX_TIME, |time| time.min(MAX_TIME))
 }
