--- a/crates/replication/tests/ledger_model/world.rs
+++ b/crates/replication/tests/ledger_model/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: three proxies, the messages in flight between them, and what runs at the origin.
+//! The state of the model: three proxies, the messages in flight between them, and how often the side effect ran.
 
 use super::model::Fault;
 use meadowrill_replication::ledger::Ledger;
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 
 pub(crate) const PROXIES: usize = 3;
-/// Incarnations of the first start of all proxies, and of a restart.
+/// Incarnations of all proxies after the first start, and of a proxy after a restart.
 pub(crate) const FIRST_INCARNATION: u64 = 100;
 pub(crate) const LATER_INCARNATION: u64 = 200;
 
@@ -17,7 +17,7 @@
 pub(crate) struct Node {
     pub(crate) ledger: Ledger,
     pub(crate) map: Map,
-    /// It has compared its claims with the others since its start.
+    /// Whether it has compared its claims with the others since its start.
     pub(crate) can_vote: bool,
     pub(crate) alive: bool,
     pub(crate) incarnation: u64,
@@ -53,7 +53,7 @@
     pub(crate) nodes: Vec<Node>,
     /// Sender, receiver and message.
     pub(crate) in_flight: Vec<(usize, usize, Message)>,
-    /// Requests that were admitted: the proxy, and the token.
+    /// Requests that were admitted and have not run: the proxy and the token.
     pub(crate) admitted: Vec<(usize, u64)>,
     pub(crate) requests: u32,
     pub(crate) runs: u32,
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Whether two proxies reach each other: a split cuts off the last from the first two.
+    /// Whether two proxies reach each other. A split separates the last proxy from the first two.
     pub(crate) fn reaches(&self, one: usize, other: usize) -> bool {
         let is_last = |index| index == PROXIES - 1;
         !self.split || is_last(one) == is_last(other)
     }
 
-    /// Drawn delays after a conflict do not matter here: nothing is due by itself.
+    /// The state as text. The random back-off after a conflict does not matter, because no timer fires in the model.
     fn text(&self) -> String {
         format!("{self:?}")
     }
