--- a/crates/admission/src/concurrency_limit/window.rs
+++ b/crates/admission/src/concurrency_limit/window.rs
@@ -1,41 +1,41 @@
-//! Measurement windows: sums over the hits of a short time, from which the queue in the caches is estimated.
+//! Measurement windows: sums over the cache hits of a short time, from which the queue in the caches is estimated.
 //!
-//! A window is open until it has enough samples and time, and sparse where it has the time for that but not the
-//! samples.
+//! A window is complete when it has lasted long enough and has enough samples. It is sparse if it does not have enough
+//! samples by the time-out. Otherwise it is open.
 
 use super::baseline::ExpectedDuration;
 use meadowrill_routing::interface::Micros;
 
-/// Fewest samples of a complete window.
-const WINDOW_SAMPLES: u32 = 24;
-/// Shortest time of a complete window.
-const WINDOW_TIME: Micros = 40_000;
-/// A window with too few samples ends after this time.
+/// Minimum number of samples of a complete window.
+const MIN_WINDOW_SAMPLES: u32 = 24;
+/// Minimum duration of a complete window.
+const MIN_WINDOW_TIME: Micros = 40_000;
+/// Time-out after which a window with too few samples ends.
 const SPARSE_WINDOW_TIME: Micros = 250_000;
 
-/// How far a window has come.
+/// The state of a measurement window.
 pub(super) enum WindowState {
-    /// It goes on.
+    /// The window continues.
     Open,
-    /// It has enough samples.
+    /// The window has enough samples and has lasted long enough.
     Complete,
-    /// Its time is over, with too few samples.
+    /// The window has timed out with too few samples.
     Sparse,
 }
 
-/// What was measured since a window was opened.
+/// The measurements since a window was opened.
 pub(super) struct Window {
     opened_at: Micros,
     samples: u32,
-    /// Sum of what answers took, in microseconds.
-    duration: f64,
-    /// Sum of what they would have taken at low load.
-    baseline: f64,
-    /// Sum of what they may have waited.
-    target_wait: f64,
-    /// Sum of the concurrency at their ends.
-    concurrency: f64,
-    /// A request had to wait.
+    /// Sum of the durations of answers, in microseconds.
+    duration_sum: f64,
+    /// Sum of the durations that the answers would have had at low load.
+    baseline_sum: f64,
+    /// Sum of the targets for the waits of the answers.
+    target_wait_sum: f64,
+    /// Sum of the concurrency at the end of each answer.
+    concurrency_sum: f64,
+    /// Whether a request had to wait.
     pub(super) limited: bool,
 }
 
@@ -44,10 +44,10 @@
         Window {
             opened_at: now,
             samples: 0,
-            duration: 0.0,
-            baseline: 0.0,
-            target_wait: 0.0,
-            concurrency: 0.0,
+            duration_sum: 0.0,
+            baseline_sum: 0.0,
+            target_wait_sum: 0.0,
+            concurrency_sum: 0.0,
             limited: false,
         }
     }
@@ -58,18 +58,18 @@
         expected: ExpectedDuration,
         concurrency: f64,
     ) {
-        self.duration += duration;
-        self.baseline += expected.at_low_load;
-        self.target_wait += expected.target_wait;
-        self.concurrency += concurrency;
+        self.duration_sum += duration;
+        self.baseline_sum += expected.at_low_load;
+        self.target_wait_sum += expected.target_wait;
+        self.concurrency_sum += concurrency;
         self.samples += 1;
     }
 
     pub(super) fn state(&self, now: Micros) -> WindowState {
         let age = now - self.opened_at;
-        if age < WINDOW_TIME {
+        if age < MIN_WINDOW_TIME {
             WindowState::Open
-        } else if self.samples >= WINDOW_SAMPLES {
+        } else if self.samples >= MIN_WINDOW_SAMPLES {
             WindowState::Complete
         } else if age < SPARSE_WINDOW_TIME {
             WindowState::Open
@@ -78,17 +78,18 @@
         }
     }
 
-    /// What answers would take at low load over what they took: below 1 where there is a queue.
-    pub(super) fn speed(&self) -> f64 {
-        self.baseline / self.duration
+    /// Returns the duration of answers at low load divided by their measured duration. It is below 1 if there is a
+    /// queue.
+    pub(super) fn relative_speed(&self) -> f64 {
+        self.baseline_sum / self.duration_sum
     }
 
     pub(super) fn mean_concurrency(&self) -> f64 {
-        self.concurrency / f64::from(self.samples)
+        self.concurrency_sum / f64::from(self.samples)
     }
 
-    /// The queue in which answers wait as long as they may.
+    /// Returns the length of the queue in which the wait of answers equals its target.
     pub(super) fn target_queue(&self) -> f64 {
-        self.mean_concurrency() * self.target_wait / (self.baseline + self.target_wait)
+        self.mean_concurrency() * self.target_wait_sum / (self.baseline_sum + self.target_wait_sum)
     }
 }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of admission control, its defaults, and its validation. Each error names the key as it stands in
-//! the settings file.
+//! The configuration of admission control, its defaults, and its validation. Each error names the key as it is spelled
+//! in the settings file.
 
 use ipnet::IpNet;
 use meadowrill_routing::interface::Micros;
@@ -7,23 +7,23 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Most tenants: each has queues of its own, so their number bounds the memory.
+/// Maximum number of tenants. Each tenant has queues of its own, so the number of tenants bounds the memory.
 pub const MAX_TENANTS: usize = 64;
-/// Longest name of a tenant, in bytes.
+/// Maximum length of a tenant's name, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// Most requests that a bound of the configuration may allow.
-const MAX_LOOKUPS: usize = 65_536;
+/// Upper bound of the settings that count requests.
+const MAX_REQUESTS: usize = 65_536;
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=1000.0;
 const BUCKET_RATE_RANGE: RangeInclusive<f64> = 0.001..=1e6;
 const BUCKET_BURST_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 const COST_PER_KB_RANGE: RangeInclusive<Micros> = 0..=100_000;
 
-/// Which request is admitted next. Operators see the names of the variants.
+/// How the next request to admit is chosen. Operators see the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDiscipline {
-    /// First come, first served, up to the capacity limits.
+    /// First come, first served, within the capacity limits.
     FirstCome,
-    /// First come, first served, with a token bucket for each client; the baseline to compare with.
+    /// First come, first served, with a token bucket for each client: a baseline for comparison.
     Buckets,
     /// Weighted fair queueing among tenants, then among the clients of a tenant.
     Fair,
@@ -32,49 +32,49 @@
 /// What identifies a client: requests with the same key belong to the same client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientKey {
-    /// The address of the peer.
+    /// The network address of the peer.
     Address,
     /// The connection.
     Connection,
-    /// A field of the request; the address where a request lacks it.
+    /// A field of the request, or the peer's address if the request lacks the field.
     Field(String),
 }
 
-/// A tenant: a share of the capacity, and who belongs to it.
+/// A tenant: its share of the capacity, and the requests that belong to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Unique name, shown to operators.
     pub name: String,
-    /// Its share against those of the other tenants.
+    /// Weight of the tenant relative to the other tenants.
     pub weight: f64,
-    /// Networks whose addresses belong to it.
+    /// Networks whose addresses belong to the tenant.
     pub networks: Vec<IpNet>,
-    /// Values of the tenant field that name it.
+    /// Values of the tenant field that select the tenant.
     pub values: Vec<String>,
 }
 
 /// The configuration of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Which request is admitted next.
+    /// How the next request to admit is chosen.
     pub discipline: QueueDiscipline,
-    /// The first is the default tenant: of all requests that match no other.
+    /// All tenants. The first is the default tenant, which receives the requests that match no other tenant.
     pub tenants: Vec<Tenant>,
-    /// The field of a request that names its tenant; it takes precedence over the network.
+    /// The field of a request that selects its tenant. It takes precedence over the network.
     pub tenant_field: Option<String>,
     /// What identifies a client.
     pub client_key: ClientKey,
-    /// Most requests that wait, of all tenants together.
+    /// Maximum number of waiting requests of all tenants together.
     pub max_waiting: usize,
     /// Lower bound of the concurrency limit.
     pub min_concurrency: usize,
     /// Upper bound of the concurrency limit.
     pub max_concurrency: usize,
-    /// Cost of a kilobyte, in addition to the duration of its request.
+    /// Cost of a kilobyte, added to the duration of the request.
     pub cost_per_kb: Micros,
-    /// Tokens a second of a client's bucket, for [`QueueDiscipline::Buckets`].
+    /// Tokens per second that a client's bucket gains, for [`QueueDiscipline::Buckets`].
     pub bucket_rate: f64,
-    /// Tokens that a client's bucket holds, for [`QueueDiscipline::Buckets`].
+    /// Capacity of a client's bucket in tokens, for [`QueueDiscipline::Buckets`].
     pub bucket_burst: f64,
 }
 
@@ -109,7 +109,7 @@
 /// Why a configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The key in the settings file.
+    /// The key in the settings file, such as `turns.waiting_most`.
     pub key: String,
     /// What is wrong with its value.
     pub message: String,
@@ -143,12 +143,17 @@
     range: RangeInclusive<f64>,
     key: impl Into<String>,
 ) -> Result<(), ConfigError> {
-    // NaN is in no range.
-    let message = format!("{value} is not within {} to {}", range.start(), range.end());
+    // A range contains no NaN.
+    let message = format!(
+        "must be between {} and {}, but is {value}",
+        range.start(),
+        range.end()
+    );
     ensure(range.contains(&value), key, message)
 }
 
-/// Key of a tenant's field in the settings file. The default tenant is first here, and has fields of its own there.
+/// Returns the key of a tenant's field in the settings file. The default tenant is the first one in the configuration,
+/// whereas the settings file has separate fields for it.
 fn tenant_key(tenant_index: usize, field: &str) -> String {
     match tenant_index {
         0 => format!("turns.default_{field}"),
@@ -156,15 +161,15 @@
     }
 }
 
-/// The names, networks and field values of the tenants that were checked so far.
+/// Names, networks and field values of the tenants checked so far, to find duplicates.
 #[derive(Default)]
-struct AssignedKeys<'a> {
+struct SeenTenantKeys<'a> {
     names: BTreeSet<&'a str>,
     networks: BTreeSet<IpNet>,
     values: BTreeSet<&'a str>,
 }
 
-impl<'a> AssignedKeys<'a> {
+impl<'a> SeenTenantKeys<'a> {
     fn check(&mut self, tenant_index: usize, tenant: &'a Tenant) -> Result<(), ConfigError> {
         self.check_name(tenant_index, &tenant.name)?;
         ensure_within(
@@ -176,22 +181,25 @@
         self.check_values(tenant_index, &tenant.values)?;
         let reachable =
             tenant_index == 0 || !tenant.networks.is_empty() || !tenant.values.is_empty();
-        let message = "neither network nor value: nobody would be this tenant";
+        let message = "tenant has neither a network nor a field value, so no request can match it";
         ensure(reachable, tenant_key(tenant_index, "network"), message)
     }
 
     fn check_name(&mut self, tenant_index: usize, name: &'a str) -> Result<(), ConfigError> {
         let key = tenant_key(tenant_index, "name");
-        ensure(!name.is_empty(), &key, "is empty")?;
+        ensure(!name.is_empty(), &key, "must not be empty")?;
         let plain = name
             .chars()
             .all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         let valid = plain && name.len() <= MAX_NAME_LENGTH;
-        ensure(valid, &key, "may hold letters, digits, '-', '_' and '.'")?;
+        let message = format!(
+            "must have at most {MAX_NAME_LENGTH} characters, all of them letters, digits, '-', '_' or '.'"
+        );
+        ensure(valid, &key, message)?;
         ensure(
             self.names.insert(name),
             &key,
-            format!("{name:?} is named twice"),
+            format!("duplicate tenant name {name:?}"),
         )
     }
 
@@ -202,7 +210,7 @@
     ) -> Result<(), ConfigError> {
         for (index, network) in networks.iter().enumerate() {
             let key = format!("{}[{index}]", tenant_key(tenant_index, "network"));
-            let message = format!("{network} is another tenant's already");
+            let message = format!("network {network} is already assigned to a tenant");
             ensure(self.networks.insert(network.trunc()), key, message)?;
         }
         Ok(())
@@ -215,7 +223,7 @@
     ) -> Result<(), ConfigError> {
         for (index, value) in values.iter().enumerate() {
             let key = format!("{}[{index}]", tenant_key(tenant_index, "value"));
-            let message = format!("{value:?} is another tenant's already");
+            let message = format!("field value {value:?} is already assigned to a tenant");
             ensure(self.values.insert(value), key, message)?;
         }
         Ok(())
@@ -226,35 +234,39 @@
     /// Validates the whole configuration.
     ///
     /// # Errors
-    /// The first key whose value is out of bounds or in conflict with another.
+    /// Returns the first key whose value is out of bounds or conflicts with another value.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.check_tenants()?;
         self.check_bounds()?;
         let cost_valid = COST_PER_KB_RANGE.contains(&self.cost_per_kb);
-        ensure(cost_valid, "turns.us_per_kb", "is not within 0 to 100000")?;
+        ensure(
+            cost_valid,
+            "turns.us_per_kb",
+            "must be between 0 and 100000",
+        )?;
         ensure_within(self.bucket_rate, BUCKET_RATE_RANGE, "turns.bucket_per_s")?;
         ensure_within(self.bucket_burst, BUCKET_BURST_RANGE, "turns.bucket_burst")
     }
 
     fn check_tenants(&self) -> Result<(), ConfigError> {
         let count = self.tenants.len();
-        let message = format!("{count} tenants, {MAX_TENANTS} at most");
+        let message = format!("got {count} tenants, must be between 1 and {MAX_TENANTS}");
         ensure((1..=MAX_TENANTS).contains(&count), "turns.tenant", message)?;
-        let mut assigned = AssignedKeys::default();
+        let mut seen = SeenTenantKeys::default();
         for (tenant_index, tenant) in self.tenants.iter().enumerate() {
-            assigned.check(tenant_index, tenant)?;
+            seen.check(tenant_index, tenant)?;
         }
-        let field_named = assigned.values.is_empty() || self.tenant_field.is_some();
+        let field_named = seen.values.is_empty() || self.tenant_field.is_some();
         ensure(
             field_named,
             "turns.tenant_field",
-            "is missing, but tenants name values of it",
+            "is missing, but tenants are selected by its values",
         )
     }
 
     fn check_bounds(&self) -> Result<(), ConfigError> {
-        let allowed = 1..=MAX_LOOKUPS;
-        let message = "is not within 1 to 65536";
+        let allowed = 1..=MAX_REQUESTS;
+        let message = "must be between 1 and 65536";
         ensure(
             allowed.contains(&self.max_waiting),
             "turns.waiting_most",
@@ -265,11 +277,11 @@
             "turns.inside_least",
             message,
         )?;
-        let max_valid = (self.min_concurrency..=MAX_LOOKUPS).contains(&self.max_concurrency);
+        let max_valid = (self.min_concurrency..=MAX_REQUESTS).contains(&self.max_concurrency);
         ensure(
             max_valid,
             "turns.inside_most",
-            "is not within inside_least to 65536",
+            "must be between inside_least and 65536",
         )
     }
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,10 +1,10 @@
-//! The admission controller: decides which requests are admitted, which wait and which are rejected, before the routing
-//! crate sees them.
+//! The admission controller decides which requests are admitted, which wait and which are rejected, before the routing
+//! crate receives them.
 //!
-//! A request is waiting, in flight (from then on overdue if it takes too long), or ended; after an early failure its
-//! permit lingers for a while. Invariants: each request leaves exactly once, admitted and completed, rejected, or
-//! cancelled by its client; none waits while there is capacity, once `poll` has returned; the controller's time never
-//! goes back.
+//! A request is waiting, in flight, or ended. A request in flight that takes too long becomes overdue, and the permit
+//! of a request that failed early lingers for a while. Invariants: each request leaves the controller exactly once,
+//! either completed after its admission, rejected, or cancelled by its client; no request waits while there is capacity
+//! once `poll` has returned; the controller's time never goes back.
 
 mod admit;
 mod complete;
@@ -44,16 +44,18 @@
     costs: CostModel,
     reservations: ReservationCalendar,
     buckets: TokenBuckets,
-    /// By request: when its wait ends, when it is overdue, or when its permit is free after an early failure.
+    /// Timers by request index: when the wait ends, when the request becomes overdue, or when the permit is freed after
+    /// an early failure.
     timers: TimerWheel,
     /// Events that the next `poll` returns.
     events: Vec<AdmissionEvent>,
-    /// By tenant.
+    /// Counters by tenant index.
     counters: Vec<TenantCounters>,
     completions: CompletionRate,
 }
 
-/// Weight of each class in the queue: of two with the same priority, the one with the shorter budget goes first.
+/// Returns the queue weight of each class. Of two classes with the same priority, the one with the shorter latency
+/// budget gets the greater weight.
 fn queue_weights(costs: &CostModel) -> Vec<f64> {
     let weight = |class: &RequestClass| {
         class.priority_weight.max(0.0) / (class.latency_budget.max(1) as f64)
@@ -62,7 +64,7 @@
 }
 
 impl AdmissionController {
-    /// A controller with nothing admitted. `config` must be valid.
+    /// Creates a controller without requests. `config` must be valid.
     pub fn new(
         config: AdmissionConfig,
         classes: &[RequestClass],
@@ -96,40 +98,40 @@
         }
     }
 
-    /// Advances the controller's time, which never goes back, whatever the host's clock does.
+    /// Advances the controller's time and returns it. The time never goes back, even if the host's clock does.
     fn advance(&mut self, now: Micros) -> Micros {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// Whether a request was not admitted yet.
+    /// Returns whether a request has not been admitted yet.
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
         self.requests
             .get(ticket.0)
             .is_some_and(|request| request.admitted_at.is_none())
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.waiting()
     }
 
-    /// Number of requests that wait or are in flight.
+    /// Returns the number of requests that wait or are in flight.
     pub fn open(&self) -> usize {
         self.requests.len() - self.limiter.lingering()
     }
 
-    /// Whether one more request may be in flight.
+    /// Returns whether one more request may be in flight.
     pub fn has_capacity(&self) -> bool {
         self.config.discipline != QueueDiscipline::Fair || self.limiter.has_capacity()
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn config(&self) -> &AdmissionConfig {
         &self.config
     }
 
-    /// When to call `poll` next, if nothing else happens before.
+    /// Returns when `poll` has to be called next if nothing else happens before.
     pub fn next_deadline(&self) -> Option<Micros> {
         let probe_end = if self.waiting() > 0 {
             self.limiter.next_deadline()
@@ -142,7 +144,7 @@
             .min()
     }
 
-    /// The state for operators.
+    /// Returns the state to report to operators.
     pub fn report(&self) -> AdmissionReport {
         let tenants = self.config.tenants.iter().enumerate();
         AdmissionReport {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Bytes allocated by the controller.
+    /// Returns the number of bytes allocated by the controller.
     pub fn memory_bytes(&self) -> usize {
         size_of::<AdmissionController>()
             + self.requests.memory_bytes()
--- a/crates/admission/src/controller/admit.rs
+++ b/crates/admission/src/controller/admit.rs
@@ -1,8 +1,8 @@
-//! Admission of a new request: at once, to the queue, or not at all.
+//! The decision on a new request: it is admitted at once, queued, or rejected.
 //!
-//! The order of the checks: the host's limits, a part of which is reserved for redeemed reservations; then the
-//! discipline. With fair queueing a request is admitted at once only where nobody waits, and waits only where it can
-//! still be answered within its latency budget.
+//! The host's limits are checked first; a part of them is set aside for redeemed reservations. The queue discipline
+//! decides next. With fair queueing, a request is admitted at once only if no request waits, and is queued only if it
+//! can still be answered within its latency budget.
 
 use super::tracked_request::TrackedRequest;
 use super::AdmissionController;
@@ -12,16 +12,17 @@
 use crate::request::{AdmissionRequest, Decision, RejectReason, Ticket};
 use meadowrill_routing::interface::Micros;
 
-/// So many requests of a flow may wait whatever is reserved: reservations must not leave permits unused if no client
-/// returns.
+/// Number of requests of a flow that may wait regardless of reservations. Without this minimum, reservations would
+/// leave permits unused if no client returned.
 const UNRESERVED_WAITING: u32 = 2;
 /// Fraction of the byte limit up to which tenants are not limited to their shares.
 const UNSHARED_BYTES_FRACTION: f64 = 0.5;
-/// One in so many of what the host allows is left to redeemed reservations.
+/// One part in this many of each host limit is set aside for redeemed reservations.
 const RESERVED_DIVISOR: usize = 16;
 
 impl AdmissionController {
-    /// Decides on a request that was read. `bytes_in_use` is what the host uses, this request included.
+    /// Decides on a request that the host has read. `bytes_in_use` is the memory that the host uses, including this
+    /// request.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -30,7 +31,7 @@
     ) -> Decision {
         let now = self.advance(now);
         let request = AdmissionRequest {
-            identity: self.known_tenant(request.identity),
+            identity: self.clamp_tenant(request.identity),
             ..request
         };
         self.counters[usize::from(request.identity.tenant)].offered += 1;
@@ -51,15 +52,15 @@
         }
     }
 
-    /// Replaces a tenant that is not in the configuration by the last one.
-    fn known_tenant(&self, identity: ClientIdentity) -> ClientIdentity {
+    /// Replaces a tenant index that is not in the configuration with the index of the last tenant.
+    fn clamp_tenant(&self, identity: ClientIdentity) -> ClientIdentity {
         ClientIdentity {
             tenant: identity.tenant.min(self.counters.len() as u16 - 1),
             ..identity
         }
     }
 
-    /// A client that returns for a reservation uses it up, also where there is capacity.
+    /// Redeems a valid reservation of the client, if there is one, even if the request could be admitted without it.
     fn redeem_reservation(&mut self, now: Micros, identity: &ClientIdentity) -> bool {
         let Some(flow) = self.reservations.redeem(now, identity) else {
             return false;
@@ -68,7 +69,8 @@
         true
     }
 
-    /// The limit of the host that is reached, a part of which is left to redeemed reservations.
+    /// Returns the host limit that the request would exceed. A part of each limit is set aside for redeemed
+    /// reservations.
     fn exceeded_limit(&self, bytes_in_use: usize, reserved: bool) -> Option<RejectReason> {
         let usable = |limit: usize| {
             if reserved {
@@ -84,7 +86,7 @@
     }
 
     fn admit_unqueued(&mut self, now: Micros, request: AdmissionRequest) -> Decision {
-        let cost = self.costs.expected(request.class, request.size_kb);
+        let cost = self.costs.expected_cost(request.class, request.size_kb);
         let index = self
             .requests
             .insert(TrackedRequest::new(&request, now, cost));
@@ -99,8 +101,8 @@
         reserved: bool,
     ) -> Decision {
         let (identity, class) = (request.identity, request.class);
-        let cost = self.costs.expected(class, request.size_kb);
-        let flow = self.queue.flow_of(now, identity);
+        let cost = self.costs.expected_cost(class, request.size_kb);
+        let flow = self.queue.classify(now, identity);
         let tracked = TrackedRequest::new(&request, now, cost).in_flow(flow);
         if self.limiter.has_capacity() && self.queue.waiting() == 0 {
             return self.admit_at_once(now, tracked);
@@ -115,7 +117,7 @@
         self.enqueue(now, tracked, latest_start)
     }
 
-    /// Admits a request while none waits; it goes through the queue to be charged.
+    /// Admits a request while no other waits. The request passes through the queue so that its flow is charged.
     fn admit_at_once(&mut self, now: Micros, request: TrackedRequest) -> Decision {
         let index = self.requests.insert(request);
         self.queue.enqueue(index, request.queued());
@@ -139,7 +141,7 @@
         Decision::Queued(Ticket(index))
     }
 
-    /// Why a request that would have to wait may not. `slack` is how long it could wait.
+    /// Returns why a request that would have to wait must be rejected instead. `slack` is how long it could wait.
     fn wait_rejection(
         &self,
         request: &TrackedRequest,
@@ -156,7 +158,7 @@
         if reserved || self.queue.waiting_in(request.flow) < UNRESERVED_WAITING {
             return None;
         }
-        let cost_ahead = self.queue.cost_ahead(request.flow, request.charged);
+        let cost_ahead = self.queue.cost_ahead(request.flow, request.charged_cost);
         let wait = self.service_time(request.flow, cost_ahead);
         (wait > slack as f64).then_some(RejectReason::QueueTooLong)
     }
@@ -168,8 +170,9 @@
         bytes_in_use as f64 > unshared && tenant_bytes > unshared * tenant.share
     }
 
-    /// Where the queue is full, drops the last request of the longest flow in favour of one that has less than an even
-    /// share of the queue (longest queue drop). Returns the reason to reject the new one otherwise.
+    /// Makes space in a full queue: if the new request's flow has less than an even share of the queue, the last
+    /// request of the longest flow is dropped (longest queue drop). Otherwise returns the reason to reject the new
+    /// request.
     fn make_queue_space(&mut self, now: Micros, flow: u32) -> Option<RejectReason> {
         if self.queue.waiting() < self.config.max_waiting {
             return None;
@@ -184,7 +187,7 @@
         None
     }
 
-    /// A request is in flight from now on.
+    /// Marks a request as in flight. A request that passed through the fair queue becomes overdue after a time.
     pub(super) fn start(&mut self, index: u32, now: Micros) -> Ticket {
         let low_load = self.limiter.acquire();
         if let Some(request) = self.requests.get_mut(index) {
@@ -192,9 +195,9 @@
             request.low_load = low_load;
             self.counters[request.tenant()].admitted += 1;
             if request.fair_queued {
-                let usual = self.costs.usual_duration(request.class());
+                let mean_duration = self.costs.mean_duration(request.class());
                 self.timers
-                    .set(index, now + self.limiter.overdue_after(usual));
+                    .set(index, now + self.limiter.overdue_after(mean_duration));
             }
         }
         Ticket(index)
--- a/crates/admission/src/controller/complete.rs
+++ b/crates/admission/src/controller/complete.rs
@@ -1,7 +1,7 @@
-//! The end of a request: its cost is settled, and the cost model and the concurrency limit learn from it.
+//! The end of a request: its actual cost is charged, and the cost model and the concurrency limit are updated.
 //!
-//! Invariant: a request ends once; its permit is free at once, or, if it failed early, when it would usually have
-//! ended.
+//! Invariant: a request ends once. Its permit is freed at once or, if the request failed early, after the mean duration
+//! of its class.
 
 use super::tracked_request::TrackedRequest;
 use super::AdmissionController;
@@ -9,7 +9,7 @@
 use meadowrill_routing::interface::Micros;
 
 impl AdmissionController {
-    /// A request that was admitted has ended.
+    /// Records the end of an admitted request.
     pub fn complete(&mut self, now: Micros, ticket: Ticket, completion: Completion) {
         let now = self.advance(now);
         let Some(request) = self.requests.get(ticket.0).copied() else {
@@ -33,7 +33,8 @@
         self.completions.record(now);
     }
 
-    /// Frees the permit of a request; that of one that failed early only after its usual duration.
+    /// Frees the permit of a request. The permit of a request that failed early is freed only after the mean duration
+    /// of its class.
     fn free_permit(
         &mut self,
         index: u32,
@@ -42,11 +43,11 @@
         duration: Micros,
         completion: Completion,
     ) {
-        let usual = self.costs.usual_duration(request.class()) as Micros;
+        let mean_duration = self.costs.mean_duration(request.class()) as Micros;
         let failed = request.fair_queued && !completion.succeeded && !completion.abandoned;
-        if failed && duration < usual {
+        if failed && duration < mean_duration {
             self.limiter.linger();
-            self.timers.set(index, admitted_at + usual);
+            self.timers.set(index, admitted_at + mean_duration);
             self.requests
                 .get_mut(index)
                 .into_iter()
@@ -57,25 +58,26 @@
         }
     }
 
-    /// Corrects what the flow was charged to the actual cost. A request that failed gets nothing back, or requests that
-    /// cannot succeed would cost nothing.
+    /// Replaces the cost charged to the flow with the actual cost. Nothing is refunded for a failed request: requests
+    /// that cannot succeed would otherwise cost nothing.
     fn settle_cost(&mut self, request: &TrackedRequest, duration: Micros, completion: Completion) {
-        let actual = self.costs.actual(duration, completion.size_kb);
+        let actual = self.costs.actual_cost(duration, completion.size_kb);
         let cost = if completion.succeeded {
             actual
         } else {
-            actual.max(request.charged)
+            actual.max(request.charged_cost)
         };
         let counters = &mut self.counters[request.tenant()];
         counters.succeeded += u64::from(completion.succeeded);
         counters.cost += cost;
         if request.fair_queued {
-            self.queue.complete(request.flow, request.charged, cost);
+            self.queue
+                .complete(request.flow, request.charged_cost, cost);
         }
     }
 
-    /// The client of a request has disconnected. True where the request was not admitted yet: the routing crate has
-    /// never received it.
+    /// Ends a request whose client has disconnected. Returns true if the request was still waiting, which means that
+    /// the routing crate never received it.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket) -> bool {
         let now = self.advance(now);
         let Some(request) = self.requests.get(ticket.0).copied() else {
--- a/crates/admission/src/controller/completion_rate.rs
+++ b/crates/admission/src/controller/completion_rate.rs
@@ -1,12 +1,12 @@
-//! The rate at which requests end: an estimate of when permits become free.
+//! The rate at which requests end, used to estimate when permits become free.
 
 use meadowrill_routing::interface::Micros;
 
-/// Time over which completions are counted.
-const WINDOW: Micros = 200_000;
-/// Weight of a new window in the mean.
+/// Shortest time over which completions are counted.
+const WINDOW_TIME: Micros = 200_000;
+/// Weight of a new window in the exponentially weighted mean.
 const LEARNING_RATE: f64 = 0.3;
-/// Least estimate, so that it can be divided by.
+/// Lower bound of the estimate, which is used as a divisor.
 const MIN_RATE: f64 = 1e-9;
 
 /// An exponentially weighted mean of completions per microsecond.
@@ -25,11 +25,11 @@
         }
     }
 
-    /// Counts a completion.
+    /// Records a completion.
     pub(super) fn record(&mut self, now: Micros) {
         self.count += 1.0;
         let age = now - self.window_start;
-        if age >= WINDOW {
+        if age >= WINDOW_TIME {
             let rate = self.count / age as f64;
             self.mean += LEARNING_RATE * (rate - self.mean);
             self.window_start = now;
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Completions per microsecond.
+    /// Returns the estimated number of completions per microsecond.
     pub(super) fn estimate(&self, now: Micros) -> f64 {
-        let current = self.count / (now - self.window_start).max(WINDOW) as f64;
+        let current = self.count / (now - self.window_start).max(WINDOW_TIME) as f64;
         self.mean.max(current).max(MIN_RATE)
     }
 }
--- a/crates/admission/src/controller/poll.rs
+++ b/crates/admission/src/controller/poll.rs
@@ -1,4 +1,4 @@
-//! What is due: timers, expired reservations, and admission from the queue while there is capacity.
+//! Periodic work: expired reservations, due timers, and admission from the queue while there is capacity.
 
 use super::AdmissionController;
 use crate::fair_queue::DequeuedItem;
@@ -6,7 +6,7 @@
 use meadowrill_routing::interface::Micros;
 
 impl AdmissionController {
-    /// Does all that is due, and appends to `events` what became of requests that waited.
+    /// Carries out all work that is due, and appends the decisions on queued requests to `events`.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<AdmissionEvent>) {
         let now = self.advance(now);
         while let Some(expired) = self.reservations.pop_expired(now) {
@@ -16,7 +16,7 @@
             self.fire_timer(now, index);
         }
         self.limiter.update(now);
-        // Where the discipline has changed from fair queueing, all that still waits is admitted.
+        // If the discipline was changed from fair queueing to another one, all requests that still wait are admitted.
         while self.has_capacity() {
             let Some(dequeued) = self.queue.dequeue() else {
                 break;
@@ -45,7 +45,7 @@
         let Some(request) = self.requests.get_mut(dequeued.item) else {
             return;
         };
-        // Its client may have got a flow of its own meanwhile.
+        // The client may have been given a flow of its own in the meantime.
         request.flow = dequeued.flow;
         let (id, tenant, waited) = (
             request.id,
--- a/crates/admission/src/controller/reconfigure.rs
+++ b/crates/admission/src/controller/reconfigure.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration while requests wait and are in flight.
+//! Changes of the configuration while requests are waiting and in flight.
 
 use super::{queue_weights, AdmissionController};
 use crate::config::{AdmissionConfig, Tenant};
@@ -12,16 +12,16 @@
 }
 
 impl AdmissionController {
-    /// Changes the configuration, which must be valid. Requests that wait or are in flight stay; those of a
-    /// tenant that no longer exists become the default tenant's. Reservations stay with their clients.
+    /// Changes the configuration, which must be valid. Requests that wait or are in flight are kept; requests of a
+    /// tenant that no longer exists are assigned to the default tenant. Clients keep their reservations.
     pub fn reconfigure(&mut self, now: Micros, config: AdmissionConfig) {
         let now = self.advance(now);
         self.reconfigurations += 1;
-        let former_tenants = std::mem::take(&mut self.config.tenants);
+        let previous_tenants = std::mem::take(&mut self.config.tenants);
         let new_index =
             |tenant: &Tenant| tenant_index(&config.tenants, &tenant.name).unwrap_or(0) as u16;
-        let moved: Vec<u16> = former_tenants.iter().map(new_index).collect();
-        self.counters = self.moved_counters(&former_tenants, &config.tenants);
+        let new_tenants: Vec<u16> = previous_tenants.iter().map(new_index).collect();
+        self.counters = self.remap_counters(&previous_tenants, &config.tenants);
         let waiting: Vec<u32> = std::iter::from_fn(|| self.queue.dequeue())
             .map(|dequeued| dequeued.item)
             .collect();
@@ -31,26 +31,28 @@
         self.limiter
             .reconfigure(config.min_concurrency, config.max_concurrency);
         self.costs.reconfigure(config.cost_per_kb);
-        let former_bucket = (self.config.bucket_rate, self.config.bucket_burst);
-        if (config.bucket_rate, config.bucket_burst) != former_bucket {
+        let previous_bucket = (self.config.bucket_rate, self.config.bucket_burst);
+        if (config.bucket_rate, config.bucket_burst) != previous_bucket {
             self.buckets = TokenBuckets::new(config.bucket_rate, config.bucket_burst);
         }
         self.config = config;
-        self.requeue(now, &waiting, &moved);
+        self.requeue(now, &waiting, &new_tenants);
     }
 
-    /// The counters of tenants that keep their names.
-    fn moved_counters(&self, former: &[Tenant], tenants: &[Tenant]) -> Vec<TenantCounters> {
-        let counters =
-            |tenant: &Tenant| tenant_index(former, &tenant.name).map(|index| self.counters[index]);
+    /// Returns the counters for the new tenants. A tenant that keeps its name keeps its counters.
+    fn remap_counters(&self, previous: &[Tenant], tenants: &[Tenant]) -> Vec<TenantCounters> {
+        let counters = |tenant: &Tenant| {
+            tenant_index(previous, &tenant.name).map(|index| self.counters[index])
+        };
         tenants
             .iter()
             .map(|tenant| counters(tenant).unwrap_or_default())
             .collect()
     }
 
-    /// Brings all requests into a new queue: those in flight, then those that wait, in their former order.
-    fn requeue(&mut self, now: Micros, waiting: &[u32], moved: &[u16]) {
+    /// Adds all requests to a new queue: first those in flight, then those that wait, in their previous order.
+    /// `new_tenants` maps the previous index of each tenant to its new one.
+    fn requeue(&mut self, now: Micros, waiting: &[u32], new_tenants: &[u16]) {
         let admitted = self
             .requests
             .iter()
@@ -60,8 +62,8 @@
             let Some(request) = self.requests.get_mut(*index) else {
                 continue;
             };
-            request.identity.tenant = moved.get(request.tenant()).copied().unwrap_or(0);
-            request.flow = self.queue.flow_of(now, request.identity);
+            request.identity.tenant = new_tenants.get(request.tenant()).copied().unwrap_or(0);
+            request.flow = self.queue.classify(now, request.identity);
             if request.admitted_at.is_none() {
                 self.queue.enqueue(*index, request.queued());
             } else if request.fair_queued && !request.lingering {
--- a/crates/admission/src/controller/reject.rs
+++ b/crates/admission/src/controller/reject.rs
@@ -1,7 +1,7 @@
-//! Rejections: when the client should return, and whether there is a reservation for that time.
+//! Rejections: when the client should return, and whether it gets a reservation for that time.
 //!
-//! The time is when the client's own flow, at its share of the concurrency limit, will be done with all that waits
-//! and is reserved in it. Invariant: a reservation is made only for a time that the client is sent.
+//! The client should return when its own flow, at the flow's share of the concurrency limit, will have completed all
+//! its waiting requests and reservations. Invariant: a reservation is made only for a time that is sent to the client.
 
 use super::AdmissionController;
 use crate::config::QueueDiscipline;
@@ -10,28 +10,29 @@
 use crate::reservations;
 use meadowrill_routing::interface::Micros;
 
-/// Fullness of the calendar from which on a flow may not have more than an even share of it.
+/// Fullness of the calendar above which a flow may not have more than an even share of the calendar.
 const NEARLY_FULL: f64 = 0.5;
 /// Retry-After is sent in whole milliseconds.
 const RETRY_GRANULARITY: Micros = 1_000;
-/// Longest wait that is computed with, in microseconds.
+/// Upper bound of an estimated wait, in microseconds.
 const MAX_WAIT: f64 = 1e12;
-/// Least rate of a flow, so that it can be divided by.
+/// Lower bound of the service rate of a flow, which is used as a divisor.
 const MIN_FLOW_RATE: f64 = 1e-6;
 
-/// A time to wait in whole milliseconds, rounded up, and at least one.
+/// Rounds a wait up to whole milliseconds, at least one.
 fn rounded_wait(wait: f64) -> Micros {
     let wait = (wait.min(MAX_WAIT) as Micros).max(1);
     (wait + RETRY_GRANULARITY - 1) / RETRY_GRANULARITY * RETRY_GRANULARITY
 }
 
 impl AdmissionController {
-    /// How long a flow needs for work of `cost` with its share of the concurrency limit.
+    /// Returns how long a flow needs for work of `cost` with its share of the concurrency limit.
     pub(super) fn service_time(&self, flow: u32, cost: f64) -> f64 {
         cost / (self.limiter.limit() * self.queue.share(flow)).max(MIN_FLOW_RATE)
     }
 
-    /// Rejects a request, and makes a reservation when its flow is next free, where Retry-After may be sent.
+    /// Rejects a request, and makes a reservation for the time at which its flow is expected to be free. There is no
+    /// reservation if that time is beyond the longest Retry-After.
     pub(super) fn reject(
         &mut self,
         now: Micros,
@@ -40,13 +41,13 @@
         class: usize,
         reason: RejectReason,
     ) -> Rejection {
-        let usual_cost = self.costs.expected(class, 0.0);
-        let cost = self.queue.cost_ahead(flow, usual_cost) + usual_cost;
+        let mean_cost = self.costs.expected_cost(class, 0.0);
+        let cost = self.queue.cost_ahead(flow, mean_cost) + mean_cost;
         let wait = self.service_time(flow, cost);
-        self.reject_until(now, identity, flow, wait, reason)
+        self.reject_after_wait(now, identity, flow, wait, reason)
     }
 
-    /// Rejects a request at a limit of the host: capacity becomes free at the rate of completions.
+    /// Rejects a request because of a host limit. Capacity is expected to become free at the rate of completions.
     pub(super) fn reject_at_limit(
         &mut self,
         now: Micros,
@@ -56,14 +57,14 @@
         let wait = (self.reservations.open + 1) as f64 / self.completions.estimate(now);
         let fair = self.config.discipline == QueueDiscipline::Fair;
         let flow = if fair {
-            self.queue.flow_of(now, identity)
+            self.queue.classify(now, identity)
         } else {
             0
         };
-        self.reject_until(now, identity, flow, wait, reason)
+        self.reject_after_wait(now, identity, flow, wait, reason)
     }
 
-    /// Rejects a request that waits.
+    /// Rejects a waiting request.
     pub(super) fn reject_queued(&mut self, now: Micros, index: u32, reason: RejectReason) {
         let Some(request) = self.requests.remove(index) else {
             return;
@@ -77,8 +78,8 @@
         });
     }
 
-    /// Rejects a request, and makes a reservation of its flow after `wait` if that is not too long.
-    fn reject_until(
+    /// Rejects a request, and reserves its return after `wait` unless that is beyond the longest Retry-After.
+    fn reject_after_wait(
         &mut self,
         now: Micros,
         identity: ClientIdentity,
@@ -95,13 +96,13 @@
         self.rejection(identity, reason, wait, reserved)
     }
 
-    /// Whether a flow has an even share of a calendar that is nearly full.
+    /// Returns whether the calendar is nearly full and the flow already has an even share of it.
     fn has_even_share_reserved(&self, flow: u32) -> bool {
         let even_share = reservations::CAPACITY as u32 / self.queue.active_flows().max(1);
         self.reservations.fullness() > NEARLY_FULL && self.queue.reserved_in(flow) >= even_share
     }
 
-    /// Counts a rejection, and limits its Retry-After.
+    /// Counts a rejection, and limits the Retry-After to the allowed range.
     pub(super) fn rejection(
         &mut self,
         identity: ClientIdentity,
--- a/crates/admission/src/controller/tracked_request.rs
+++ b/crates/admission/src/controller/tracked_request.rs
@@ -1,7 +1,7 @@
-//! The state of one request at the controller, from its arrival until its permit is free.
+//! The state of one request at the controller, from its arrival until its permit is freed.
 //!
-//! States: waiting (not admitted), in flight, overdue (in flight, not counted), lingering (failed early, its permit is
-//! still occupied).
+//! States: waiting (not admitted yet), in flight, overdue (in flight, but no longer counted against the concurrency
+//! limit), and lingering (failed early, and its permit is still occupied).
 
 use crate::fair_queue::QueuedRequest;
 use crate::identity::ClientIdentity;
@@ -11,29 +11,33 @@
 /// A request that waits, is in flight, or has failed early.
 #[derive(Clone, Copy)]
 pub(super) struct TrackedRequest {
-    /// The host's number for it.
+    /// Identifier that the host assigned to the request.
     pub(super) id: u32,
     pub(super) identity: ClientIdentity,
     pub(super) flow: u32,
-    /// Passed through the fair queue, and counts in its flow.
+    /// Whether the request passed through the fair queue and is counted in its flow.
     pub(super) fair_queued: bool,
     class: u8,
     pub(super) arrived_at: Micros,
-    /// None while it waits.
+    /// When the request was admitted, or `None` while it waits.
     pub(super) admitted_at: Option<Micros>,
-    /// Expected cost, which its flow was charged.
-    pub(super) charged: f64,
+    /// Expected cost that was charged to the flow.
+    pub(super) charged_cost: f64,
     pub(super) bytes: u32,
-    /// Load was low when it was admitted.
+    /// Whether load was low when the request was admitted.
     pub(super) low_load: bool,
-    /// No longer counts against the concurrency limit.
+    /// Whether the request is overdue and no longer counts against the concurrency limit.
     pub(super) overdue: bool,
-    /// Has failed early; its permit stays occupied for a while.
+    /// Whether the request failed early and its permit is still occupied.
     pub(super) lingering: bool,
 }
 
 impl TrackedRequest {
-    pub(super) fn new(request: &AdmissionRequest, now: Micros, charged: f64) -> TrackedRequest {
+    pub(super) fn new(
+        request: &AdmissionRequest,
+        now: Micros,
+        charged_cost: f64,
+    ) -> TrackedRequest {
         TrackedRequest {
             id: request.id,
             identity: request.identity,
@@ -42,7 +46,7 @@
             class: request.class.min(usize::from(u8::MAX)) as u8,
             arrived_at: now,
             admitted_at: None,
-            charged,
+            charged_cost,
             bytes: request.bytes,
             low_load: false,
             overdue: false,
@@ -50,7 +54,7 @@
         }
     }
 
-    /// The request as one that goes through the fair queue.
+    /// Assigns the request to a flow of the fair queue.
     pub(super) fn in_flow(self, flow: u32) -> TrackedRequest {
         TrackedRequest {
             flow,
@@ -59,24 +63,24 @@
         }
     }
 
-    /// Number of its class.
+    /// Returns the index of the request's class.
     pub(super) fn class(&self) -> usize {
         usize::from(self.class)
     }
 
-    /// Index of its tenant.
+    /// Returns the index of the request's tenant.
     pub(super) fn tenant(&self) -> usize {
         usize::from(self.identity.tenant)
     }
 
-    /// The request as the fair queue needs it.
+    /// Returns the entry for the fair queue.
     pub(super) fn queued(&self) -> QueuedRequest {
         let (flow, class, client) = (self.flow, self.class(), self.identity.client);
         QueuedRequest {
             flow,
             class,
             client,
-            cost: self.charged,
+            cost: self.charged_cost,
             bytes: self.bytes,
         }
     }
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -1,14 +1,17 @@
-//! Weighted fair queueing: start-time fair queueing (Goyal, Vin, Cheng, 1996) on three levels: tenants by weight, the
-//! clients of a tenant alike, and a client's classes of requests by their weights.
+//! Weighted fair queueing: start-time fair queueing (Goyal, Vin, Cheng, 1996) on three levels. Tenants are weighted,
+//! the clients of a tenant have equal weights, and the request classes of a client are weighted.
 //!
-//! Each level admits from the queue with the least start tag; the tag advances by the expected cost over the weight,
-//! and is corrected when the actual cost is known. Clients are assigned to queues in `classify`, by stochastic
-//! fairness queueing (McKenney, 1990) with queues of their own for the heaviest.
+//! Each level serves the queue with the smallest start tag. The tag advances by the expected cost divided by the
+//! weight, and is corrected when the actual cost is known. `classify` assigns clients to flows by stochastic fairness
+//! queueing (McKenney, 1990); the heaviest clients have flows of their own.
 //!
-//! Bound: while two tenants are both backlogged, the costs admitted of them, each over its weight, differ by no more
-//! than the largest cost of each over its weight, and what corrections were still open. See docs/admission-control.md.
-//! Invariants: a flow is in the backlog of its tenant exactly while anything waits in it; the start tag of a queue
-//! that becomes backlogged is at least the virtual time of its level, so nothing is saved up while idle.
+//! Fairness bound: while two tenants are both backlogged, their admitted costs, each divided by the tenant's weight,
+//! differ by at most the sum of each tenant's largest cost divided by its weight and the corrections still outstanding.
+//! See docs/admission-control.md.
+//!
+//! Invariants: a flow is in its tenant's list of backlogged flows exactly while it has waiting items; the start tag of
+//! a flow or tenant that becomes backlogged is at least the virtual time of its level, so an idle one accumulates no
+//! credit.
 
 mod accounting;
 mod backlog;
@@ -20,33 +23,33 @@
 use crate::slab::NONE;
 use flow::{ClassLane, Flow, Item, TenantQueue, FLOWS_PER_TENANT, LANES};
 use meadowrill_routing::interface::Micros;
-use selection::{class_lanes, least_by, MIN_CLASS_WEIGHT};
+use selection::{class_lanes, min_by_tag, MIN_CLASS_WEIGHT};
 
 /// A request to be queued.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedRequest {
-    /// The flow that [`FairQueue::flow_of`] returned.
+    /// The flow that [`FairQueue::classify`] returned.
     pub flow: u32,
-    /// Number of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Number of its client.
+    /// Hash that identifies the client.
     pub client: u64,
-    /// Expected cost.
+    /// Expected cost, in microseconds of a permit.
     pub cost: f64,
-    /// Bytes in use while it waits.
+    /// Memory in use while the request waits, in bytes.
     pub bytes: u32,
 }
 
 /// An item that was taken from the queue to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DequeuedItem {
-    /// The index that the caller gave it.
+    /// The index that the caller chose for the item.
     pub item: u32,
-    /// The flow that it is in flight for.
+    /// The flow in which the item is counted as in flight.
     pub flow: u32,
 }
 
-/// How many requests of a tenant there are.
+/// The number of requests of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantLoad {
     /// Requests that wait.
@@ -55,34 +58,36 @@
     pub in_flight: u32,
 }
 
-/// Bytes that wait for a tenant.
+/// The memory used by a tenant's waiting requests, and the tenant's share of the capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantBytes {
-    /// Bytes of its waiting requests.
+    /// Bytes of the tenant's waiting requests.
     pub waiting: usize,
-    /// Its part of the weight of all active tenants.
+    /// The tenant's fraction of the weight of all active tenants.
     pub share: f64,
 }
 
-/// A weighted fair queue of items that the caller names by small indices.
+/// A weighted fair queue of items, which the caller identifies by small indices.
 pub struct FairQueue {
     tenants: Vec<TenantQueue>,
     flows: Vec<Flow>,
     items: Vec<Item>,
     virtual_time: f64,
     waiting: usize,
-    /// Weight of all active tenants, and the number of their active flows.
+    /// Total weight of all active tenants.
     active_weight: f64,
+    /// Number of active flows of all tenants.
     active_flows: u32,
     seed: u64,
     salt: u64,
-    salted_at: Micros,
-    /// By class.
+    salt_renewed_at: Micros,
+    /// Lane and weight of each class.
     class_lanes: Vec<ClassLane>,
 }
 
 impl FairQueue {
-    /// An empty queue. `weights` holds the weight of a request of each class; a greater one is admitted sooner.
+    /// Creates an empty queue. `weights` holds the weight of each class; requests of a class with a greater weight are
+    /// admitted sooner.
     pub fn new(config: &AdmissionConfig, weights: &[f64], seed: u64, now: Micros) -> FairQueue {
         let mut queue = FairQueue {
             tenants: Vec::new(),
@@ -94,7 +99,7 @@
             active_flows: 0,
             seed,
             salt: 0,
-            salted_at: now,
+            salt_renewed_at: now,
             class_lanes: class_lanes(weights),
         };
         for (index, tenant) in (0u16..).zip(&config.tenants) {
@@ -132,7 +137,7 @@
         );
     }
 
-    /// Removes a waiting item, wherever it stands; false if it does not wait.
+    /// Removes a waiting item from any position of its lane. Returns false if the item is not waiting.
     pub fn remove(&mut self, index: u32) -> bool {
         let waiting = self
             .items
@@ -158,11 +163,11 @@
         true
     }
 
-    /// Takes the next item to be admitted, and charges its expected cost.
+    /// Removes the next item to admit, charges its expected cost and counts it as in flight.
     pub fn dequeue(&mut self) -> Option<DequeuedItem> {
         let tenant = self.next_tenant()?;
         let backlogged = self.tenants[tenant].backlogged.iter().copied();
-        let flow = least_by(backlogged, |flow| self.flows[*flow as usize].start_tag)?;
+        let flow = min_by_tag(backlogged, |flow| self.flows[*flow as usize].start_tag)?;
         let lane = self.next_lane(flow)?;
         let item = self.flows[flow as usize].lanes[lane].head;
         let cost = self.items[item as usize].cost;
@@ -172,13 +177,14 @@
         Some(DequeuedItem { item, flow })
     }
 
-    /// Advances the virtual times, and the start tags of a tenant, flow and lane by the cost of what is admitted.
+    /// Advances the virtual times, and advances the start tags of a tenant, flow and lane by the cost of an admitted
+    /// item.
     fn charge(&mut self, flow: u32, lane: usize, cost: f64) {
-        let classes = self
+        let lane_classes = self
             .class_lanes
             .iter()
             .filter(|class| usize::from(class.lane) == lane);
-        let lane_weight = classes
+        let lane_weight = lane_classes
             .map(|class| class.weight)
             .fold(MIN_CLASS_WEIGHT, f64::max);
         let flow = &mut self.flows[flow as usize];
@@ -190,7 +196,7 @@
         flow.lanes[lane].start_tag += cost / lane_weight;
     }
 
-    /// Counts a request in flight: one that was dequeued here, or by a former queue.
+    /// Counts a request as in flight, whether this queue or one that it replaces has dequeued the request.
     pub fn add_in_flight(&mut self, flow: u32) {
         self.update_load(flow, |flow, tenant| {
             flow.in_flight += 1;
@@ -198,14 +204,14 @@
         });
     }
 
-    /// A request in flight has ended: it had been charged `charged`, and its actual cost is known.
-    pub fn complete(&mut self, flow: u32, charged: f64, actual: f64) {
-        let correction = actual - charged;
+    /// Records the end of a request in flight, and corrects the start tags from the charged cost to the actual cost.
+    pub fn complete(&mut self, flow: u32, charged_cost: f64, actual_cost: f64) {
+        let correction = actual_cost - charged_cost;
         let virtual_time = self.virtual_time;
         self.update_load(flow, |flow, tenant| {
             flow.in_flight -= 1;
             tenant.in_flight -= 1;
-            // What was charged too much is given back, but not saved up from before now.
+            // An excess charge is refunded, but only down to the virtual time, so that no credit accumulates.
             let flow_floor = tenant.virtual_time.min(flow.start_tag);
             flow.start_tag = (flow.start_tag + correction).max(flow_floor);
             let tenant_floor = virtual_time.min(tenant.start_tag);
--- a/crates/admission/src/fair_queue/accounting.rs
+++ b/crates/admission/src/fair_queue/accounting.rs
@@ -1,4 +1,4 @@
-//! What can be read of the fair queue by tenant and flow: shares, loads and reservations.
+//! Shares, loads and reservations of the fair queue's tenants and flows.
 
 use super::flow::*;
 use super::{FairQueue, TenantBytes, TenantLoad};
@@ -6,32 +6,33 @@
 use std::cmp::Reverse;
 
 impl FairQueue {
-    /// Waiting items of all tenants.
+    /// Returns the number of waiting items of all tenants.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Waiting items of a flow.
+    /// Returns the number of waiting items of a flow.
     pub fn waiting_in(&self, flow: u32) -> u32 {
         self.flows[flow as usize].waiting
     }
 
-    /// Flows of all tenants with anything waiting or in flight.
+    /// Returns the number of flows, of all tenants, with items waiting or in flight.
     pub fn active_flows(&self) -> u32 {
         self.active_flows
     }
 
-    /// The tenant's part of the weight of all active tenants, itself among them.
+    /// Returns the tenant's fraction of the weight of all active tenants. The tenant itself counts as active.
     fn tenant_share(&self, tenant: &TenantQueue) -> f64 {
-        let own = if tenant.is_active() {
+        let inactive_weight = if tenant.is_active() {
             0.0
         } else {
             tenant.weight
         };
-        tenant.weight / (self.active_weight + own).max(tenant.weight)
+        tenant.weight / (self.active_weight + inactive_weight).max(tenant.weight)
     }
 
-    /// The part of all concurrency that a flow may count on, itself among the active flows: 0 to 1.
+    /// Returns the fraction of all concurrency, from 0 to 1, that a flow is entitled to. The flow itself counts as
+    /// active.
     pub fn share(&self, flow: u32) -> f64 {
         let flow = &self.flows[flow as usize];
         let tenant = &self.tenants[usize::from(flow.tenant)];
@@ -39,13 +40,14 @@
         self.tenant_share(tenant) / f64::from(flows.max(1))
     }
 
-    /// Expected cost of all that waits in a flow, and of its reservations at `usual_cost` each.
-    pub fn cost_ahead(&self, flow: u32, usual_cost: f64) -> f64 {
+    /// Returns the expected cost of all waiting items of a flow and of its reservations, at `cost_per_reservation`
+    /// each.
+    pub fn cost_ahead(&self, flow: u32, cost_per_reservation: f64) -> f64 {
         let flow = &self.flows[flow as usize];
-        flow.waiting_cost + f64::from(flow.reserved) * usual_cost
+        flow.waiting_cost + f64::from(flow.reserved) * cost_per_reservation
     }
 
-    /// Waiting bytes of a flow's tenant, and the tenant's share.
+    /// Returns the waiting bytes of the tenant that owns a flow, and the tenant's share.
     pub fn tenant_bytes(&self, flow: u32) -> TenantBytes {
         let tenant = &self.tenants[usize::from(self.flows[flow as usize].tenant)];
         TenantBytes {
@@ -54,28 +56,28 @@
         }
     }
 
-    /// Open reservations of a flow.
+    /// Returns the number of open reservations of a flow.
     pub fn reserved_in(&self, flow: u32) -> u32 {
         self.flows
             .get(flow as usize)
             .map_or(0, |flow| flow.reserved)
     }
 
-    /// Counts a reservation for a flow.
+    /// Counts a new reservation of a flow.
     pub fn add_reservation(&mut self, flow: u32) {
         if let Some(flow) = self.flows.get_mut(flow as usize) {
             flow.reserved = flow.reserved.saturating_add(1);
         }
     }
 
-    /// Reservations of a flow were redeemed or have expired.
+    /// Subtracts reservations of a flow that were redeemed or have expired.
     pub fn remove_reservations(&mut self, flow: u32, count: u32) {
         if let Some(flow) = self.flows.get_mut(flow as usize) {
             flow.reserved = flow.reserved.saturating_sub(count);
         }
     }
 
-    /// What waits and what is in flight of a tenant.
+    /// Returns the number of waiting requests and requests in flight of a tenant.
     pub fn tenant_load(&self, tenant: usize) -> TenantLoad {
         let tenant = &self.tenants[tenant];
         TenantLoad {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The clients of a tenant that have flows of their own, the heaviest first.
+    /// Returns the clients of a tenant that have flows of their own, the heaviest first.
     pub fn heaviest_clients(&self, tenant: usize) -> Vec<ClientReport> {
         let (queue, first) = (&self.tenants[tenant], tenant * FLOWS_PER_TENANT);
         let report = |(index, dedicated): (usize, &Option<DedicatedClient>)| {
@@ -95,14 +97,14 @@
                 reserved,
                 ..
             } = self.flows[first + index];
-            let recent_lookups = queue.heavy_hitters.guaranteed(client);
-            let present = recent_lookups + waiting + in_flight > 0;
+            let recent_requests = queue.heavy_hitters.guaranteed(client);
+            let present = recent_requests + waiting + in_flight > 0;
             present.then_some(ClientReport {
                 address,
                 waiting,
                 in_flight,
                 reserved,
-                recent_requests: recent_lookups,
+                recent_requests,
             })
         };
         let mut clients: Vec<_> = queue
@@ -115,7 +117,8 @@
         clients
     }
 
-    /// Bytes allocated: by the number of tenants and of waiting items, never by the number of clients.
+    /// Returns the number of allocated bytes. It depends on the number of tenants and of waiting items, but not on the
+    /// number of clients.
     pub fn memory_bytes(&self) -> usize {
         let backlogs = self
             .tenants
--- a/crates/admission/src/fair_queue/backlog.rs
+++ b/crates/admission/src/fair_queue/backlog.rs
@@ -1,14 +1,15 @@
-//! The linked lists of waiting items, and the counts that follow from them.
+//! The linked lists of waiting items, and the counters that depend on them.
 //!
-//! Invariants: an item is in the list of one lane exactly while it waits; a flow is in the backlog of its tenant
-//! exactly while anything waits in it; the active weight and the active flows count what waits or is in flight.
+//! Invariants: an item is in the list of one lane exactly while it waits; a flow is in its tenant's list of backlogged
+//! flows exactly while it has waiting items; the active weight and the number of active flows cover the tenants and
+//! flows that have items waiting or in flight.
 
 use super::flow::{Flow, Item, TenantQueue};
 use super::FairQueue;
 use crate::slab::NONE;
 
 impl FairQueue {
-    /// Changes the load of a flow, and keeps count of what is active.
+    /// Changes the load of a flow, and updates the number of active flows and the weight of active tenants.
     pub(super) fn update_load(
         &mut self,
         flow: u32,
@@ -16,9 +17,9 @@
     ) {
         let flow = &mut self.flows[flow as usize];
         let tenant = &mut self.tenants[usize::from(flow.tenant)];
-        let (flow_was, tenant_was) = (flow.is_active(), tenant.is_active());
+        let (flow_was_active, tenant_was_active) = (flow.is_active(), tenant.is_active());
         change(flow, tenant);
-        match (flow_was, flow.is_active()) {
+        match (flow_was_active, flow.is_active()) {
             (false, true) => {
                 tenant.active_flows += 1;
                 self.active_flows += 1;
@@ -29,21 +30,21 @@
             }
             _ => {}
         }
-        match (tenant_was, tenant.is_active()) {
+        match (tenant_was_active, tenant.is_active()) {
             (false, true) => self.active_weight += tenant.weight,
             (true, false) => self.active_weight -= tenant.weight,
             _ => {}
         }
     }
 
-    /// Appends an item to the lane that it names.
+    /// Appends an item to its lane.
     pub(super) fn link(&mut self, index: u32, item: Item) {
         if self.items.len() <= index as usize {
             self.items.resize(index as usize + 1, Item::VACANT);
         }
         self.start_backlog(item.flow);
         let flow = &mut self.flows[item.flow as usize];
-        let least_tag = flow.least_lane_tag();
+        let min_tag = flow.min_lane_tag();
         let lane = &mut flow.lanes[usize::from(item.lane)];
         self.items[index as usize] = Item {
             previous: lane.tail,
@@ -53,8 +54,8 @@
         match lane.tail {
             NONE => {
                 lane.head = index;
-                if least_tag.is_finite() {
-                    lane.start_tag = lane.start_tag.max(least_tag);
+                if min_tag.is_finite() {
+                    lane.start_tag = lane.start_tag.max(min_tag);
                 }
             }
             tail => self.items[tail as usize].next = index,
@@ -69,8 +70,8 @@
         });
     }
 
-    /// Brings the start tags of a flow and its tenant up to date where they become backlogged. What they owe stays;
-    /// what they did not ask for is not saved up.
+    /// Raises the start tags of a flow and its tenant to the virtual time if they become backlogged. Debt is kept, and
+    /// capacity that they did not use while idle is not credited.
     pub(super) fn start_backlog(&mut self, index: u32) {
         let flow = &mut self.flows[index as usize];
         let tenant = &mut self.tenants[usize::from(flow.tenant)];
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes a flow out of the backlogged flows of its tenant.
+    /// Removes a flow from its tenant's list of backlogged flows.
     pub(super) fn end_backlog(&mut self, index: u32) {
         let flow = &mut self.flows[index as usize];
         let position = flow.backlog_index;
--- a/crates/admission/src/fair_queue/classify.rs
+++ b/crates/admission/src/fair_queue/classify.rs
@@ -1,8 +1,8 @@
-//! Assignment of clients to flows: the heaviest clients of a tenant get flows of their own, the others share hashed
-//! flows whose salt changes (stochastic fairness queueing; McKenney, 1990).
+//! Assignment of clients to flows. The heaviest clients of a tenant get dedicated flows; the others share hashed flows,
+//! and the salt of the hash changes periodically (stochastic fairness queueing; McKenney, 1990).
 //!
-//! Invariants: all new requests of a client with a flow of its own go to that flow; a flow is given to another client
-//! only while it is idle.
+//! Invariants: all new requests of a client with a dedicated flow go to that flow; a dedicated flow is reassigned only
+//! while it is idle.
 
 use super::flow::*;
 use super::FairQueue;
@@ -11,17 +11,17 @@
 use meadowrill_routing::interface::Micros;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Fewest guaranteed requests of a client that gets a flow of its own.
-const HEAVY_COUNT: u32 = 16;
-/// Such a client sends at least one in so many requests of its tenant.
+/// Minimum number of guaranteed recent requests of a client that gets a dedicated flow.
+const MIN_HEAVY_COUNT: u32 = 16;
+/// A client that gets a dedicated flow sends at least one in this many requests of its tenant.
 const HEAVY_DIVISOR: u32 = 64;
-/// Lifetime of a salt: the longest that a light client shares a flow with one that is heavy, but not heavy enough for a
-/// flow of its own.
+/// Lifetime of a salt. It bounds how long a light client shares a flow with a client that is heavy, but not heavy
+/// enough for a dedicated flow.
 const SALT_LIFETIME: Micros = 5_000_000;
 
 impl FairQueue {
-    /// Counts a request of a client, and returns the flow for it.
-    pub fn flow_of(&mut self, now: Micros, identity: ClientIdentity) -> u32 {
+    /// Counts a request of a client, and returns the flow for the request.
+    pub fn classify(&mut self, now: Micros, identity: ClientIdentity) -> u32 {
         self.renew_salt(now);
         let tenant = usize::from(identity.tenant).min(self.tenants.len() - 1);
         let first = tenant * FLOWS_PER_TENANT;
@@ -33,7 +33,8 @@
         if let Some(index) = queue.dedicated.iter().position(is_own) {
             return (first + index) as u32;
         }
-        let heavy = count >= HEAVY_COUNT && count >= queue.heavy_hitters.total() / HEAVY_DIVISOR;
+        let heavy =
+            count >= MIN_HEAVY_COUNT && count >= queue.heavy_hitters.total() / HEAVY_DIVISOR;
         let hashed = self.hashed_flow(first, identity.client);
         let free = if heavy {
             self.free_dedicated_flow(tenant, count)
@@ -52,8 +53,8 @@
     }
 
     fn renew_salt(&mut self, now: Micros) {
-        if now - self.salted_at >= SALT_LIFETIME {
-            self.salted_at = now;
+        if now - self.salt_renewed_at >= SALT_LIFETIME {
+            self.salt_renewed_at = now;
             self.salt += 1;
         }
     }
@@ -65,7 +66,8 @@
         (first + bank + hasher.finish() as usize % HASHED_FLOWS) as u32
     }
 
-    /// A dedicated flow that is idle, and has no client or one that has become much lighter than `count`.
+    /// Returns an idle dedicated flow that is unassigned, or whose client has less than half of `count` guaranteed
+    /// requests.
     fn free_dedicated_flow(&self, tenant: usize, count: u32) -> Option<usize> {
         let (queue, first) = (&self.tenants[tenant], tenant * FLOWS_PER_TENANT);
         let lighter = |d: DedicatedClient| queue.heavy_hitters.guaranteed(d.client) < count / 2;
@@ -74,12 +76,14 @@
         })
     }
 
-    /// A client that has become heavy takes its waiting items and its debt out of the flow that it shared.
+    /// Moves the waiting items of a client that has become heavy, and the debt, from its shared flow to a dedicated
+    /// one.
     fn move_client(&mut self, client: u64, from: u32, to: u32) {
         let debt = self.flows[from as usize].start_tag;
         let virtual_time = self.tenants[usize::from(self.flows[from as usize].tenant)].virtual_time;
         let items = self.items_of(client, from);
-        // It had nothing waiting in the other flow: what is left in this one belongs to others and has no debt.
+        // The client had no items in the dedicated flow. The items that remain in the shared flow belong to other
+        // clients, which are free of the debt.
         self.flows[to as usize].start_tag = debt.max(virtual_time);
         self.flows[from as usize].start_tag = virtual_time;
         for index in items {
@@ -89,7 +93,7 @@
         }
     }
 
-    /// The waiting items of a client in a flow, lane by lane.
+    /// Returns the waiting items of a client in a flow, ordered by lane.
     fn items_of(&self, client: u64, flow: u32) -> Vec<u32> {
         let mut found = Vec::new();
         for lane in &self.flows[flow as usize].lanes {
--- a/crates/admission/src/fair_queue/flow.rs
+++ b/crates/admission/src/fair_queue/flow.rs
@@ -1,27 +1,28 @@
-//! The data of the fair queue: tenants, their flows, a flow's lanes, and the queued items linked into the lanes.
+//! The data structures of the fair queue: tenants, their flows, the lanes of a flow, and the items linked into the
+//! lanes.
 
 use crate::heavy_hitters::HeavyHitters;
 use crate::slab::NONE;
 use meadowrill_routing::interface::Micros;
 use std::net::IpAddr;
 
-/// Flows of a tenant that belong to one client each: its heaviest clients.
+/// Dedicated flows of a tenant. Each belongs to one of the tenant's heaviest clients.
 pub(super) const DEDICATED_FLOWS: usize = 16;
-/// Flows in one bank that the other clients are hashed to.
+/// Flows in one bank, to which the other clients are hashed.
 pub(super) const HASHED_FLOWS: usize = 32;
-/// Banks of hashed flows; they alternate with each new salt.
+/// Banks of hashed flows. Each new salt switches to the next bank.
 pub(super) const BANKS: usize = 2;
-/// All flows of a tenant.
+/// Total number of flows of a tenant.
 pub(super) const FLOWS_PER_TENANT: usize = DEDICATED_FLOWS + BANKS * HASHED_FLOWS;
-/// Lanes of a flow, one for each class of requests; further classes share the last.
+/// Lanes of a flow: one for each request class. Classes beyond this number share the last lane.
 pub(super) const LANES: usize = 4;
 
-/// The queue of one class in a flow, as a linked list of items.
+/// The queue of a request class in a flow, as a linked list of items.
 #[derive(Clone, Copy)]
 pub(super) struct Lane {
     pub(super) head: u32,
     pub(super) tail: u32,
-    /// Cost that was admitted from this lane, over its weight.
+    /// Start tag in the flow, which advances by the admitted cost divided by the lane's weight.
     pub(super) start_tag: f64,
 }
 
@@ -37,18 +38,18 @@
     }
 }
 
-/// The queue of one client, or of the clients that share a hash.
+/// The queue of one client, or of the clients whose hashes select the same flow.
 #[derive(Clone)]
 pub(super) struct Flow {
     pub(super) tenant: u16,
     pub(super) start_tag: f64,
     pub(super) waiting: u32,
     pub(super) in_flight: u32,
-    /// Open reservations.
+    /// Number of open reservations.
     pub(super) reserved: u32,
     /// Expected cost of all waiting items.
     pub(super) waiting_cost: f64,
-    /// Place in the list of backlogged flows of its tenant.
+    /// Index in the tenant's list of backlogged flows, or [`NONE`] if nothing waits.
     pub(super) backlog_index: u32,
     pub(super) lanes: [Lane; LANES],
 }
@@ -71,8 +72,8 @@
         self.waiting + self.in_flight > 0
     }
 
-    /// The least start tag of the lanes that are not empty.
-    pub(super) fn least_lane_tag(&self) -> f64 {
+    /// Returns the smallest start tag of the lanes that are not empty, or infinity if all lanes are empty.
+    pub(super) fn min_lane_tag(&self) -> f64 {
         let backlogged = self.lanes.iter().filter(|lane| !lane.is_empty());
         backlogged
             .map(|lane| lane.start_tag)
@@ -80,7 +81,7 @@
     }
 }
 
-/// A client that has a flow of its own.
+/// A client that has a dedicated flow.
 #[derive(Clone, Copy)]
 pub(super) struct DedicatedClient {
     pub(super) client: u64,
@@ -96,11 +97,11 @@
     pub(super) in_flight: u32,
     /// Bytes of all waiting items.
     pub(super) waiting_bytes: usize,
-    /// Flows with anything waiting or in flight.
+    /// Number of flows with items waiting or in flight.
     pub(super) active_flows: u32,
-    /// Flows with anything waiting.
+    /// Flows with waiting items.
     pub(super) backlogged: Vec<u32>,
-    /// By number of the dedicated flow.
+    /// The client of each dedicated flow.
     pub(super) dedicated: [Option<DedicatedClient>; DEDICATED_FLOWS],
     pub(super) heavy_hitters: HeavyHitters,
 }
@@ -126,12 +127,12 @@
     }
 }
 
-/// A waiting item, under the index that the caller gave it.
+/// A waiting item, stored at the index that the caller chose for it.
 #[derive(Clone, Copy)]
 pub(super) struct Item {
     pub(super) previous: u32,
     pub(super) next: u32,
-    /// [`NONE`] where nothing waits under this index.
+    /// The item's flow, or [`NONE`] if no item waits at this index.
     pub(super) flow: u32,
     pub(super) lane: u8,
     pub(super) client: u64,
@@ -151,7 +152,7 @@
     };
 }
 
-/// The lane of a class, and its weight against the other lanes.
+/// The lane of a class, and the weight of the class relative to the other classes.
 #[derive(Clone, Copy)]
 pub(super) struct ClassLane {
     pub(super) lane: u8,
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -1,16 +1,17 @@
-//! The heavy hitters among any number of keys, in a fixed number of counters: Space-Saving (Metwally, Agrawal, El
-//! Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005).
+//! Finds the heavy hitters among any number of keys with a fixed number of counters. The algorithm is Space-Saving
+//! (Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005).
 //!
-//! Invariants: a count is never too low, and too high by no more than `error`; a key with more than one in
-//! [`COUNTERS`] of all records has a counter.
+//! Invariants: a count is never too low, and is too high by at most `error`; a key with more than one in [`COUNTERS`]
+//! of all occurrences has a counter.
 
 use meadowrill_routing::interface::Micros;
 
-/// Number of keys that are counted at a time.
+/// Number of keys that are counted at the same time.
 pub const COUNTERS: usize = 32;
-/// Counts are halved this often, so that a former heavy hitter ages out.
+/// Interval at which counts are halved, so that former heavy hitters age out.
 const HALVING_INTERVAL: Micros = 2_000_000;
-/// More halvings than this leave nothing of any count.
+/// Upper bound of the halvings applied at once: the largest valid shift of a `u32`. More halvings would reduce every
+/// count to zero.
 const MAX_HALVINGS: Micros = 31;
 
 /// The counter of one key.
@@ -18,14 +19,14 @@
 pub struct Counter {
     /// The key that is counted.
     pub key: u64,
-    /// Upper bound of how often it was recorded.
+    /// Upper bound of the number of occurrences of the key.
     pub count: u32,
-    /// By how much the count may be too high.
+    /// Maximum amount by which the count is too high.
     pub error: u32,
 }
 
 impl Counter {
-    /// How often the key was recorded at least.
+    /// Returns a lower bound of the number of occurrences of the key.
     pub fn guaranteed(&self) -> u32 {
         self.count - self.error
     }
@@ -40,7 +41,7 @@
 }
 
 impl HeavyHitters {
-    /// Counters of nothing yet.
+    /// Creates counters without any occurrences.
     pub fn new(now: Micros) -> HeavyHitters {
         HeavyHitters {
             counters: [Counter::default(); COUNTERS],
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Counts one occurrence of `key`, and returns its guaranteed count.
+    /// Counts an occurrence of `key`, and returns the guaranteed count of the key.
     pub fn record(&mut self, now: Micros, key: u64) -> u32 {
         if now - self.last_halved >= HALVING_INTERVAL {
             self.halve(now);
@@ -66,11 +67,11 @@
                 smallest = index;
             }
         }
-        let former = self.counters[smallest].count;
+        let replaced_count = self.counters[smallest].count;
         self.counters[smallest] = Counter {
             key,
-            count: former.saturating_add(1),
-            error: former,
+            count: replaced_count.saturating_add(1),
+            error: replaced_count,
         };
         self.counters[smallest].guaranteed()
     }
@@ -80,14 +81,14 @@
         self.last_halved = now;
         self.total >>= halvings;
         for counter in &mut self.counters {
-            // Rounded down, so that what is guaranteed stays so.
+            // The guaranteed count is rounded down, so that it stays a lower bound.
             let guaranteed = counter.guaranteed() >> halvings;
             counter.count >>= halvings;
             counter.error = counter.count - guaranteed.min(counter.count);
         }
     }
 
-    /// How often `key` was recorded at least; 0 where it has no counter.
+    /// Returns a lower bound of the number of occurrences of `key`, which is 0 if `key` has no counter.
     pub fn guaranteed(&self, key: u64) -> u32 {
         let counter = self
             .counters
@@ -96,7 +97,7 @@
         counter.map_or(0, Counter::guaranteed)
     }
 
-    /// Records of all keys, halved with the counts.
+    /// Returns the number of occurrences of all keys, which is halved together with the counts.
     pub fn total(&self) -> u32 {
         self.total
     }
--- a/crates/admission/src/heavy_hitters/tests.rs
+++ b/crates/admission/src/heavy_hitters/tests.rs
@@ -9,7 +9,7 @@
             hitters.record(0, 7);
         }
     }
-    // A tenth of all: counted, and never too high.
+    // Key 7 makes up a tenth of all occurrences: it has a counter, and its guaranteed count is never too high.
     assert!(
         (1..=11_112).contains(&hitters.guaranteed(7)),
         "{}",
--- a/crates/admission/src/identity.rs
+++ b/crates/admission/src/identity.rs
@@ -1,5 +1,6 @@
-//! Whose request it is: the tenant by a field of the request or the longest matching network, the client by address,
-//! connection or field. Names are resolved here; everything else works with numbers.
+//! The tenant and client of a request. The tenant is found by a field of the request or by the longest matching
+//! network, and the client by address, connection or field. Names are resolved here; the other modules use indices and
+//! hashes.
 
 use crate::config::{AdmissionConfig, ClientKey};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -17,20 +18,20 @@
 pub struct ClientIdentity {
     /// Index of the tenant in the configuration.
     pub tenant: u16,
-    /// Salted hash of what makes it one client.
+    /// Salted hash of the key that identifies the client.
     pub client: u64,
-    /// Number of the connection; a connection opened later has the greater one.
+    /// Number of the connection. Connections opened later have greater numbers.
     pub connection: u64,
-    /// Shown to operators only.
+    /// Address of the peer, which is only shown to operators.
     pub address: IpAddr,
 }
 
-/// What a host knows of the sender of a request.
+/// What the host knows about the sender of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOrigin<'a> {
     /// Address of the peer.
     pub address: IpAddr,
-    /// Number of the connection; a connection opened later has the greater one.
+    /// Number of the connection. Connections opened later have greater numbers.
     pub connection: u64,
     /// Value of the tenant field of the request.
     pub tenant_field: Option<&'a str>,
@@ -38,7 +39,7 @@
     pub client_field: Option<&'a str>,
 }
 
-/// Hashed before the part of the origin that makes a client, so that equal values of two parts differ.
+/// Tags that are hashed before the client's key, so that equal values of different kinds of keys have different hashes.
 const ADDRESS_TAG: u8 = 0;
 const CONNECTION_TAG: u8 = 1;
 const FIELD_TAG: u8 = 2;
@@ -49,13 +50,13 @@
     ipv6_networks: PrefixMap<Ipv6Net, u16>,
     field_values: BTreeMap<String, u16>,
     client_key: ClientKey,
-    /// Hash of each tenant's name, by tenant: the same for a tenant that keeps its name when the configuration changes.
+    /// Hash of each tenant's name. It does not change while a tenant keeps its name across configurations.
     tenant_hashes: Vec<u64>,
     seed: u64,
 }
 
 impl IdentityResolver {
-    /// A resolver for the tenants of `config`.
+    /// Creates a resolver for the tenants of `config`.
     pub fn new(config: &AdmissionConfig, seed: u64) -> IdentityResolver {
         let mut resolver = IdentityResolver {
             ipv4_networks: PrefixMap::new(),
@@ -88,10 +89,10 @@
         }
     }
 
-    /// The identity of a request's sender. An unknown value of the tenant field falls back to the network, so that a
-    /// client cannot leave its tenant with an invented value.
+    /// Resolves the tenant and client of a request. For an unknown value of the tenant field, the network decides, so a
+    /// client cannot leave its tenant by sending an invented value.
     pub fn resolve(&self, origin: RequestOrigin<'_>) -> ClientIdentity {
-        // An IPv4 address that is mapped into IPv6 belongs to the same network.
+        // An IPv4-mapped IPv6 address belongs to the network of the IPv4 address.
         let address = origin.address.to_canonical();
         let by_field = origin
             .tenant_field
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,17 +1,19 @@
-//! Admission control and fair queueing in front of the routing crate: which request is next, which one waits, and
-//! which one is rejected and until when (docs/admission-control.md). No I/O and no clock: the time is passed in, randomness comes
-//! from a seed.
+//! Admission control and weighted fair queueing in front of the routing crate. This crate decides which request is
+//! admitted next, which requests wait, and which are rejected and when their clients may retry
+//! (docs/admission-control.md). It does no I/O and reads no clock: the current time is passed in, and randomness is
+//! derived from a seed.
 //!
 //! A host calls [`AdmissionController::admit`](controller::AdmissionController::admit) for each request that it reads,
-//! reports its end with `complete` or `cancel`, and carries out the events that `poll` returns.
+//! reports the end of the request with `complete` or `cancel`, and carries out the events that `poll` returns.
 //!
-//! - [`controller`]: the order in which the rules are applied to a request;
-//! - [`identity`], [`cost`], [`token_buckets`]: whose it is, what it costs, and a plain rate limit to compare with;
-//! - [`fair_queue`], [`heavy_hitters`]: which request is next, and which clients get queues of their own;
-//! - [`concurrency_limit`]: how many requests may be in flight;
+//! - [`controller`]: applies the rules of admission to each request;
+//! - [`identity`], [`cost`], [`token_buckets`]: the tenant and client of a request, the cost of a request, and a plain
+//!   rate limit that serves as a baseline for comparison;
+//! - [`fair_queue`], [`heavy_hitters`]: the order of waiting requests, and the clients that get a flow of their own;
+//! - [`concurrency_limit`]: the number of requests that may be in flight;
 //! - [`reservations`]: when a rejected client may return;
-//! - [`slab`], [`timer_wheel`]: the containers that they are made of;
-//! - [`config`], [`request`], [`report`]: what goes in and comes out.
+//! - [`slab`], [`timer_wheel`]: containers that the other modules are built on;
+//! - [`config`], [`request`], [`report`]: the inputs and outputs of the crate.
 
 pub mod concurrency_limit;
 pub mod config;
--- a/crates/admission/src/report.rs
+++ b/crates/admission/src/report.rs
@@ -1,13 +1,13 @@
-//! What operators see of admission control.
+//! The state of admission control as reported to operators.
 
 use crate::config::QueueDiscipline;
 use crate::request::RejectReason;
 use std::net::IpAddr;
 
-/// Counts of a tenant since the start.
+/// Counters of a tenant since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantCounters {
-    /// Requests that were read.
+    /// Requests that were passed to the controller.
     pub offered: u64,
     /// Requests that were admitted.
     pub admitted: u64,
@@ -17,18 +17,18 @@
     pub cancelled: u64,
     /// Requests that succeeded.
     pub succeeded: u64,
-    /// Requests that were rejected, in the order of [`RejectReason::ALL`].
+    /// Rejected requests by reason, in the order of [`RejectReason::ALL`].
     pub rejected: [u64; RejectReason::ALL.len()],
     /// Rejections with a reservation.
     pub reserved: u64,
-    /// Cost of the requests that were admitted, in microseconds of a permit of the concurrency limit.
+    /// Cost of the completed requests, in microseconds of a permit of the concurrency limit.
     pub cost: f64,
 }
 
 /// A client with a flow of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientReport {
-    /// Its address.
+    /// Network address of the client.
     pub address: IpAddr,
     /// Requests that wait.
     pub waiting: u32,
@@ -36,37 +36,37 @@
     pub in_flight: u32,
     /// Open reservations.
     pub reserved: u32,
-    /// Requests counted for certain, halved every two seconds.
+    /// Lower bound of the number of recent requests. The counts are halved every two seconds.
     pub recent_requests: u32,
 }
 
 /// The state of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantReport {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its weight.
+    /// Weight of the tenant.
     pub weight: f64,
     /// Requests that wait.
     pub waiting: u32,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub counters: TenantCounters,
-    /// Its heaviest clients, the heaviest first.
+    /// Clients with a flow of their own, the heaviest first.
     pub heaviest_clients: Vec<ClientReport>,
 }
 
 /// The state of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionReport {
-    /// Which request is admitted next.
+    /// How the next request to admit is chosen.
     pub discipline: QueueDiscipline,
     /// The current concurrency limit.
     pub concurrency_limit: f64,
     /// Requests in flight that count against the limit.
     pub in_flight: usize,
-    /// Requests in flight that no longer count.
+    /// Requests in flight that no longer count against the limit because they are overdue.
     pub overdue: usize,
     /// Requests that wait.
     pub waiting: usize,
@@ -76,7 +76,7 @@
     pub reservations_redeemed: u64,
     /// Reservations that expired since the start.
     pub reservations_expired: u64,
-    /// Reservations that were refused since the start because the calendar was full.
+    /// Reservations that were refused since the start because the calendar or an entry of it was full.
     pub reservations_refused: u64,
     /// The tenants in the order of the configuration.
     pub tenants: Vec<TenantReport>,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,69 +1,69 @@
-//! The messages between a host and the admission controller.
+//! The types that a host exchanges with the admission controller.
 
 use crate::identity::ClientIdentity;
 use meadowrill_routing::interface::Micros;
 use std::fmt;
 
-/// A request that was read and is to be admitted.
+/// A request that the host has read and asks to admit.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// The host's number for it.
+    /// Identifier that the host assigned to the request.
     pub id: u32,
-    /// Its tenant and client.
+    /// The tenant and client that sent the request.
     pub identity: ClientIdentity,
-    /// Number of its class, in the order of the configuration.
+    /// Index of the request's class in the configuration.
     pub class: usize,
-    /// Declared size; 0 where none was declared.
+    /// Declared size, or 0 if the request declares none.
     pub size_kb: f64,
-    /// Bytes that the host uses for it.
+    /// Memory that the host uses for the request.
     pub bytes: u32,
-    /// When its client times out.
+    /// When the client's time-out expires.
     pub expires: Micros,
 }
 
-/// The limits of the host.
+/// Limits that the host sets on open requests, memory and Retry-After.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityLimits {
-    /// Most requests that wait or are in flight.
+    /// Maximum number of requests that wait or are in flight.
     pub open_requests: usize,
-    /// Most bytes in use for requests and connections.
+    /// Maximum memory in use for requests and connections, in bytes.
     pub bytes: usize,
-    /// Longest Retry-After that may be sent; 0 where none may be.
+    /// Longest Retry-After that may be sent, or 0 if none may be sent.
     pub max_retry_after: Micros,
 }
 
-/// A request at the controller, until it has ended.
+/// Handle of a request at the controller. It is valid until the request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub(crate) u32);
 
-/// The immediate answer to a [`AdmissionRequest`].
+/// The immediate decision on an [`AdmissionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is in flight now.
+    /// The request is in flight.
     Admitted(Ticket),
-    /// It waits; an [`AdmissionEvent`] follows.
+    /// The request waits; an [`AdmissionEvent`] follows.
     Queued(Ticket),
-    /// It is rejected.
+    /// The request is rejected.
     Rejected(Rejection),
 }
 
-/// What became of a request that was queued.
+/// The final decision on a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionEvent {
-    /// It is in flight now.
+    /// The request is in flight.
     Admitted {
-        /// The host's number for it.
+        /// Identifier that the host assigned to the request.
         id: u32,
-        /// Index of its tenant in the configuration.
+        /// Index of the tenant in the configuration.
         tenant: u16,
-        /// How long it waited.
+        /// How long the request waited.
         waited: Micros,
     },
-    /// It is rejected.
+    /// The request is rejected.
     Rejected {
-        /// The host's number for it.
+        /// Identifier that the host assigned to the request.
         id: u32,
-        /// Why, and until when.
+        /// Why the request is rejected, and when its client may return.
         rejection: Rejection,
     },
 }
@@ -71,22 +71,23 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// The host's limit of open requests.
+    /// The host's limit on open requests was reached.
     OpenRequestLimit,
-    /// The host's limit of bytes, or a tenant's share of it while bytes are scarce.
+    /// The host's limit on bytes was reached, or the tenant's share of it while bytes are scarce.
     ByteLimit,
-    /// The client's rate limit.
+    /// The client exceeded its rate limit.
     RateLimit,
-    /// It would wait longer than its latency budget allows.
+    /// The request would wait longer than its latency budget allows.
     QueueTooLong,
-    /// It waited, and can no longer meet its latency budget.
+    /// The request can no longer meet its latency budget.
     DeadlineMissed,
-    /// The queue is full, and its own part of it the longest.
+    /// The queue is full, and either the request was the last of the longest flow or its own flow already has an even
+    /// share of the queue.
     QueueFull,
 }
 
 impl RejectReason {
-    /// All reasons, in the order of their counters.
+    /// All reasons, in the order of [`TenantCounters::rejected`](crate::report::TenantCounters::rejected).
     pub const ALL: [RejectReason; 6] = [
         RejectReason::OpenRequestLimit,
         RejectReason::ByteLimit,
@@ -98,7 +99,8 @@
 }
 
 impl fmt::Display for RejectReason {
-    /// The names that operators see in logs and metrics, listed in docs/on-call.md: they stay as they are.
+    /// Writes the name that operators see in logs and metrics. docs/on-call.md lists these names, so they must not
+    /// change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RejectReason::OpenRequestLimit => "lookups",
@@ -114,24 +116,25 @@
 /// Why a request was rejected, and when its client may return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why it was rejected.
+    /// Why the request was rejected.
     pub reason: RejectReason,
-    /// Retry-After of the response; 0 where none may be sent.
+    /// Retry-After of the response, or 0 if none may be sent.
     pub retry_after: Micros,
-    /// Whether there is a reservation for that time. Otherwise the time is the longest allowed: the true one lies
-    /// beyond it, or the calendar is full.
+    /// Whether the client has a reservation for that time; with token buckets, whether the next token is due by then.
+    /// There is no reservation if the estimated wait exceeds the longest Retry-After allowed, which is then sent
+    /// instead, or if the calendar has no space for the client.
     pub reserved: bool,
 }
 
-/// How a request that was admitted has ended.
+/// How an admitted request ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Completion {
-    /// It was answered.
+    /// The request was answered.
     pub succeeded: bool,
     /// The answer came from a cache's memory.
     pub cache_hit: bool,
     /// Size of the answer.
     pub size_kb: f64,
-    /// Its client had disconnected.
+    /// The client had disconnected.
     pub abandoned: bool,
 }
--- a/crates/admission/src/reservations.rs
+++ b/crates/admission/src/reservations.rs
@@ -1,33 +1,34 @@
-//! Reservations: a rejected client is sent a time to return, and that time is entered into a bounded calendar; a
-//! request that arrives then may wait whatever its queue looks like.
+//! Reservations: a rejected client is sent a time to return, and the time is entered into a bounded calendar. A request
+//! that arrives at that time may wait regardless of the length of its flow's queue.
 //!
-//! Reservations are counted by connection and time slot, so each operation costs the same however many a client has.
-//! They belong to the client, but the connection that was sent the time goes first: otherwise the client's other
-//! connections, which were sent nothing, would use them up. Invariants: the calendar is bounded; a reservation is
-//! redeemed or expires, once; none is redeemed before its slot.
+//! Reservations are counted by connection and time slot, so the cost of an operation does not depend on the number of
+//! reservations of a client. A reservation belongs to the client, but the connection that was sent the time has
+//! precedence. Otherwise the client's other connections, which were sent no time, would use up the reservation.
+//! Invariants: the calendar is bounded; each reservation is either redeemed or expires, once; no reservation is
+//! redeemed before its slot.
 
 use crate::identity::ClientIdentity;
 use crate::slab::{Slab, NONE};
 use crate::timer_wheel::TimerWheel;
 use meadowrill_routing::interface::Micros;
 
-/// Most entries of the calendar.
+/// Maximum number of entries of the calendar.
 pub const CAPACITY: usize = 4_096;
 /// Width of a time slot.
 const SLOT_WIDTH: Micros = 20_000;
-/// Slots after its own in which a reservation is still valid: networks and timers of clients are late.
+/// Number of slots after its own in which a reservation is still valid, because networks and client timers add delay.
 const GRACE_SLOTS: i64 = 12;
-/// Most reservations in one entry: of one connection in one slot.
+/// Maximum number of reservations of one connection in one slot, which share an entry.
 const MAX_PER_ENTRY: u16 = 1_000;
-/// So many slots after its own, any connection of the client may use a reservation.
+/// Number of slots after its own after which any connection of the client may use a reservation.
 const EXCLUSIVE_SLOTS: i64 = 3;
-/// Most entries of a client's other connections that are examined in a slot.
+/// Maximum number of a client's entries that are examined in a slot to find one of another connection.
 const MAX_SCANNED: usize = 4;
 /// Odd multipliers that spread slots and connections over the hash tables.
 const SLOT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 const CONNECTION_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
 
-/// The two hash tables of entries, as indices of their arrays.
+/// Indices of the two hash tables of entries.
 const BY_CONNECTION: usize = 0;
 const BY_CLIENT: usize = 1;
 const TABLES: [usize; 2] = [BY_CONNECTION, BY_CLIENT];
@@ -36,7 +37,7 @@
 struct Entry {
     client: u64,
     connection: u64,
-    /// The newest connection of all when the entry was made.
+    /// Number of the newest connection of any client when the entry was made.
     newest_connection: u64,
     slot: i64,
     flow: u32,
@@ -48,26 +49,26 @@
 /// A bounded calendar of reservations.
 pub struct ReservationCalendar {
     entries: Slab<Entry>,
-    /// First entry of each bucket, by hash table.
+    /// First entry of each bucket, for each hash table.
     tables: [Vec<u32>; 2],
     newest_connection: u64,
     expiries: TimerWheel,
-    /// Reservations that are neither redeemed nor expired.
+    /// Number of reservations that are neither redeemed nor expired.
     pub open: usize,
-    /// Reservations that were redeemed since the start.
+    /// Number of reservations that were redeemed since the start.
     pub redeemed: u64,
-    /// Reservations that expired since the start.
+    /// Number of reservations that expired since the start.
     pub expired: u64,
-    /// Reservations that were refused since the start because the calendar was full.
+    /// Number of reservations that were refused since the start because the calendar or an entry of it was full.
     pub refused: u64,
 }
 
-/// An entry whose time is over.
+/// An entry that has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpiredEntry {
-    /// The flow that the reservations were for; [`NONE`] where it no longer exists.
+    /// The flow that the reservations were for, or [`NONE`] if the flow no longer exists.
     pub flow: u32,
-    /// How many reservations were not redeemed.
+    /// Number of reservations that were not redeemed.
     pub count: u32,
 }
 
@@ -75,16 +76,16 @@
     time.div_euclid(SLOT_WIDTH)
 }
 
-/// Buckets of an entry in both hash tables.
+/// Returns the buckets of an entry in both hash tables.
 fn buckets(client: u64, connection: u64, slot: i64) -> [usize; 2] {
-    // The client's number is a salted hash already.
+    // `client` is a salted hash already.
     let by_client = client ^ (slot as u64).wrapping_mul(SLOT_MULTIPLIER);
     let by_connection = by_client ^ connection.wrapping_mul(CONNECTION_MULTIPLIER);
     [by_connection, by_client].map(|hash| (hash ^ (hash >> 32)) as usize % CAPACITY)
 }
 
 impl ReservationCalendar {
-    /// An empty calendar. All its memory is allocated here.
+    /// Creates an empty calendar and allocates all of its memory.
     pub fn new(now: Micros) -> ReservationCalendar {
         ReservationCalendar {
             entries: Slab::with_capacity(CAPACITY),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The entries of a client in a slot, along the bucket of one hash table.
+    /// Returns the entries of a client in a slot that are in the client's bucket of one hash table.
     fn entries_of(
         &self,
         identity: &ClientIdentity,
@@ -112,17 +113,22 @@
         bucket.filter(move |(_, entry)| (entry.client, entry.slot) == (client, slot))
     }
 
-    /// The entry of this very connection in a slot.
-    fn own_entry(&self, identity: &ClientIdentity, slot: i64) -> Option<u32> {
+    /// Returns the entry of the connection itself in a slot.
+    fn connection_entry(&self, identity: &ClientIdentity, slot: i64) -> Option<u32> {
         let mut entries = self.entries_of(identity, slot, BY_CONNECTION);
         entries
             .find(|(_, entry)| entry.connection == identity.connection)
             .map(|(index, _)| index)
     }
 
-    /// An entry of another connection of the client that this one may use: its time has passed without a return, or
-    /// this connection was opened later.
-    fn usable_entry(&self, identity: &ClientIdentity, slot: i64, current_slot: i64) -> Option<u32> {
+    /// Returns an entry of another connection of the client that this connection may use: an entry whose own connection
+    /// did not return in time, or an entry that was made before this connection was opened.
+    fn other_connection_entry(
+        &self,
+        identity: &ClientIdentity,
+        slot: i64,
+        current_slot: i64,
+    ) -> Option<u32> {
         let mut entries = self.entries_of(identity, slot, BY_CLIENT).take(MAX_SCANNED);
         let exclusive_over = slot + EXCLUSIVE_SLOTS <= current_slot;
         let usable =
@@ -132,11 +138,12 @@
             .map(|(index, _)| index)
     }
 
-    /// Makes a reservation of `flow` at `due`; false where the calendar is full.
+    /// Makes a reservation of `flow` at `due`. Returns false if the calendar is full, or if the entry of the connection
+    /// in this slot is full.
     pub fn reserve(&mut self, identity: &ClientIdentity, flow: u32, due: Micros) -> bool {
         let slot = slot_of(due);
         self.newest_connection = self.newest_connection.max(identity.connection);
-        let reserved = match self.own_entry(identity, slot) {
+        let reserved = match self.connection_entry(identity, slot) {
             Some(index) => self.add_to_entry(index),
             None => self.add_entry(identity, flow, slot),
         };
@@ -187,8 +194,9 @@
         true
     }
 
-    /// A request of a client has arrived: uses up a reservation that is valid now, the oldest first, and returns its
-    /// flow. A reservation that lies ahead is left alone, however often its client comes before.
+    /// Redeems a reservation of a client whose request has arrived, and returns the flow of the reservation. Valid
+    /// reservations of the connection itself are used first, and the oldest first. A reservation in a future slot is
+    /// not affected, however many requests the client sends before.
     pub fn redeem(&mut self, now: Micros, identity: &ClientIdentity) -> Option<u32> {
         self.newest_connection = self.newest_connection.max(identity.connection);
         if self.open == 0 {
@@ -196,11 +204,12 @@
         }
         let current = slot_of(now);
         let mut valid_slots = current - GRACE_SLOTS..=current;
-        let own = valid_slots
+        let of_connection = valid_slots
             .clone()
-            .find_map(|slot| self.own_entry(identity, slot));
-        let index = own
-            .or_else(|| valid_slots.find_map(|slot| self.usable_entry(identity, slot, current)))?;
+            .find_map(|slot| self.connection_entry(identity, slot));
+        let index = of_connection.or_else(|| {
+            valid_slots.find_map(|slot| self.other_connection_entry(identity, slot, current))
+        })?;
         let entry = self.entries.get_mut(index)?;
         entry.count -= 1;
         let (flow, used_up) = (entry.flow, entry.count == 0);
@@ -212,7 +221,7 @@
         Some(flow)
     }
 
-    /// Takes out one entry whose time is over; to be called until there is none.
+    /// Removes and returns one expired entry. The caller repeats the call until there is none.
     pub fn pop_expired(&mut self, now: Micros) -> Option<ExpiredEntry> {
         let index = self.expiries.pop_due(now)?;
         let entry = self.remove(index)?;
@@ -234,7 +243,7 @@
         Some(entry)
     }
 
-    /// Takes an entry that was followed by `next` out of a bucket of a hash table.
+    /// Unlinks an entry from a bucket of a hash table. `next` is the entry that follows it.
     fn unlink(&mut self, index: u32, table: usize, bucket: usize, next: u32) {
         let head = &mut self.tables[table][bucket];
         if *head == index {
@@ -251,17 +260,17 @@
         }
     }
 
-    /// Clears the flows of all entries, which no longer exist; the reservations stay valid.
+    /// Clears the flows of all entries because the flows no longer exist. The reservations stay valid.
     pub fn clear_flows(&mut self) {
         self.entries.for_each_mut(|entry| entry.flow = NONE);
     }
 
-    /// Bytes allocated, used or not.
+    /// Returns the number of allocated bytes, whether used or not.
     pub fn memory_bytes(&self) -> usize {
         self.entries.memory_bytes() + 2 * CAPACITY * size_of::<u32>() + self.expiries.memory_bytes()
     }
 
-    /// How full the calendar is, from 0 to 1.
+    /// Returns how full the calendar is, from 0 to 1.
     pub fn fullness(&self) -> f64 {
         self.entries.len() as f64 / CAPACITY as f64
     }
--- a/crates/admission/src/slab.rs
+++ b/crates/admission/src/slab.rs
@@ -1,9 +1,10 @@
-//! A slab allocator: values under small indices that are reused. It grows to the most values stored at one time.
+//! A slab: a container that assigns small, reusable indices to its values. It grows to the maximum number of values
+//! that were stored at the same time.
 
-/// The index that stands for no entry, in linked lists over slab indices.
+/// Null index, for linked lists over slab indices.
 pub const NONE: u32 = u32::MAX;
 
-/// Values by index; a freed index is given out again.
+/// Values identified by indices. A freed index is reused.
 pub struct Slab<T> {
     values: Vec<Option<T>>,
     free: Vec<u32>,
@@ -19,7 +20,7 @@
 }
 
 impl<T> Slab<T> {
-    /// An empty slab with memory for `capacity` values.
+    /// Creates an empty slab with memory for `capacity` values.
     pub fn with_capacity(capacity: usize) -> Slab<T> {
         Slab {
             values: Vec::with_capacity(capacity),
@@ -46,39 +47,39 @@
         value
     }
 
-    /// The value at `index`.
+    /// Returns the value at `index`.
     pub fn get(&self, index: u32) -> Option<&T> {
         self.values.get(index as usize)?.as_ref()
     }
 
-    /// The value at `index`, to be changed.
+    /// Returns a mutable reference to the value at `index`.
     pub fn get_mut(&mut self, index: u32) -> Option<&mut T> {
         self.values.get_mut(index as usize)?.as_mut()
     }
 
-    /// All values with their indices, in the order of the indices.
+    /// Returns all values with their indices, in the order of the indices.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
         (0u32..)
             .zip(&self.values)
             .filter_map(|(index, value)| value.as_ref().map(|v| (index, v)))
     }
 
-    /// Changes each value in place.
+    /// Applies `change` to each value.
     pub fn for_each_mut(&mut self, change: impl FnMut(&mut T)) {
         self.values.iter_mut().flatten().for_each(change);
     }
 
-    /// Number of stored values.
+    /// Returns the number of stored values.
     pub fn len(&self) -> usize {
         self.values.len() - self.free.len()
     }
 
-    /// Whether no value is stored.
+    /// Returns whether no value is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes allocated, used or not.
+    /// Returns the number of allocated bytes, whether used or not.
     pub fn memory_bytes(&self) -> usize {
         self.values.capacity() * size_of::<Option<T>>() + self.free.capacity() * size_of::<u32>()
     }
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,12 +1,13 @@
-//! A hashed timing wheel (Varghese, Lauck, 1987) over small indices. Setting, moving and cancelling a timer are O(1).
+//! A hashed timing wheel (Varghese, Lauck, 1987). Timers are identified by small indices, and setting, moving and
+//! cancelling a timer take O(1) time.
 //!
-//! Invariants: an index has at most one timer; a cancelled timer leaves nothing behind; each timer is in the list of
+//! Invariants: an index has at most one timer; a cancelled timer is removed completely; each timer is in the list of
 //! the slot of its deadline.
 
 use crate::slab::NONE;
 use meadowrill_routing::interface::Micros;
 
-/// Slots of the wheel. Timers further ahead than a whole turn share the slots of nearer ones.
+/// Number of slots of the wheel. Timers more than one turn ahead share their slots with earlier timers.
 const SLOT_COUNT: usize = 512;
 
 /// A timer, linked into the list of its slot.
@@ -15,7 +16,7 @@
     deadline: Micros,
     previous: u32,
     next: u32,
-    /// The slot whose list it is in; [`NONE`] while it is not set.
+    /// The slot whose list contains the timer, or [`NONE`] if the timer is not set.
     slot: u32,
 }
 
@@ -26,20 +27,20 @@
     slot: NONE,
 };
 
-/// Timers by index, each with one deadline.
+/// A set of timers, each identified by an index.
 pub struct TimerWheel {
-    /// Width of a slot.
+    /// Width of a slot, in microseconds.
     granularity: Micros,
     /// The first timer of each slot.
     heads: Vec<u32>,
     timers: Vec<Timer>,
-    /// The tick before which no timer is due any more.
+    /// The next tick to examine. No timer of an earlier tick is still set.
     tick: i64,
     count: usize,
 }
 
 impl TimerWheel {
-    /// An empty wheel whose slots are `granularity` wide.
+    /// Creates an empty wheel whose slots are `granularity` wide.
     pub fn new(granularity: Micros, now: Micros) -> TimerWheel {
         let tick = now.div_euclid(granularity);
         TimerWheel {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// An empty wheel with memory for the timers 0 to `capacity`.
+    /// Creates an empty wheel with memory for the timer indices from 0 up to, but not including, `capacity`.
     pub fn with_capacity(granularity: Micros, now: Micros, capacity: usize) -> TimerWheel {
         TimerWheel {
             timers: vec![UNSET; capacity],
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Number of timers that are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether no timer is set.
+    /// Returns whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
@@ -73,12 +74,12 @@
         tick.rem_euclid(SLOT_COUNT as i64) as usize
     }
 
-    /// The slot for a deadline. An overdue timer goes into the slot that is looked at next.
+    /// Returns the slot for a deadline. A deadline in the past maps to the slot that is examined next.
     fn slot_of(&self, deadline: Micros) -> usize {
         Self::slot_of_tick(deadline.div_euclid(self.granularity).max(self.tick))
     }
 
-    /// Sets or moves the timer `index`.
+    /// Sets the timer `index`, or moves it if it is set already.
     pub fn set(&mut self, index: u32, deadline: Micros) {
         self.cancel(index);
         let slot = self.slot_of(deadline);
@@ -118,8 +119,8 @@
         self.count -= 1;
     }
 
-    /// Takes out one timer that is due; to be called until there is none. A clock that jumps ahead costs one turn of
-    /// the wheel.
+    /// Removes and returns one timer that is due. The caller repeats the call until there is none. A clock that jumps
+    /// ahead costs at most one turn of the wheel.
     pub fn pop_due(&mut self, now: Micros) -> Option<u32> {
         let last = now.div_euclid(self.granularity);
         if self.count == 0 {
@@ -151,7 +152,8 @@
         std::iter::successors(at(self.heads[slot]), move |(_, timer)| at(timer.next))
     }
 
-    /// When to call `pop_due` next: no later than the first deadline, except for timers beyond a whole turn.
+    /// Returns when `pop_due` has to be called next. This is the earliest deadline, unless a timer more than one turn
+    /// ahead is in an earlier slot than the earliest deadline: the result is then later.
     pub fn next_deadline(&self) -> Option<Micros> {
         if self.count == 0 {
             return None;
@@ -163,7 +165,7 @@
             .min()
     }
 
-    /// Bytes allocated, used or not.
+    /// Returns the number of allocated bytes, whether used or not.
     pub fn memory_bytes(&self) -> usize {
         self.heads.capacity() * size_of::<u32>() + self.timers.capacity() * size_of::<Timer>()
     }
--- a/crates/admission/src/timer_wheel/tests.rs
+++ b/crates/admission/src/timer_wheel/tests.rs
@@ -10,14 +10,14 @@
         .for_each(|(i, at)| wheel.set(i as u32, *at));
     wheel.cancel(0);
     wheel.set(1, 2_000);
-    let mut out = Vec::new();
+    let mut fired = Vec::new();
     for now in (0..2_000_000).step_by(500) {
         while let Some(i) = wheel.pop_due(now) {
-            out.push((i, now));
+            fired.push((i, now));
         }
     }
     assert_eq!(
-        out,
+        fired,
         [
             (1, 2_000),
             (5, 5_000),
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -1,7 +1,8 @@
-//! Token buckets, one for each client: the usual rate limit, and the baseline that fair queueing is measured against.
+//! A token bucket for each client: the common form of rate limit, and the baseline that fair queueing is compared with.
 //!
-//! The generic cell rate algorithm (ITU-T I.371): a bucket is kept as the time at which it would be full. A client's
-//! rate is limited whether other clients send requests or not. The table is fixed: clients share a bucket by hash.
+//! The implementation is the generic cell rate algorithm (ITU-T I.371): a bucket is stored as the time at which it
+//! would be full. A client's rate is limited even if no other client sends requests. The table has a fixed size, so
+//! clients whose hashes collide share a bucket.
 
 use crate::identity::ClientIdentity;
 use meadowrill_routing::interface::Micros;
@@ -9,17 +10,17 @@
 const BUCKET_COUNT: usize = 4_096;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Token buckets by client.
+/// Token buckets, selected by the client's hash.
 pub struct TokenBuckets {
-    /// When each bucket would be full again.
+    /// When each bucket will be full again.
     full_at: Vec<Micros>,
-    /// Time in which one token is added.
+    /// Time between two tokens, in microseconds.
     interval: f64,
     burst: f64,
 }
 
 impl TokenBuckets {
-    /// Full buckets of `burst` tokens that gain `rate_per_second`.
+    /// Creates full buckets that hold `burst` tokens and gain `rate_per_second` tokens.
     pub fn new(rate_per_second: f64, burst: f64) -> TokenBuckets {
         TokenBuckets {
             full_at: vec![0; BUCKET_COUNT],
@@ -28,10 +29,10 @@
         }
     }
 
-    /// Takes a token of the client.
+    /// Takes a token from the client's bucket.
     ///
     /// # Errors
-    /// The time at which there will be a token, where there is none.
+    /// If the bucket has no token, returns the time at which it will have one.
     pub fn take_token(&mut self, now: Micros, identity: ClientIdentity) -> Result<(), Micros> {
         let full_at = &mut self.full_at[identity.client as usize % BUCKET_COUNT];
         let next = (*full_at).max(now) as f64 + self.interval;
