--- a/crates/benchmarks/src/scale/module.rs
+++ b/crates/benchmarks/src/scale/module.rs
@@ -20,7 +20,7 @@
     EndpointEntry {
         endpoint,
         stable_id: (endpoint as u64 + 3).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        machine_kind: match endpoint {
+        endpoint_kind: match endpoint {
             _ if endpoint < CACHES => 0,
             CACHES => 1,
             _ => 2,
--- a/crates/proxy/src/proxy/endpoint_list.rs
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -131,7 +131,7 @@
         EndpointEntry {
             endpoint,
             stable_id: stable,
-            machine_kind: name_index(&self.config.endpoint_types, &record.machine_kind),
+            endpoint_kind: name_index(&self.config.endpoint_types, &record.machine_kind),
             started_at: record.started_at,
             zone: name_index(&self.config.zones, &record.zone),
             cell: record.cell,
--- a/crates/recorded-traces/src/random.rs
+++ b/crates/recorded-traces/src/random.rs
@@ -1,10 +1,10 @@
-//! Draws that are the same on every machine and with every version of the standard library.
+//! Pseudo-random numbers that are the same on every machine and with every version of the standard library.
 
-/// A sequence of numbers that depends on its seed alone (SplitMix64, Steele et al. 2014).
+/// A sequence of numbers that depends only on its seed (SplitMix64, Steele et al. 2014).
 pub struct Random(u64);
 
 impl Random {
-    /// Starts a sequence.
+    /// Starts the sequence of a seed.
     pub fn new(seed: u64) -> Random {
         Random(seed)
     }
@@ -18,26 +18,26 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// From 0 up to, but not including, `end`.
+    /// A number from 0 (inclusive) to `end` (exclusive).
     ///
     /// # Panics
     ///
-    /// Where `end` is 0.
+    /// Panics if `end` is 0.
     pub fn below(&mut self, end: u64) -> u64 {
         self.next_u64() % end
     }
 
-    /// From `least` up to, but not including, `end`.
+    /// A number from `start` (inclusive) to `end` (exclusive).
     ///
     /// # Panics
     ///
-    /// Where the range is empty.
-    pub fn between(&mut self, least: i64, end: i64) -> i64 {
-        least + self.below((end - least) as u64) as i64
+    /// Panics if the range is empty.
+    pub fn between(&mut self, start: i64, end: i64) -> i64 {
+        start + self.below((end - start) as u64) as i64
     }
 
-    /// Whether something happens that happens so many times in a thousand.
-    pub fn per_mille(&mut self, share: u64) -> bool {
-        self.below(1000) < share
+    /// True with a probability of `probability` in a thousand.
+    pub fn per_mille(&mut self, probability: u64) -> bool {
+        self.below(1000) < probability
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -124,9 +124,9 @@
 }
 
 fn tier(entry: &EndpointEntry, settings: &RoutingSettings) -> Tier {
-    if Some(entry.machine_kind) == settings.origin_kind {
+    if Some(entry.endpoint_kind) == settings.origin_kind {
         Tier::Origin
-    } else if Some(entry.machine_kind) == settings.parent_kind {
+    } else if Some(entry.endpoint_kind) == settings.parent_kind {
         Tier::Parent
     } else if Some(entry.zone) == settings.own_zone {
         Tier::Cache
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -1,14 +1,14 @@
-//! Smoothed figures, which fade while nothing is measured.
+//! Smoothed estimates, which decay to a baseline while there are no samples.
 
 use crate::interface::Micros;
 use crate::time::SECOND;
 
-/// Weight of a new sample in most smoothed figures.
+/// Weight of a new sample in most smoothed estimates.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Time in which an estimate without new samples loses all but 1/e of its distance to its baseline.
+/// Time constant of the decay: without new samples, an estimate's distance to its baseline falls to 1/e in this time.
 pub(crate) const DECAY_TIME: Micros = 10 * SECOND;
 
-/// An exponentially weighted moving average; without a value until the first sample.
+/// An exponentially weighted moving average; it has no value before the first sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SmoothedValue {
     value: Option<f64>,
@@ -16,7 +16,7 @@
 }
 
 impl SmoothedValue {
-    /// Starts from an assumption, which the first samples correct.
+    /// Starts from an assumed value, which the first samples correct.
     pub(crate) fn assumed(value: f64) -> SmoothedValue {
         SmoothedValue {
             value: Some(value),
@@ -29,7 +29,7 @@
         self.value
     }
 
-    /// Takes a sample in, with a weight from 0 to 1.
+    /// Adds a sample with a weight from 0 to 1.
     pub(crate) fn record(&mut self, now: Micros, sample: f64, weight: f64) {
         let value = self
             .value
@@ -38,7 +38,8 @@
         self.updated_at = now;
     }
 
-    /// The value after its decay towards a baseline. An endpoint that gets nothing is so tried again some time.
+    /// The value after its decay towards a baseline. Because of the decay an endpoint that gets no requests is tried
+    /// again eventually.
     pub(crate) fn decayed(&self, now: Micros, baseline: f64, decay_time: Micros) -> f64 {
         let idle = (now - self.updated_at) as f64;
         self.value.map_or(baseline, |value| {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Work per second, over about the last [`DECAY_TIME`].
+/// Work per second, averaged over about the last [`DECAY_TIME`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRate {
     recent_work: f64,
--- a/crates/routing/src/expiring_map.rs
+++ b/crates/routing/src/expiring_map.rs
@@ -1,14 +1,14 @@
-//! A map that is bounded by age and by number of entries.
+//! A map whose entries are bounded by age and by number.
 
 use crate::interface::Micros;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Entries expire after a lifetime; beyond the capacity the oldest insertions go first.
+/// Entries expire after a lifetime; beyond the capacity the oldest insertions are evicted first.
 ///
-/// Invariants: `order` holds one element for each insertion that is neither expired nor evicted, oldest first, at most
-/// `capacity` of them; an entry is removed from `entries` with the element of its latest insertion and with no other.
-/// Insertions are told apart by their numbers, as several may come at one moment.
+/// Invariants: `order` has one element for each insertion that is neither expired nor evicted, oldest first, and at
+/// most `capacity` elements. An entry is removed from `entries` together with the element of its latest insertion,
+/// and with no other. A number identifies each insertion, because several may have the same time.
 pub(crate) struct ExpiringMap<K, V> {
     entries: HashMap<K, Entry<V>>,
     order: VecDeque<Insertion<K>>,
@@ -17,7 +17,7 @@
     capacity: usize,
 }
 
-/// What a key holds since its latest insertion.
+/// The value of a key, from its latest insertion.
 struct Entry<V> {
     number: u64,
     inserted_at: Micros,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Inserts or renews an entry. Returns the value that was evicted before its lifetime was over, if one was: an
-    /// insertion evicts one such entry at most, and never its own.
+    /// Inserts or renews an entry. Returns the value that was evicted before the end of its lifetime, if any: an
+    /// insertion evicts at most one such entry, and never its own.
     pub(crate) fn insert(&mut self, now: Micros, key: K, value: V) -> Option<V> {
         let number = self.next_number;
         self.next_number += 1;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Removes the oldest insertion, and the entry where it was not renewed since; returns the value of that entry.
+    /// Removes the oldest insertion, and its entry if it was not renewed since. Returns the value of a removed entry.
     fn remove_oldest(&mut self) -> Option<V> {
         let oldest = self.order.pop_front()?;
         let renewed = self
@@ -87,7 +87,7 @@
         self.entries.remove(&oldest.key).map(|entry| entry.value)
     }
 
-    /// The value of an entry whose lifetime is not over.
+    /// The value of an entry whose lifetime has not ended.
     pub(crate) fn get(&self, now: Micros, key: K) -> Option<V> {
         let entry = self.entries.get(&key)?;
         (entry.inserted_at + self.lifetime >= now).then_some(entry.value)
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -1,5 +1,5 @@
-//! What every host of the decisions needs, whatever wire it speaks: indices for endpoints, stable ids, units, and a
-//! barrier against panics.
+//! Helpers for the hosts of a [`crate::router::Router`], independent of their network protocol: indices for endpoints,
+//! stable ids, conversion of units, and containment of panics.
 
 use crate::interface::{CacheStatus, EndpointIndex, Micros, Settings};
 use std::any::Any;
@@ -8,16 +8,16 @@
 use std::hash::Hash;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Microseconds in a second, for numbers that come as fractions.
+/// Microseconds in a second, to convert fractional seconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Maps a host's endpoint ids to small indices and back. A released index is given out again.
+/// Maps a host's endpoint ids to small indices and back. A released index is reused.
 pub struct EndpointIndices<K> {
     index: HashMap<K, EndpointIndex>,
-    names: Vec<K>,
+    ids: Vec<K>,
     free: Vec<EndpointIndex>,
 }
 
@@ -25,72 +25,72 @@
     fn default() -> Self {
         EndpointIndices {
             index: HashMap::new(),
-            names: Vec::new(),
+            ids: Vec::new(),
             free: Vec::new(),
         }
     }
 }
 
 impl<K: Clone + Eq + Hash> EndpointIndices<K> {
-    /// The index of an id; a new one where it has none.
-    pub fn get_or_insert(&mut self, name: &K) -> EndpointIndex {
-        if let Some(index) = self.index.get(name) {
+    /// The index of an id; assigns one if the id has none.
+    pub fn get_or_insert(&mut self, id: &K) -> EndpointIndex {
+        if let Some(index) = self.index.get(id) {
             return *index;
         }
-        let index = self.free.pop().unwrap_or(self.names.len());
-        if index == self.names.len() {
-            self.names.push(name.clone());
+        let index = self.free.pop().unwrap_or(self.ids.len());
+        if index == self.ids.len() {
+            self.ids.push(id.clone());
         } else {
-            self.names[index] = name.clone();
+            self.ids[index] = id.clone();
         }
-        self.index.insert(name.clone(), index);
+        self.index.insert(id.clone(), index);
         index
     }
 
     /// The index of an id, if it has one.
-    pub fn get(&self, name: &K) -> Option<EndpointIndex> {
-        self.index.get(name).copied()
+    pub fn get(&self, id: &K) -> Option<EndpointIndex> {
+        self.index.get(id).copied()
     }
 
-    /// The id of an index that was given out.
+    /// The id of an assigned index.
     ///
     /// # Panics
     ///
-    /// Where the index was never given out.
+    /// Panics if the index was never assigned.
     pub fn name(&self, index: EndpointIndex) -> &K {
-        &self.names[index]
+        &self.ids[index]
     }
 
-    /// Frees an index, as [`crate::interface::Action::ReleaseEndpoint`] asks.
+    /// Frees an index, as requested by [`crate::interface::Action::ReleaseEndpoint`].
     ///
     /// # Panics
     ///
-    /// Where the index was never given out.
+    /// Panics if the index was never assigned.
     pub fn release(&mut self, index: EndpointIndex) {
-        self.index.remove(&self.names[index]);
+        self.index.remove(&self.ids[index]);
         self.free.push(index);
     }
 }
 
-/// A stable number for a textual id (64-bit FNV-1a): the same at every proxy and over restarts.
+/// A stable number for a textual id (64-bit FNV-1a): it is the same at every proxy and does not change on restart.
 pub fn stable_id(id: &str) -> u64 {
     id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// Seconds as whole microseconds, rounded.
+/// Converts seconds to microseconds, rounded to the nearest integer.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * MICROS_PER_SECOND).round() as Micros
 }
 
-/// The decisions' settings out of names and values.
+/// The router's settings from pairs of name and value; trims both.
 pub fn settings<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Settings {
     let trimmed = pairs.map(|(name, value)| (name.trim().to_string(), value.trim().to_string()));
     trimmed.collect()
 }
 
-/// The cache status by its number in the platform's order, from 1; 0 where none is told.
+/// The cache status by its number in the platform's order, from 1; 0 if none was reported.
 pub fn cache_status(number: usize) -> CacheStatus {
     match number {
         1 => CacheStatus::Hit,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A panic that was caught; it displays as the panic's message.
+/// A caught panic; it displays as the panic's message.
 #[derive(Debug)]
 pub struct CaughtPanic {
     message: String,
@@ -131,11 +131,11 @@
 
 impl std::error::Error for CaughtPanic {}
 
-/// Stops a panic: what was being handled ends, the rest goes on.
+/// Catches a panic of `handle`, so that one failed operation does not end the process.
 ///
 /// # Errors
 ///
-/// Returns the panic, if there was one.
+/// Returns the panic if `handle` panicked.
 pub fn catch_panic<T>(handle: impl FnOnce() -> T) -> Result<T, CaughtPanic> {
     catch_unwind(AssertUnwindSafe(handle)).map_err(|payload| CaughtPanic::new(payload.as_ref()))
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,25 +1,25 @@
-//! What the decisions are told ([`Event`]) and what they ask for ([`Action`]).
+//! The router's input ([`Event`]) and its output ([`Action`]).
 //!
 //! A host keeps one [`crate::router::Router`] for each instance, maps its own endpoint ids to small indices
-//! ([`crate::host::EndpointIndices`]) and hands on events in the order in which they came. All times are whole
-//! microseconds of the host's clock.
+//! ([`crate::host::EndpointIndices`]) and passes events to the router in the order in which they occurred. All times
+//! are whole microseconds of the host's clock.
 
 use std::collections::BTreeMap;
 
-/// A moment or a span, in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 pub type Micros = i64;
-/// Small index of a cache, parent or origin. The host gives indices out from 0, and reuses one once it is released
-/// ([`Action::ReleaseEndpoint`]).
+/// Small index of a cache, parent or origin. The host assigns indices from 0, and may reuse an index once it is
+/// released ([`Action::ReleaseEndpoint`]).
 pub type EndpointIndex = usize;
-/// Settings as names and values; unknown names are ignored.
+/// Settings by name; unknown names are ignored.
 pub type Settings = BTreeMap<String, String>;
 
 /// The status of an endpoint in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has, and is given nothing new.
+    /// Finishes the requests that it has, and gets no new ones.
     Draining,
     /// No longer listed.
     Removed,
@@ -30,45 +30,45 @@
 pub struct EndpointEntry {
     /// The host's index of the endpoint.
     pub endpoint: EndpointIndex,
-    /// Identity that is hashed: the same at every proxy and over restarts.
+    /// Id that placement hashes; it is the same at every proxy and does not change on restart.
     pub stable_id: u64,
-    /// The settings name the values of this that stand for parents and for the origin; all others are caches.
-    pub machine_kind: u8,
-    /// When its process started last; 0 for long ago.
+    /// Kind of the endpoint: the settings define which values denote parents and the origin; all others denote caches.
+    pub endpoint_kind: u8,
+    /// When its process last started; 0 if that was long ago.
     pub started_at: Micros,
-    /// Zone of the endpoint; caches of the proxy's own zone are chosen from.
+    /// Zone of the endpoint; a proxy uses only the caches of its own zone.
     pub zone: u8,
     /// Failure domain within the zone.
     pub cell: u16,
     /// Relative capacity.
     pub weight: f64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
 }
 
-/// What discovery brings.
+/// An update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The complete list: what is missing has been removed.
+    /// The complete list; an endpoint that is missing from it has been removed.
     Snapshot(Vec<EndpointEntry>),
-    /// Only what has changed.
+    /// Only the entries that have changed.
     Delta(Vec<EndpointEntry>),
-    /// Discovery could not be reached; the former list stands.
+    /// Discovery could not be reached; the previous list stays in force.
     Unavailable,
 }
 
-/// A client's request, to be given exactly one final answer.
+/// A client's request, which gets exactly one final answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
     /// The host's id of the request.
     pub id: u32,
-    /// The object that is asked for.
+    /// The requested object.
     pub object: u64,
     /// Index of the part of the object, from 0.
     pub part: u32,
-    /// Size of the part in the settings' unit; 0 where it is not told.
+    /// Size of the part in the settings' unit; 0 if unknown.
     pub size_kb: f64,
-    /// Group of the object, by which objects are invalidated together.
+    /// Group of the object; the objects of a group can be invalidated together.
     pub group: u32,
     /// Index of the request class in the settings.
     pub class: usize,
@@ -83,24 +83,24 @@
     Success,
     /// The endpoint failed; the request may have run.
     Error,
-    /// The endpoint was at its limit; the request never ran.
+    /// The endpoint was at its limit and rejected the request, which never ran.
     Rejected,
     /// No answer within the attempt's timeout.
     TimedOut,
-    /// No connection came up; the request never ran.
+    /// No connection could be established; the request never ran.
     ConnectFailed,
-    /// The connection was reset under the request, which may have run.
+    /// The connection was reset during the request, which may have run.
     ConnectionReset,
     /// Cancelled by this proxy after it was written.
     Cancelled,
-    /// Never ran, as the request was over or the attempt was cancelled before it was written.
+    /// The attempt never ran: the request ended, or the attempt was cancelled, before it was written.
     Superseded,
-    /// The endpoint does not have the part cached, and was not to fetch it.
+    /// The endpoint does not have the part cached, and was asked not to fetch it.
     Miss,
 }
 
 impl AttemptOutcome {
-    /// Whether an attempt that ended so may have run at the endpoint.
+    /// Whether an attempt with this outcome may have run at the endpoint.
     pub fn may_have_run(self) -> bool {
         use AttemptOutcome::{Cancelled, ConnectionReset, Error, Success, TimedOut};
         matches!(
@@ -110,10 +110,10 @@
     }
 }
 
-/// What a cache says of how it came by its answer.
+/// How a cache obtained its answer, as it reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Nothing is told.
+    /// The cache reported nothing.
     Unknown,
     /// Served from the cache, within its freshness lifetime.
     Hit,
@@ -129,11 +129,11 @@
     SourceRejected,
     /// The source of the fill could not be reached.
     SourceUnreachable,
-    /// The source was to give only what it has cached, and does not have it.
+    /// The source was asked for its cached copy only, and has none.
     SourceMiss,
     /// The cache itself has no capacity for another fill.
     FillLimitReached,
-    /// The origin failed behind the source.
+    /// The source forwarded the fill to the origin, which failed.
     OriginFailed,
 }
 
@@ -144,30 +144,30 @@
     pub id: u32,
     /// Number of the attempt within its request, from 0.
     pub attempt: u8,
-    /// The endpoint that it went to.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointIndex,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time since it was started.
     pub elapsed: Micros,
-    /// The request has its final answer, by this attempt or before.
+    /// The request has its final answer, from this attempt or from an earlier one.
     pub finished: bool,
-    /// What the cache says of its answer.
+    /// How the cache obtained its answer.
     pub cache_status: CacheStatus,
-    /// Time that the cache waited for the first byte of its source.
+    /// Time that the cache waited for the first byte from its source.
     pub first_byte: Option<Micros>,
-    /// Size of the part in the settings' unit; 0 where the answer does not show it.
+    /// Size of the part in the settings' unit; 0 if the answer does not state it.
     pub size_kb: f64,
     /// Load report, in the order of the setting `feedback.fields`.
     pub load_report: Vec<f64>,
 }
 
-/// What a host tells the decisions.
+/// An event that a host passes to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery has news.
+    /// Discovery sent an update, or could not be reached.
     EndpointsUpdated(EndpointUpdate),
-    /// A request has come.
+    /// A request has arrived.
     RequestArrived(Request),
     /// The client has been sent the start of its answer.
     ResponseStarted {
@@ -176,32 +176,33 @@
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has left, or its deadline has passed: no answer is owed any more.
+    /// The client has disconnected, or its deadline has passed: the request needs no answer any more.
     ClientLeft {
         /// Id of the request.
         id: u32,
     },
     /// Discovery may be holding back list changes and invalidations.
     DiscoveryLag {
-        /// Since when; none once all has been received.
+        /// Since when; none once all updates have been received.
         since: Option<Micros>,
     },
-    /// Invalidations may be missing for good: any object may have been invalidated up to now.
+    /// Invalidations may have been lost permanently: any object may have been invalidated up to now.
     InvalidationsMissed,
-    /// A bound on the copies that may be served, beside invalidations and freshness lifetimes.
+    /// A bound on the copies that may be served, in addition to invalidations and freshness lifetimes.
     FreshnessBound {
-        /// No copy issued before this moment.
+        /// Copies issued before this time may not be served.
         not_before: Option<Micros>,
-        /// No copy older than this.
+        /// Copies older than this may not be served.
         max_age: Option<Micros>,
     },
-    /// The client has ended its side: no attempt may begin any more, while those in flight may still be of use.
+    /// The client has closed its sending side: no further attempt may start, but the answer of an attempt in flight may
+    /// still be delivered.
     ClientHalfClosed {
         /// Id of the request.
         id: u32,
     },
-    /// The connection that an attempt waited for is up, and nothing has been written on it. Hosts without connections
-    /// of their own never say so: there an attempt is in flight at once.
+    /// The connection that an attempt waited for is established, and nothing has been written on it. Hosts without
+    /// connections of their own never send this event: their attempts are in flight at once.
     AttemptConnected {
         /// Id of the request.
         id: u32,
@@ -213,7 +214,7 @@
         /// Id of the timer.
         timer: u32,
     },
-    /// A health check ended; not used by these decisions.
+    /// A health check ended; the router ignores it.
     HealthCheckEnded {
         /// The endpoint that was checked.
         endpoint: EndpointIndex,
@@ -224,84 +225,84 @@
         /// Load report, in the order of the setting `feedback.fields`.
         load_report: Vec<f64>,
     },
-    /// Bytes from another proxy; not used by these decisions.
+    /// Bytes from another proxy; the router ignores them.
     PeerMessage {
         /// Number of the sender.
         from: u16,
-        /// What it sent.
+        /// The bytes that it sent.
         bytes: Vec<u8>,
     },
-    /// Other proxies have seen requests for this part of an object.
+    /// The highest part of an object for which other proxies have seen requests.
     SharedLength {
         /// The object.
         object: u64,
-        /// The highest part index seen lately.
+        /// The highest part index that was requested recently.
         highest_part: u32,
     },
-    /// What other proxies have measured at an endpoint.
+    /// Measurements of an endpoint by other proxies.
     SharedEstimate {
         /// The endpoint.
         endpoint: EndpointIndex,
         /// Fraction of its attempts that fail.
         failure_rate: f64,
-        /// Time to first byte, if it is a source of fills.
+        /// Time to first byte, if the endpoint is a source of fills.
         first_byte: Option<Micros>,
     },
-    /// An object (all its parts), or a whole group, was invalidated.
+    /// An object with all its parts, or a complete group, was invalidated.
     Invalidated {
-        /// The object; none for the whole group.
+        /// The object; none if the complete group was invalidated.
         object: Option<u64>,
-        /// The group, where no object is given.
+        /// The group, if no object is given.
         group: u32,
         /// Time since the invalidation.
         age: Micros,
     },
 }
 
-/// How a cache is to fill a miss.
+/// How a cache fills a miss.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fill {
-    /// Where to fill from; the endpoint itself for no fill at all.
+    /// Endpoint to fill from; the attempt's own endpoint for no fill at all.
     pub source: EndpointIndex,
-    /// Retention rank: 0 passes through without being cached; 1 to 3 are ranks.
+    /// Retention rank from 1 to 3; with 0 the part passes through without being cached.
     pub retention: u8,
-    /// Oldest copy that will do; 0 for the freshness lifetime of the class.
+    /// Maximum age of a copy that may be served; 0 for the freshness lifetime of the class.
     pub max_age: Micros,
-    /// Join a fill that is under way.
+    /// Join a fill in progress.
     pub join: bool,
-    /// Renew a stale copy in the background.
+    /// Revalidate a stale copy in the background.
     pub revalidate: bool,
-    /// The source gives only what it has cached.
+    /// The source answers only from its cache.
     pub cached_only: bool,
 }
 
-/// What the decisions ask of their host, to be carried out in order.
+/// An action that the host carries out for the router, in the order in which the router returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     StartAttempt {
         /// Id of the request.
         id: u32,
-        /// Where it goes.
+        /// Endpoint to send the attempt to.
         endpoint: EndpointIndex,
         /// How long to wait for its end.
         timeout: Micros,
-        /// How a miss is filled; without one the cache is asked only for what it has.
+        /// How a miss is filled; if none, the cache answers only from what it has cached.
         fill: Option<Fill>,
     },
-    /// Final answer: rejected, and harmless to send again.
+    /// Final answer: rejected, and safe to retry.
     Reject {
         /// Id of the request.
         id: u32,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// Id of the request.
         id: u32,
     },
-    /// Give an attempt up.
+    /// Cancel an attempt.
     CancelAttempt {
         /// Id of the request.
         id: u32,
@@ -315,16 +316,16 @@
         /// Number of the attempt.
         attempt: u8,
     },
-    /// Fire a timer ([`Event::TimerFired`]).
+    /// Set a timer, which fires as [`Event::TimerFired`].
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Micros,
         /// Id of the timer.
         timer: u32,
     },
-    /// Ask discovery for the endpoint list.
+    /// Poll discovery for the endpoint list.
     PollDiscovery,
-    /// The index is free again: its endpoint was removed long ago, and nothing is in flight there.
+    /// Release an index: its endpoint was removed long ago, and nothing is in flight there.
     ReleaseEndpoint {
         /// The index.
         endpoint: EndpointIndex,
@@ -333,7 +334,7 @@
     Log(LogEvent),
 }
 
-/// What the decisions have to say to an operator.
+/// An event that operators should see in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
     /// The concurrency limit of an endpoint was cut below its recent use.
@@ -360,7 +361,7 @@
         /// Fetches that may now be in flight.
         limit: f64,
     },
-    /// No attempt reaches an endpoint: it is treated as warming up from now on.
+    /// No attempt reaches an endpoint; from now on the router treats it as warming up.
     EndpointUnreachable {
         /// Stable id of the endpoint.
         stable_id: u64,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,26 +1,26 @@
-//! The decisions of the meadowrill router, as a state machine without I/O: events in, actions out.
+//! The meadowrill router, as a state machine without I/O: it takes events and returns actions.
 //!
-//! [`router`] says in which order the rules are asked, [`interface`] what goes in and out, [`host`] helps hosts. Each
-//! rule stands in a module of its own:
+//! [`router`] applies the rules in order, [`interface`] defines events and actions, and [`host`] has helpers for hosts.
+//! Each rule has a module of its own:
 //!
 //! | module | rule |
 //! | --- | --- |
-//! | `placement` | the order of caches for a part of an object: rendezvous hashing |
+//! | `placement` | the order in which caches are preferred for a part of an object: rendezvous hashing |
 //! | `source_selection` | which parent a cache fills from |
 //! | `tail_retention` | which parts are cached |
-//! | `concurrency_limit` | how much may be in flight |
-//! | `slow_start` | what an endpoint gets that came up a short while ago |
-//! | `fault_attribution` | who is to blame for an outcome |
-//! | `outlier_detection` | who is ejected, when a probe request goes out |
-//! | `fill_policy` | how far an attempt may go |
-//! | `retry` | whether another attempt may go out, and who pays for it |
+//! | `concurrency_limit` | how many attempts and fills may be in flight |
+//! | `slow_start` | the load that a recently started endpoint gets |
+//! | `fault_attribution` | which endpoint a failure is attributed to |
+//! | `outlier_detection` | which endpoints are ejected, and when they get probe requests |
+//! | `fill_policy` | how far an attempt may go: to the cache, its parent or the origin |
+//! | `retry` | whether another attempt may start, and the retry budget |
 //! | `deadline` | latency objectives, slack, timeouts |
-//! | `freshness` | the oldest copy that will do |
-//! | `size_fairness` | the floor of the largest requests |
+//! | `freshness` | the oldest copy that may be served |
+//! | `size_fairness` | the minimum answered share of the largest requests |
 //! | `response` | final answers |
-//! | `endpoint` | tiers, drains and removals as discovery lists them |
-//! | `request_class` | what work a request is expected to bring |
-//! | `planning`, `dispatch`, `outcome` | the phases of an attempt; `ended_attempt` says what an outcome means |
+//! | `endpoint` | tiers, draining and removal of endpoints as listed by discovery |
+//! | `request_class` | the expected work of a request |
+//! | `planning`, `dispatch`, `outcome` | the phases of an attempt; `ended_attempt` classifies its outcome |
 
 mod concurrency_limit;
 mod deadline;
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -28,8 +28,8 @@
         }
         let status = ended.end.cache_status;
         let excused = ended.succeeded() || status.blames_source() || blames_source;
-        self.endpoint_spent = !excused && !self.inconclusive;
-        self.source_spent = ended.fault.source || blames_source || ended.missed();
+        self.endpoint_excluded = !excused && !self.inconclusive;
+        self.source_excluded = ended.fault.source || blames_source || ended.missed();
     }
 }
 
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -45,7 +45,7 @@
         let object = pending.request.object;
         let usable = self
             .ready(tier)
-            .filter(|(index, _)| !pending.has_spent(*index));
+            .filter(|(index, _)| !pending.excludes(*index));
         let scored = usable.map(|(index, endpoint)| (score(endpoint, object, part), index));
         let mut scored: SmallVec<[(f64, EndpointIndex); INLINE_CANDIDATES]> = scored.collect();
         scored.sort_unstable_by(|(a, first), (b, second)| b.total_cmp(a).then(first.cmp(second)));
--- a/crates/routing/src/planning.rs
+++ b/crates/routing/src/planning.rs
@@ -31,7 +31,7 @@
         now: Micros,
         actions: &mut Vec<Action>,
     ) -> Option<PlannedAttempt> {
-        if !self.requests.get(&id)?.may_go_on() {
+        if !self.requests.get(&id)?.awaits_response() {
             return None;
         }
         let planned = self.plan_attempt(id, now);
--- a/crates/routing/tests/scenarios/words.rs
+++ b/crates/routing/tests/scenarios/words.rs
@@ -1,16 +1,16 @@
-//! The words of a scenario.
+//! Parsing of the words of a scenario.
 
 use meadowrill_routing::interface::{AttemptOutcome, CacheStatus, Micros};
 use std::fmt::Debug;
 use std::str::FromStr;
 
-/// A word as a number.
+/// Parses a word, usually as a number.
 pub(crate) fn parsed<T: FromStr<Err: Debug>>(word: &str) -> T {
     word.parse()
         .unwrap_or_else(|error| panic!("{word}: {error:?}"))
 }
 
-/// Seconds as microseconds.
+/// Parses a time in seconds.
 pub(crate) fn time(word: &str) -> Micros {
     (parsed::<f64>(word) * 1e6).round() as Micros
 }
@@ -27,7 +27,7 @@
     option(words, name).map(time)
 }
 
-/// How an attempt ended.
+/// Parses the outcome of an attempt.
 pub(crate) fn attempt_outcome(word: &str) -> AttemptOutcome {
     match word {
         "success" => AttemptOutcome::Success,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a cache says of its answer.
+/// Parses the cache status of an answer.
 pub(crate) fn cache_status(word: Option<&str>) -> CacheStatus {
     match word {
         Some("hit") => CacheStatus::Hit,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -72,7 +72,7 @@
         let entry = |l: &Line| EndpointEntry {
             endpoint: self.caches.get_or_insert(&l.cache),
             stable_id: u64::from(u32::from_be_bytes(l.cache.0)) << 16 | u64::from(l.cache.1),
-            machine_kind: l.family_type,
+            endpoint_kind: l.family_type,
             started_at: micros(l.online_since_s),
             zone: l.region_part,
             cell: l.bay,
