--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -1,4 +1,5 @@
-//! Deadlines: the latency objective of a request, its slack against others, and the timeouts of its attempts.
+//! Deadlines: the latency objective of a request, its slack relative to other requests, and the timeouts of its
+//! attempts.
 
 use crate::endpoint::Endpoint;
 use crate::interface::{AttemptOutcome, Micros, Request};
@@ -6,59 +7,60 @@
 use crate::request_class::RequestClass;
 use crate::settings::{ClassSettings, Idempotency, RoutingSettings};
 
-/// Least and most that slack narrows or widens a limit.
+/// Bounds on the factor by which slack scales a limit.
 const MIN_SLACK: f64 = 0.5;
 const MAX_SLACK: f64 = 3.0;
-/// The slack from which on a request gets its share of the link.
-const LINK_SLACK: f64 = 1.0;
-/// Fraction of the latency objective after which a stalling endpoint is given up, for each attempt so far.
-const STALL_PATIENCE: f64 = 0.6;
-/// Fraction of the remaining time for an endpoint that owes answers, in tenths.
-const UNANSWERED_TENTHS: Micros = 6;
-/// Work of less than this is not compared with.
+/// Slack of a typical request at the shared link.
+const TYPICAL_LINK_SLACK: f64 = 1.0;
+/// Timeout at a stalling endpoint as a fraction of the latency objective, multiplied by the number of the attempt.
+const STALL_TIMEOUT_FRACTION: f64 = 0.6;
+/// Timeout at an endpoint with several unanswered attempts, in tenths of the remaining time.
+const UNANSWERED_TIMEOUT_TENTHS: Micros = 6;
+/// Lower bound on work used as a divisor, in microseconds.
 pub(crate) const MINIMUM_WORK: f64 = 1.0;
 
-/// How much more a request may be slowed down, within its latency objective, than a usual one of the class with the
-/// least slack. In an overload it is the large ones that would come late, and make others late.
+/// Factor by which a request may be slowed down within its latency objective, relative to a typical request of the
+/// class with the least slack. Large requests have less slack: in an overload they would be late and would delay
+/// others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Slack {
-    /// The slack that the limits are widened by.
-    pub(crate) granted: f64,
-    /// The slack before a link that all share.
+    /// Factor by which the concurrency limits are scaled for the request.
+    pub(crate) at_limits: f64,
+    /// Slack at the link that all proxies share.
     pub(crate) at_link: f64,
 }
 
 impl Slack {
-    /// `behind`: the request belongs to a group of large ones that is behind its floor, and gets the most slack. Before
-    /// the shared link it counts as a usual request.
-    fn new(own: f64, behind: bool) -> Slack {
-        if behind {
+    /// `below_floor`: the request belongs to a group of large requests that is below its floor, and gets the maximum
+    /// slack. At the shared link it counts as a typical request.
+    fn new(own_slack: f64, below_floor: bool) -> Slack {
+        if below_floor {
             Slack {
-                granted: MAX_SLACK,
-                at_link: own.max(LINK_SLACK),
+                at_limits: MAX_SLACK,
+                at_link: own_slack.max(TYPICAL_LINK_SLACK),
             }
         } else {
             Slack {
-                granted: own,
-                at_link: own,
+                at_limits: own_slack,
+                at_link: own_slack,
             }
         }
     }
 }
 
 impl ClassSettings {
-    /// The latency objective of a request that takes `work`, in microseconds.
+    /// Latency objective of a request with `work`, in microseconds.
     pub(crate) fn objective(&self, work: f64) -> f64 {
         self.latency_objective as f64 + self.objective_per_work * work
     }
 
-    /// How many times its work a request may take.
-    fn stretch(&self, work: f64) -> f64 {
+    /// Ratio of the latency objective to the work of a request.
+    fn objective_to_work_ratio(&self, work: f64) -> f64 {
         self.objective_per_work + self.latency_objective as f64 / work.max(MINIMUM_WORK)
     }
 
-    /// The time of an outcome over the latency objective of its request; none where it tells nothing of the endpoint's
-    /// pace. `slowdown` is by how much the endpoint is slower than usual.
+    /// Elapsed time of an attempt divided by the latency objective of its request; none if the outcome does not
+    /// indicate the endpoint's speed. `slowdown` is the factor by which the endpoint is slower than usual.
     pub(crate) fn relative_time(
         &self,
         outcome: AttemptOutcome,
@@ -77,7 +79,8 @@
     }
 }
 
-/// The slack of a request. The last class stands for those that the settings do not name, and is not compared with.
+/// The slack of a request. The last class is for requests whose class is not in the settings, and is excluded from
+/// the comparison.
 pub(crate) fn slack(
     request: &Request,
     classes: &[RequestClass],
@@ -85,26 +88,27 @@
 ) -> Slack {
     let class = &classes[request.class];
     let work = class.expected_work(request, settings);
-    let own = if class.settings.uncacheable {
+    let own_slack = if class.settings.uncacheable {
         MAX_SLACK
     } else {
-        let named = classes.iter().rev().skip(1);
-        let cached = named.filter(|class| !class.settings.uncacheable);
-        let stretches = cached.map(|class| class.settings.stretch(class.work.typical));
-        let least = stretches.fold(f64::INFINITY, f64::min);
-        (class.settings.stretch(work) / least).clamp(MIN_SLACK, MAX_SLACK)
+        let named_classes = classes.iter().rev().skip(1);
+        let cacheable_classes = named_classes.filter(|class| !class.settings.uncacheable);
+        let ratios = cacheable_classes
+            .map(|class| class.settings.objective_to_work_ratio(class.work.typical));
+        let least_ratio = ratios.fold(f64::INFINITY, f64::min);
+        (class.settings.objective_to_work_ratio(work) / least_ratio).clamp(MIN_SLACK, MAX_SLACK)
     };
     let group = class.size_group(work);
     Slack::new(
-        own,
-        group.is_some_and(|group| class.fairness.is_behind(group)),
+        own_slack,
+        group.is_some_and(|group| class.fairness.is_below_floor(group)),
     )
 }
 
-/// How long the next attempt of a request may take.
+/// Timeout of the next attempt of a request.
 ///
-/// An endpoint that owes answers gets part of the remaining time, one that stalls part of the latency objective, longer
-/// with each attempt. The last attempt gets all that remains.
+/// At an endpoint with several unanswered attempts it is a part of the remaining time. At a stalling endpoint it is at
+/// most a part of the latency objective, which grows with each attempt. The last attempt gets all of the remaining time.
 pub(crate) fn attempt_timeout(
     pending: &PendingRequest,
     endpoint: &Endpoint,
@@ -120,13 +124,13 @@
         return remaining;
     }
     let timeout = if endpoint.health.has_unanswered_attempts() {
-        remaining * UNANSWERED_TENTHS / 10
+        remaining * UNANSWERED_TIMEOUT_TENTHS / 10
     } else {
         remaining
     };
-    if endpoint.stalls(now) {
+    if endpoint.is_stalling(now) {
         let objective = class.settings.objective(class.work.typical);
-        timeout.min((STALL_PATIENCE * number as f64 * objective) as Micros)
+        timeout.min((STALL_TIMEOUT_FRACTION * number as f64 * objective) as Micros)
     } else {
         timeout
     }
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Dispatch: a planned attempt passes the limits of its source and of its endpoint, and goes out.
+//! Dispatch: reserves capacity for a planned attempt at its source and its endpoint, and starts it.
 //!
-//! The one place from which attempts go out. Rules 3 and 4: nothing to what drains or was removed, and to a warming
-//! endpoint no more than this proxy's part.
+//! All attempts start here. Rules 3 and 4: no request goes to an endpoint that is draining or was removed, and a
+//! warming endpoint gets no more than this proxy's share of what it may receive.
 
 use crate::endpoint::Tier;
 use crate::interface::{Action, EndpointIndex, Micros};
@@ -12,15 +12,15 @@
 /// Why an attempt was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Refusal {
-    /// The endpoint drains, or may not have more in its slow start; or a parent is at its limit of fills.
+    /// The endpoint is draining, its slow start does not admit the request, or it is a parent at its limit on fills.
     Unavailable(EndpointIndex),
     /// The endpoint is at its concurrency limit.
     AtLimit(EndpointIndex),
 }
 
 impl Router {
-    /// Starts a planned attempt. One that its endpoint or its source refuses is planned anew without it; a request that
-    /// cannot go on gets its final answer.
+    /// Starts a planned attempt. If its endpoint or source refuses it, another attempt is planned without that
+    /// endpoint or source. A request that cannot continue gets its final answer.
     pub(crate) fn dispatch(
         &mut self,
         planned: PlannedAttempt,
@@ -33,8 +33,8 @@
             let refused_by = match self.reserve(&planned, now) {
                 Ok(()) => return self.start_attempt(&planned, now, actions),
                 Err(Refusal::Unavailable(endpoint)) => endpoint,
-                Err(Refusal::AtLimit(cache)) if self.may_move_on(&planned, now) => cache,
-                Err(Refusal::AtLimit(_)) => return self.give_up(id, now, actions),
+                Err(Refusal::AtLimit(cache)) if self.may_try_next_cache(&planned, now) => cache,
+                Err(Refusal::AtLimit(_)) => return self.reject_or_fail(id, now, actions),
             };
             if let Some(pending) = self.requests.get_mut(&id) {
                 pending.refused_by.push(refused_by);
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Reserves capacity at the source, then at the endpoint. Where the endpoint refuses, the source keeps what was counted
-    /// for it: its slow start drains it with time, and its next probe request comes a little later.
+    /// Reserves capacity at the source, then at the endpoint. If the endpoint refuses, the reservation at the source
+    /// is not undone: its slow start drains the reserved work over time, and its next probe request is slightly
+    /// delayed.
     fn reserve(&mut self, planned: &PlannedAttempt, now: Micros) -> Result<(), Refusal> {
         if let Some(source) = planned.source() {
             self.reserve_source(source, planned, now)?;
@@ -52,8 +53,9 @@
         self.reserve_endpoint(planned, now)
     }
 
-    /// A parent at its limit passes its fills on to the next by the hash: for an object that all ask for at once the
-    /// links of its two parents would be full while those of the others are idle.
+    /// Reserves capacity at the source. If a parent is at its limit, the fill moves to the next parent by hash.
+    /// Otherwise the links of the two parents of a very popular object would be saturated while those of the others
+    /// are idle.
     fn reserve_source(
         &mut self,
         source: EndpointIndex,
@@ -65,7 +67,7 @@
         if at_limit || !self.admits(source, planned.fill_work, planned.parent_tier_rate, now) {
             return Err(Refusal::Unavailable(source));
         }
-        self.endpoints[source].health.chosen(now);
+        self.endpoints[source].health.record_selection(now);
         Ok(())
     }
 
@@ -87,7 +89,7 @@
         Ok(())
     }
 
-    /// Whether an endpoint accepts requests, and its slow start admits this one.
+    /// Whether an endpoint accepts requests and its slow start admits this one.
     fn admits(&mut self, index: EndpointIndex, work: f64, tier_rate: f64, now: Micros) -> bool {
         let endpoint = &mut self.endpoints[index];
         if !endpoint.accepts_requests {
@@ -108,11 +110,11 @@
             .admit(now, &terms, demand, &mut self.random)
     }
 
-    /// Whether a request that a cache has no capacity for may go to the next cache, which would have to fill it.
+    /// Whether a request may go to the next cache, which would have to fill it, because this cache is at its limit.
     ///
-    /// An overload is not passed on. A slow outlier is no overload: it will not bear its part again for long, and the
-    /// next cache has capacity.
-    fn may_move_on(&self, planned: &PlannedAttempt, now: Micros) -> bool {
+    /// An overload must not spread to other caches. A slow outlier does not indicate an overload: it will not carry
+    /// its share of the load for some time, and the next cache has capacity.
+    fn may_try_next_cache(&self, planned: &PlannedAttempt, now: Micros) -> bool {
         if !self.endpoints.is_slow_outlier(planned.endpoint, now) {
             return false;
         }
@@ -135,7 +137,7 @@
         pending.start_attempt(planned, now);
         let endpoint = &mut self.endpoints[planned.endpoint];
         endpoint.limit.start(now, 1.0);
-        endpoint.health.attempt_started(now);
+        endpoint.health.record_attempt(now);
         if let Some(source) = planned.source() {
             let source = &mut self.endpoints[source];
             if source.tier == Tier::Parent {
--- a/crates/routing/src/ended_attempt.rs
+++ b/crates/routing/src/ended_attempt.rs
@@ -1,29 +1,29 @@
-//! An attempt that has ended, and what its end says: the questions that the rules ask of an outcome.
+//! An attempt that has ended, and the conclusions that the rules draw from its outcome.
 
 use crate::fault_attribution::Fault;
 use crate::fill_policy::FillPolicy;
 use crate::interface::{AttemptEnd, AttemptOutcome, CacheStatus, Micros, Request};
 use crate::pending_request::Attempt;
 
-/// An attempt that has ended, with what the rules ask of it.
+/// An attempt that has ended, with the data that the rules need.
 pub(crate) struct EndedAttempt {
     pub(crate) end: AttemptEnd,
     pub(crate) attempt: Attempt,
     pub(crate) request: Request,
     pub(crate) fault: Fault,
-    /// The request was over before.
+    /// The request already had its final answer.
     pub(crate) request_answered: bool,
     /// The class's answers are never cached.
     pub(crate) uncacheable: bool,
-    /// Caches report how they came by each answer.
-    pub(crate) complete_status: bool,
-    /// Latency objective of a request of the class that takes no work.
+    /// Caches report for each answer how they obtained it.
+    pub(crate) complete_cache_status: bool,
+    /// Latency objective of a request of the class with no work.
     pub(crate) latency_objective: Micros,
-    /// Time that the request takes at full pace, in microseconds, as expected before this end.
+    /// Expected time of the request at full speed, in microseconds, as estimated before this attempt ended.
     pub(crate) expected_work: f64,
-    /// How many times its expected time a hit of the endpoint took before this end; at least 1.
+    /// Ratio of the actual to the expected time of hits at the endpoint before this attempt ended; at least 1.
     pub(crate) slowdown: f64,
-    /// The work that it counts for, in microseconds; 0 unless it was served.
+    /// The work that the attempt counts for, in microseconds; 0 unless it succeeded.
     pub(crate) work_done: f64,
 }
 
@@ -40,18 +40,18 @@
         self.end.outcome == AttemptOutcome::Miss
     }
 
-    /// A miss that the attempt asked about: it only tells where to ask next.
+    /// Whether a miss was an accepted answer of the attempt. It only determines where the next attempt goes.
     pub(crate) fn is_expected_miss(&self) -> bool {
-        self.missed() && self.policy().may_miss()
+        self.missed() && self.policy().accepts_miss()
     }
 
-    /// Served from the cache itself, as far as it is known: elsewhere times of fills are mixed in.
+    /// Whether the answer is known to come from the cache itself. The time of any other answer may include a fill.
     pub(crate) fn is_known_hit(&self) -> bool {
         matches!(self.end.cache_status, CacheStatus::Hit | CacheStatus::Stale)
             || (self.policy().stays_at_cache() && self.succeeded())
     }
 
-    /// The cache reports that it was filled for this request.
+    /// Whether the cache reports that it was filled for this request.
     pub(crate) fn was_filled(&self) -> bool {
         let status = self.end.cache_status;
         matches!(
@@ -60,26 +60,27 @@
         )
     }
 
-    /// Served, with the first byte of the source early: the rest of the time was spent at the link.
+    /// Whether the attempt succeeded and the first byte of the source came early, so that the rest of the time was
+    /// spent on the link.
     pub(crate) fn had_early_first_byte(&self) -> bool {
         let early = |first_byte| first_byte < self.latency_objective / 2;
         self.succeeded() && self.end.first_byte.is_some_and(early)
     }
 
-    /// The cache has not got it yet, and a fill of it is under way there.
-    pub(crate) fn found_fill_under_way(&self) -> bool {
+    /// Whether the cache does not have the part yet and a fill of it is in progress there.
+    pub(crate) fn found_fill_in_progress(&self) -> bool {
         self.policy() == FillPolicy::CacheOnly
             && self.missed()
             && self.end.cache_status == CacheStatus::JoinedFill
     }
 
-    /// Cancelled before it was written, so it never ran.
+    /// Whether the attempt was cancelled before it was written, so it never ran.
     pub(crate) fn was_withdrawn(&self) -> bool {
         self.attempt.withdrawn && self.end.outcome == AttemptOutcome::Superseded
     }
 
-    /// The endpoint answered. A reset too says that somebody is there, but a process that died refuses the next
-    /// connection.
+    /// Whether the endpoint answered. A connection reset does not count: it also shows that a process was there, but
+    /// if the process died, it refuses the next connection.
     pub(crate) fn was_answered(&self) -> bool {
         matches!(
             self.end.outcome,
@@ -90,9 +91,9 @@
         )
     }
 
-    /// Its time says how loaded fills are. A source that cannot be reached says nothing of that: it is passed over, and
-    /// links and other sources have capacity.
-    pub(crate) fn judges_fills(&self) -> bool {
+    /// Whether the time of the attempt indicates how loaded fills are. An unavailable source does not indicate that:
+    /// it is avoided, while links and other sources have capacity.
+    pub(crate) fn measures_fill_load(&self) -> bool {
         let status = self.end.cache_status;
         let source_unavailable = matches!(
             status,
@@ -102,8 +103,8 @@
         is_fill && !self.uncacheable && !source_unavailable
     }
 
-    /// Its time says how loaded the cache itself is.
-    pub(crate) fn judges_endpoint(&self) -> bool {
+    /// Whether the time of the attempt indicates how loaded the cache itself is.
+    pub(crate) fn measures_endpoint_load(&self) -> bool {
         self.succeeded() && self.is_known_hit() && !self.uncacheable
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What this proxy knows of each endpoint, and the list of them that discovery gives.
+//! The state of each endpoint, and the endpoint list from discovery.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::estimate::{DecayingRate, SmoothedValue};
@@ -11,25 +11,25 @@
 use crate::time::SECOND;
 use std::ops::{Index, IndexMut};
 
-/// How long a removed endpoint is remembered before its index is released.
+/// Time after its removal before an endpoint's state is dropped and its index released.
 const REMOVED_LIFETIME: Micros = 3600 * SECOND;
-/// Least weight of an endpoint, so that its hash score stays defined.
+/// Minimum weight of an endpoint, so that its hash score is defined.
 const MINIMUM_WEIGHT: f64 = 0.01;
 
-/// The tier of an endpoint, as this proxy sees it.
+/// The tier of an endpoint, from the point of view of this proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Tier {
     /// A cache of this proxy's own zone.
     Cache,
-    /// A cache of the second tier, from which caches fill.
+    /// A cache of the second tier, from which other caches fill.
     Parent,
-    /// Where all objects come from.
+    /// The origin of all objects.
     Origin,
     /// A cache of another zone, which this proxy does not use.
     OtherZone,
 }
 
-/// What this proxy knows of one endpoint.
+/// The state that this proxy keeps for one endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct Endpoint {
     pub(crate) tier: Tier,
@@ -39,20 +39,20 @@
     /// Listed as ready: neither draining nor removed.
     pub(crate) accepts_requests: bool,
     removed_at: Option<Micros>,
-    /// The start of its process as discovery reported it last.
+    /// Start time of its process as last reported by discovery.
     reported_start: Micros,
-    /// Failures, silence and probe requests.
+    /// Failures, unanswered attempts and probe requests.
     pub(crate) health: Health,
-    /// What may be in flight: requests to a cache, fills from a parent.
+    /// Limit on what may be in flight: requests to a cache, fills from a parent.
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) slow_start: SlowStart,
     /// Time to first byte as a source of fills, in microseconds.
     pub(crate) first_byte: SmoothedValue,
-    /// Whole time as a source of fills beyond the object's own, in microseconds.
+    /// Total time as a source of fills beyond the expected time of the object, in microseconds.
     pub(crate) latency: SmoothedValue,
-    /// How many times its expected time a hit takes.
+    /// Ratio of the actual to the expected time of hits.
     pub(crate) slowdown: SmoothedValue,
-    /// Work that it does for this proxy.
+    /// Rate of work that it does for this proxy.
     pub(crate) work_rate: DecayingRate,
 }
 
@@ -78,10 +78,10 @@
 }
 
 impl Endpoint {
-    fn list(&mut self, entry: EndpointEntry, settings: &RoutingSettings, now: Micros) {
+    fn apply_entry(&mut self, entry: EndpointEntry, settings: &RoutingSettings, now: Micros) {
         self.tier = tier(&entry, settings);
         if entry.started_at != self.reported_start {
-            self.start_process(entry.started_at, now);
+            self.reset_for_new_process(entry.started_at, now);
         }
         self.stable_id = entry.stable_id;
         self.zone = usize::from(entry.zone);
@@ -97,15 +97,15 @@
         };
     }
 
-    /// What was measured at the process before says nothing of the new one.
-    fn start_process(&mut self, started_at: Micros, now: Micros) {
+    /// Resets measurements of the previous process, which do not apply to the new one.
+    fn reset_for_new_process(&mut self, started_at: Micros, now: Micros) {
         self.health.forget_failures();
         self.slowdown = SmoothedValue::assumed(1.0);
         self.reported_start = started_at;
         self.slow_start.restart(started_at, now);
     }
 
-    /// One request more takes it past a good part of its limit.
+    /// Whether one more request would use a large part of its limit.
     pub(crate) fn is_near_limit(&self) -> bool {
         self.limit.near_limit(1.0)
     }
@@ -115,7 +115,7 @@
         self.removed_at = self.removed_at.or(Some(now));
     }
 
-    fn is_forgotten(&self, now: Micros) -> bool {
+    fn is_releasable(&self, now: Micros) -> bool {
         let long_ago = self
             .removed_at
             .is_some_and(|at| at + REMOVED_LIFETIME < now);
@@ -167,20 +167,21 @@
             .filter(move |(_, e)| e.tier == tier && e.accepts_requests)
     }
 
-    /// The mean of a figure over the endpoints of a tier that accept requests, where it is known.
+    /// Mean of a measurement over the endpoints of a tier that accept requests, where the measurement is known.
     pub(crate) fn average(
         &self,
         tier: Tier,
-        figure: impl Fn(&Endpoint) -> Option<f64>,
+        measurement: impl Fn(&Endpoint) -> Option<f64>,
     ) -> Option<f64> {
         let known = self
             .ready(tier)
-            .filter_map(|(_, endpoint)| figure(endpoint));
+            .filter_map(|(_, endpoint)| measurement(endpoint));
         let (sum, count) = known.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
         (count > 0.0).then(|| sum / count)
     }
 
-    /// The endpoint with an index, made unknown and unlisted if it was never named before.
+    /// The endpoint with this index. An index that was never used before gets an endpoint in the default state, not
+    /// listed.
     pub(crate) fn get_or_default(&mut self, index: EndpointIndex) -> &mut Endpoint {
         if self.endpoints.len() <= index {
             self.endpoints.resize_with(index + 1, Endpoint::default);
@@ -188,7 +189,7 @@
         &mut self.endpoints[index]
     }
 
-    /// Applies news of the list, and releases indices of endpoints that were removed long ago.
+    /// Applies an update of the endpoint list, and releases the indices of endpoints that were removed long ago.
     pub(crate) fn update(
         &mut self,
         update: EndpointUpdate,
@@ -207,7 +208,7 @@
         };
         for entry in entries {
             self.get_or_default(entry.endpoint)
-                .list(entry, settings, now);
+                .apply_entry(entry, settings, now);
         }
         self.release(known, now, actions);
     }
@@ -222,7 +223,7 @@
 
     fn release(&mut self, known: usize, now: Micros, actions: &mut Vec<Action>) {
         for (index, endpoint) in self.endpoints.iter_mut().enumerate().take(known) {
-            if endpoint.is_forgotten(now) {
+            if endpoint.is_releasable(now) {
                 *endpoint = Endpoint::default();
                 actions.push(Action::ReleaseEndpoint { endpoint: index });
             }
--- a/crates/routing/src/fault_attribution.rs
+++ b/crates/routing/src/fault_attribution.rs
@@ -1,28 +1,29 @@
-//! Fault attribution: who is to blame for the outcome of an attempt - the endpoint, its source, or one of the two.
+//! Fault attribution: whether the endpoint, its source, or possibly either of the two caused the outcome of an
+//! attempt.
 //!
-//! An endpoint is blamed for what surely was its own; where caches do not report what went wrong at their source, an
-//! error is held against both as a suspicion.
+//! An endpoint is blamed only for failures that are certainly its own. If caches do not report what failed at their
+//! source, an error counts as a suspected failure of both.
 
 use crate::interface::{AttemptOutcome, CacheStatus};
 
-/// What an outcome says of an endpoint: a failure, a success, or nothing.
+/// What an outcome shows about an endpoint: a failure, a success, or nothing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attribution {
-    /// Whether it surely failed.
+    /// Whether it certainly failed; none if the outcome does not show this.
     pub(crate) certain: Option<bool>,
-    /// Whether it may have failed.
+    /// Whether it may have failed; none if the outcome does not show this.
     pub(crate) suspected: Option<bool>,
 }
 
-/// Who is at fault for the outcome of an attempt.
+/// The party at fault for the outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
-    /// Surely the endpoint.
+    /// Certainly the endpoint.
     pub(crate) endpoint: bool,
-    /// Surely the source that it fills from.
+    /// Certainly the source that the endpoint fills from.
     pub(crate) source: bool,
-    /// One of the two.
-    pub(crate) unclear: bool,
+    /// Either of the two.
+    pub(crate) ambiguous: bool,
     success: bool,
 }
 
@@ -30,19 +31,19 @@
     const NONE: Fault = Fault {
         endpoint: false,
         source: false,
-        unclear: false,
+        ambiguous: false,
         success: false,
     };
 
-    /// Attributes an outcome. `complete_status`: caches report all that went wrong at their source.
+    /// Attributes an outcome. `complete_cache_status`: caches report all failures of their source.
     pub(crate) fn attribute(
         outcome: AttemptOutcome,
         status: CacheStatus,
         has_source: bool,
-        complete_status: bool,
+        complete_cache_status: bool,
     ) -> Fault {
         let fault = match outcome {
-            _ if status.blames_source() => Fault {
+            _ if status.is_source_failure() => Fault {
                 source: status != CacheStatus::OriginFailed,
                 ..Fault::NONE
             },
@@ -51,14 +52,16 @@
                 ..Fault::NONE
             },
             AttemptOutcome::Rejected if status == CacheStatus::FillLimitReached => Fault::NONE,
-            AttemptOutcome::Error | AttemptOutcome::Rejected if complete_status || !has_source => {
+            AttemptOutcome::Error | AttemptOutcome::Rejected
+                if complete_cache_status || !has_source =>
+            {
                 Fault {
                     endpoint: true,
                     ..Fault::NONE
                 }
             }
             AttemptOutcome::Error | AttemptOutcome::Rejected | AttemptOutcome::TimedOut => Fault {
-                unclear: true,
+                ambiguous: true,
                 ..Fault::NONE
             },
             AttemptOutcome::Success
@@ -72,27 +75,28 @@
         }
     }
 
-    /// What it says of the endpoint. What is uncacheable runs at the origin: its errors are not the cache's.
-    pub(crate) fn of_endpoint(self, uncacheable: bool) -> Attribution {
+    /// What the outcome shows about the endpoint. Uncacheable requests run at the origin, so their errors are not the
+    /// cache's.
+    pub(crate) fn endpoint_attribution(self, uncacheable: bool) -> Attribution {
         self.attribution(self.endpoint && !uncacheable)
     }
 
-    /// What it says of the source.
-    pub(crate) fn of_source(self) -> Attribution {
+    /// What the outcome shows about the source.
+    pub(crate) fn source_attribution(self) -> Attribution {
         self.attribution(self.source)
     }
 
     fn attribution(self, at_fault: bool) -> Attribution {
         Attribution {
             certain: (at_fault || self.success).then_some(at_fault),
-            suspected: (self.unclear || self.success).then_some(self.unclear),
+            suspected: (self.ambiguous || self.success).then_some(self.ambiguous),
         }
     }
 }
 
 impl CacheStatus {
-    /// The cache did its part, and its source or the origin behind it did not.
-    pub(crate) fn blames_source(self) -> bool {
+    /// Whether the cache worked, but its source or the origin behind the source did not.
+    pub(crate) fn is_source_failure(self) -> bool {
         matches!(
             self,
             CacheStatus::SourceRejected
--- a/crates/routing/src/fill_policy.rs
+++ b/crates/routing/src/fill_policy.rs
@@ -1,8 +1,8 @@
-//! Fill policy: how far an attempt may go for what it asks.
+//! Fill policy: how far an attempt may go to obtain a part.
 //!
-//! While many fills are in flight, a cache is first asked for what it has, then its parent, and only what is missing
-//! there waits for capacity among the fetches from the origin. So a slow origin shuts off neither hits nor parents. A
-//! copy past its freshness lifetime is better than nothing then.
+//! While many fills are in flight, first the cache and then its parent are asked only for what they have cached. Only
+//! a part that is missing at both needs capacity for a fetch from the origin. A slow origin therefore blocks neither
+//! hits nor fills from parents. In that case a copy past its freshness lifetime is better than no answer.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::deadline::Slack;
@@ -13,74 +13,75 @@
 use crate::random::Random;
 use crate::time::SECOND;
 
-/// Fraction of requests that are taken to need a fill before it was measured.
+/// Fraction of requests assumed to need a fill before it was measured.
 const ASSUMED_MISS_RATE: f64 = 0.3;
-/// A zone's link bears this many times the transfers that fit at full pace before clients wait for it.
+/// Multiple of the transfers that fit on a zone's link at full speed above which clients have to wait for the link.
 const LINK_CAPACITY: f64 = 1.6;
-/// How fast a report of the link's load fades.
+/// Decay time of a report of the link's load.
 const LINK_DECAY_TIME: Micros = 2 * SECOND;
-/// One fill, or one fetch.
+/// The share of one whole fill or fetch.
 const FULL_SHARE: f64 = 1.0;
 
-/// How far an attempt may go for what it asks.
+/// How far an attempt may go to obtain a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FillPolicy {
-    /// The cache fills a miss from its source, which fetches what it lacks.
+    /// The cache fills a miss from its source, which fetches parts that it does not have.
     Full,
-    /// Only what the cache has, within its freshness lifetime.
+    /// Only a cached copy within its freshness lifetime.
     CacheOnly,
-    /// Only what the cache has, past its freshness lifetime too.
+    /// Only a cached copy, including one past its freshness lifetime.
     StaleIfCached,
-    /// A known miss at the cache: only what the parent has.
+    /// After a miss at the cache: only a copy that the parent has cached.
     ParentCacheOnly,
-    /// A known miss: the source fetches it.
+    /// After a miss: the source fetches the part.
     Fetch,
 }
 
 impl FillPolicy {
-    /// The attempt goes no further than the cache.
+    /// Whether the attempt uses only the cache itself.
     pub(crate) fn stays_at_cache(self) -> bool {
         matches!(self, FillPolicy::CacheOnly | FillPolicy::StaleIfCached)
     }
 
-    /// A miss is a possible answer, not a failure.
-    pub(crate) fn may_miss(self) -> bool {
+    /// Whether a miss is an accepted answer rather than a failure.
+    pub(crate) fn accepts_miss(self) -> bool {
         self.stays_at_cache() || self == FillPolicy::ParentCacheOnly
     }
 }
 
-/// What the choice of a policy depends on, beside the limits.
-pub(crate) struct FillQuestion {
-    /// The tier of the endpoint that is asked.
+/// Inputs to the choice of a policy, besides the limits.
+pub(crate) struct FillContext {
+    /// Tier of the endpoint of the attempt.
     pub(crate) tier: Tier,
     /// Answers of the class are never cached.
     pub(crate) uncacheable: bool,
-    /// The source of a fill is the origin.
+    /// The fill would come from the origin.
     pub(crate) source_is_origin: bool,
-    /// This proxy was asked for the same lately, and the caches do not join fills: a fill may be under way.
+    /// This proxy recently received a request for the same part, and the caches do not join fills: a fill may be in
+    /// progress.
     pub(crate) may_be_filling: bool,
     /// The class allows copies past their freshness lifetime.
     pub(crate) may_serve_stale: bool,
-    /// Policies that the endpoint was already asked with, in vain.
+    /// Policies that were already tried at the endpoint without success.
     pub(crate) tried_cache_only: bool,
     pub(crate) tried_stale: bool,
     pub(crate) tried_parent_cache: bool,
 }
 
-/// Whether fills and fetches may start now.
+/// Whether the limits on fills and fetches are exhausted.
 #[derive(Clone, Copy)]
 pub(crate) struct FillCapacity {
     fills_full: bool,
     fetches_full: bool,
 }
 
-/// Limits on the fills and fetches of this proxy, and what tells of their load.
+/// Limits on the fills and fetches of this proxy, and the measured load that they depend on.
 pub(crate) struct FillLimits {
     fills: ConcurrencyLimit,
     fetches: ConcurrencyLimit,
-    /// Fraction of attempts that a source had to fill.
+    /// Fraction of attempts that needed a fill from a source.
     miss_rate: SmoothedValue,
-    /// Load of the zone's link as reported: 1 where all transfers just fit at full pace.
+    /// Reported load of the zone's link: 1 if all transfers just fit at full speed.
     link_load: SmoothedValue,
 }
 
@@ -99,47 +100,48 @@
         self.miss_rate.decayed(now, ASSUMED_MISS_RATE, DECAY_TIME)
     }
 
-    /// The load of the zone's link over what it bears.
-    fn link_use(&self, now: Micros) -> f64 {
+    /// Load of the zone's link relative to its capacity.
+    fn link_utilization(&self, now: Micros) -> f64 {
         self.link_load.decayed(now, 0.0, LINK_DECAY_TIME) / LINK_CAPACITY
     }
 
-    /// Whether a request with some slack may start a fill, or a fetch.
+    /// Whether a request with this slack may start a fill or a fetch.
     ///
-    /// The link is shared with proxies that are not seen: past its capacity fills are admitted by chance, in proportion
-    /// to the reported load. A fetch costs the origin much the same whatever the size, so slack counts less there.
+    /// The link is shared with proxies that this one cannot observe. Above the link's capacity, fills are admitted at
+    /// random, with a probability that falls as the reported load rises. The cost of a fetch at the origin depends
+    /// little on its size, so slack has less effect on fetches.
     pub(crate) fn capacity(&self, now: Micros, slack: Slack, random: &mut Random) -> FillCapacity {
-        let fetches_full = self.fetches.at_limit(now, slack.granted.sqrt());
-        let fills_full = self.fills.at_limit(now, slack.granted)
-            || random.fraction() * self.link_use(now) > slack.at_link;
+        let fetches_full = self.fetches.at_limit(now, slack.at_limits.sqrt());
+        let fills_full = self.fills.at_limit(now, slack.at_limits)
+            || random.fraction() * self.link_utilization(now) > slack.at_link;
         FillCapacity {
             fills_full,
             fetches_full,
         }
     }
 
-    /// The policy of the next attempt; none where it would have to wait for capacity.
+    /// Chooses the policy of the next attempt; returns none if the attempt would have to wait for capacity.
     pub(crate) fn choose(
         &self,
         now: Micros,
-        question: &FillQuestion,
+        context: &FillContext,
         capacity: FillCapacity,
     ) -> Option<FillPolicy> {
-        match question.tier {
-            // What the origin runs only passes through, however long that takes.
-            _ if question.uncacheable => Some(FillPolicy::Full),
-            Tier::Cache if !question.tried_cache_only => Some(self.first_policy(now, question)),
-            Tier::Cache => self.policy_after_miss(question, capacity),
-            tier => self.policy_past_caches(tier, question, capacity),
+        match context.tier {
+            // Uncacheable requests run at the origin and only pass through the cache, however long they take.
+            _ if context.uncacheable => Some(FillPolicy::Full),
+            Tier::Cache if !context.tried_cache_only => Some(self.first_policy(now, context)),
+            Tier::Cache => self.policy_after_miss(context, capacity),
+            tier => self.policy_bypassing_caches(tier, context, capacity),
         }
     }
 
-    fn first_policy(&self, now: Micros, question: &FillQuestion) -> FillPolicy {
+    fn first_policy(&self, now: Micros, context: &FillContext) -> FillPolicy {
         let share = self.miss_rate(now);
         let busy = self.fills.near_limit(share)
             || self.fetches.near_limit(share)
-            || self.link_use(now) > 1.0;
-        if busy || question.may_be_filling {
+            || self.link_utilization(now) > 1.0;
+        if busy || context.may_be_filling {
             FillPolicy::CacheOnly
         } else {
             FillPolicy::Full
@@ -148,12 +150,12 @@
 
     fn policy_after_miss(
         &self,
-        question: &FillQuestion,
+        context: &FillContext,
         capacity: FillCapacity,
     ) -> Option<FillPolicy> {
-        let needs_fetch = question.tried_parent_cache || question.source_is_origin;
+        let needs_fetch = context.tried_parent_cache || context.source_is_origin;
         if capacity.fills_full || (needs_fetch && capacity.fetches_full) {
-            let stale = question.may_serve_stale && !question.tried_stale;
+            let stale = context.may_serve_stale && !context.tried_stale;
             return stale.then_some(FillPolicy::StaleIfCached);
         }
         if self.fetches.near_limit(FULL_SHARE) && !needs_fetch {
@@ -163,13 +165,13 @@
         }
     }
 
-    fn policy_past_caches(
+    fn policy_bypassing_caches(
         &self,
         tier: Tier,
-        question: &FillQuestion,
+        context: &FillContext,
         capacity: FillCapacity,
     ) -> Option<FillPolicy> {
-        let may_use_parent = tier == Tier::Parent && !question.tried_parent_cache;
+        let may_use_parent = tier == Tier::Parent && !context.tried_parent_cache;
         if !capacity.fills_full && may_use_parent && self.fetches.near_limit(FULL_SHARE) {
             return Some(FillPolicy::ParentCacheOnly);
         }
@@ -177,8 +179,8 @@
         (!full).then_some(FillPolicy::Fetch)
     }
 
-    /// How much of a fill, and of a fetch, an attempt counts for. What is uncacheable counts for none: no limit judges
-    /// it, and while the origin is down it would keep them shut.
+    /// The shares of a fill and of a fetch that an attempt counts for. Uncacheable requests count for none: no limit
+    /// applies to them, and while the origin is down they would keep the limits low.
     pub(crate) fn shares(&self, now: Micros, policy: FillPolicy, uncacheable: bool) -> (f64, f64) {
         match policy {
             _ if uncacheable || policy.stays_at_cache() => (0.0, 0.0),
@@ -201,25 +203,25 @@
         self.fetches.end(now, fetch_share);
     }
 
-    /// A cache reported the load of the zone's link.
+    /// Records the load of the zone's link as reported by a cache.
     pub(crate) fn record_link_load(&mut self, now: Micros, load: f64) {
         self.link_load.record(now, load, SAMPLE_WEIGHT);
     }
 
-    /// Records whether an attempt needed a fill, as far as its end tells.
+    /// Records whether an attempt needed a fill, if its outcome shows that.
     pub(crate) fn record_miss_rate(&mut self, now: Micros, ended: &EndedAttempt) {
         if ended.policy().stays_at_cache() {
             if ended.succeeded() || ended.missed() {
                 let missed = f64::from(!ended.succeeded());
                 self.miss_rate.record(now, missed, SAMPLE_WEIGHT);
             }
-        } else if ended.succeeded() && ended.complete_status && !ended.uncacheable {
+        } else if ended.succeeded() && ended.complete_cache_status && !ended.uncacheable {
             let filled = f64::from(ended.was_filled());
             self.miss_rate.record(now, filled, SAMPLE_WEIGHT);
         }
     }
 
-    /// Steps the limits by the time that a fill took, relative to its latency objective.
+    /// Adjusts the limits by the time that a fill took, relative to its latency objective.
     pub(crate) fn record_fill(
         &mut self,
         now: Micros,
@@ -230,14 +232,14 @@
         let late = relative_time > 1.0;
         let fetched = ended.fetched_from_origin();
         let late_at_link = ended.had_early_first_byte();
-        let judges_fetches = fetched && !(late && late_at_link);
-        let judges_fills = !late || !fetched || late_at_link;
+        let applies_to_fetches = fetched && !(late && late_at_link);
+        let applies_to_fills = !late || !fetched || late_at_link;
         let (fill_share, fetch_share) = (ended.attempt.fill_share, ended.attempt.fetch_share);
-        if judges_fetches && self.fetches.record_outcome(now, relative_time, fetch_share) {
+        if applies_to_fetches && self.fetches.record_outcome(now, relative_time, fetch_share) {
             let limit = self.fetches.limit();
             actions.push(Action::Log(LogEvent::FetchLimitCut { limit }));
         }
-        if judges_fills && self.fills.record_outcome(now, relative_time, fill_share) {
+        if applies_to_fills && self.fills.record_outcome(now, relative_time, fill_share) {
             let limit = self.fills.limit();
             actions.push(Action::Log(LogEvent::FillLimitCut { limit }));
         }
@@ -245,8 +247,8 @@
 }
 
 impl EndedAttempt {
-    /// Whether the time of a fill was spent behind the parent, at the origin: by what the cache reports, else by what
-    /// was asked.
+    /// Whether the time of a fill was spent behind the parent, at the origin. Uses the cache status if it is
+    /// conclusive, otherwise the policy of the attempt.
     fn fetched_from_origin(&self) -> bool {
         match self.end.cache_status {
             CacheStatus::FilledFromOrigin | CacheStatus::OriginFailed => true,
@@ -256,7 +258,7 @@
             | CacheStatus::SourceUnreachable => false,
             _ => match self.policy() {
                 FillPolicy::Fetch => true,
-                FillPolicy::Full => !(self.complete_status && self.succeeded()),
+                FillPolicy::Full => !(self.complete_cache_status && self.succeeded()),
                 _ => false,
             },
         }
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: who is at fault, what each estimate and limit learns of it, and how the request goes on.
+//! Processes the end of an attempt: attributes the fault, updates estimates and limits, and decides how the request
+//! continues.
 
 use crate::deadline;
 use crate::ended_attempt::EndedAttempt;
@@ -9,42 +10,43 @@
     Action, AttemptEnd, AttemptOutcome, CacheStatus, EndpointIndex, LogEvent, Micros, Request,
 };
 use crate::pending_request::{Attempt, PlannedAttempt};
-use crate::retry::{is_in_vain, next_fill_poll};
+use crate::retry::{is_retry_futile, next_fill_poll};
 use crate::router::Router;
 use crate::source_selection::SOURCE_SAMPLE_WEIGHT;
 use crate::time::SECOND;
 
-/// Time that a hit takes beside its transfer.
+/// Time that a hit takes in addition to its transfer.
 const HIT_OVERHEAD: Micros = SECOND / 50;
-/// The most that a single hit says of a cache's slowdown.
+/// Maximum slowdown that a single hit contributes to a cache's estimate.
 const MAX_SLOWDOWN_SAMPLE: f64 = 20.0;
 
 impl Attempt {
-    /// Records which endpoints are spent for the request. `blames_source`: of two in doubt the source is at fault.
+    /// Records which endpoints must not be used again for the request. `blames_source`: the fault is ambiguous and is
+    /// attributed to the source.
     fn record_end(&mut self, ended: &EndedAttempt, stalled: bool, blames_source: bool) {
         self.inconclusive = stalled || ended.was_withdrawn();
         if ended.is_expected_miss() {
             return;
         }
         let status = ended.end.cache_status;
-        let excused = ended.succeeded() || status.blames_source() || blames_source;
+        let excused = ended.succeeded() || status.is_source_failure() || blames_source;
         self.endpoint_excluded = !excused && !self.inconclusive;
         self.source_excluded = ended.fault.source || blames_source || ended.missed();
     }
 }
 
 impl Router {
-    /// An attempt has ended: its outcome is attributed and recorded, and its request goes on.
+    /// Handles the end of an attempt: attributes and records its outcome, and continues its request.
     ///
-    /// The next attempt is planned before the outcome is recorded at the endpoints, and dispatched after. What went
-    /// wrong for this request stands in its own attempts.
+    /// The next attempt is planned before the outcome is recorded at the endpoints, and dispatched afterwards.
+    /// Planning finds the failures of this request in the request's own attempts.
     pub(crate) fn attempt_ended(
         &mut self,
         end: AttemptEnd,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
-        let Some(mut ended) = self.settle_attempt(end, now) else {
+        let Some(mut ended) = self.finish_attempt(end, now) else {
             return;
         };
         self.fill_limits
@@ -60,39 +62,47 @@
         }
     }
 
-    /// Marks the attempt as ended and attributes its outcome; none where it is not known to be in flight.
-    fn settle_attempt(&mut self, end: AttemptEnd, now: Micros) -> Option<EndedAttempt> {
+    /// Marks the attempt as ended and attributes its outcome. Returns none if the attempt is not known to be in
+    /// flight.
+    fn finish_attempt(&mut self, end: AttemptEnd, now: Micros) -> Option<EndedAttempt> {
         let endpoint = &self.endpoints[end.endpoint];
-        let stalled =
-            end.outcome == AttemptOutcome::TimedOut && end.attempt == 0 && endpoint.stalls(now);
+        let stalled = end.outcome == AttemptOutcome::TimedOut
+            && end.attempt == 0
+            && endpoint.is_stalling(now);
         let pending = self.requests.get_mut(&end.id)?;
         let attempt = pending.attempts.get_mut(usize::from(end.attempt));
         let attempt = attempt.filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.may_have_run = end.outcome.may_have_run();
-        let complete_status = self.settings.complete_cache_status;
+        let complete_cache_status = self.settings.complete_cache_status;
         let has_source = attempt.source.is_some();
         let class = &self.classes[pending.request.class];
         let ended = EndedAttempt {
             attempt: *attempt,
             request: pending.request,
-            fault: Fault::attribute(end.outcome, end.cache_status, has_source, complete_status),
+            fault: Fault::attribute(
+                end.outcome,
+                end.cache_status,
+                has_source,
+                complete_cache_status,
+            ),
             request_answered: pending.answered,
             uncacheable: class.settings.uncacheable,
-            complete_status,
+            complete_cache_status,
             latency_objective: class.settings.latency_objective,
             expected_work: class.expected_work(&pending.request, &self.settings),
             slowdown: endpoint.slowdown(now).max(1.0),
             work_done: 0.0,
             end,
         };
-        // In doubt the one that fails more is left alone next time, and the other tried again.
+        // If the fault is ambiguous, the one with the higher suspected failure rate is avoided by the next attempt,
+        // and the other one is tried again.
         let suspected =
             |index: EndpointIndex| self.endpoints[index].health.suspected_failure_rate(now);
         let source_is_worse = attempt
             .source
             .is_some_and(|source| suspected(source) > suspected(ended.end.endpoint));
-        attempt.record_end(&ended, stalled, ended.fault.unclear && source_is_worse);
+        attempt.record_end(&ended, stalled, ended.fault.ambiguous && source_is_worse);
         self.record_link_load(&ended.end, now);
         Some(ended)
     }
@@ -107,7 +117,8 @@
         }
     }
 
-    /// Learns the work of the class's requests: by the size that the answer shows, else by the time of a hit.
+    /// Updates the work estimate of the class, from the size in the answer if it has one, otherwise from the time of
+    /// a hit.
     fn record_work(&mut self, ended: &mut EndedAttempt) {
         let class = &mut self.classes[ended.request.class];
         let size_known = ended.request.size_kb > 0.0;
@@ -119,7 +130,8 @@
             let work = class.expected_work(&sized, &self.settings);
             class.work.record_size(work);
         } else if ended.succeeded() && !size_known {
-            let is_own_time = ended.is_known_hit() || !ended.complete_status || ended.uncacheable;
+            let is_own_time =
+                ended.is_known_hit() || !ended.complete_cache_status || ended.uncacheable;
             if is_own_time {
                 class.work.record_time(ended.end.elapsed as f64);
             }
@@ -130,9 +142,9 @@
     }
 
     fn record_fill(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
-        // The slowdown of a cache at what it has cached says nothing of the fills.
+        // The slowdown of a cache on hits does not indicate how loaded fills are.
         let time = self.relative_time(ended, ended.slowdown);
-        if let Some(time) = time.filter(|_| ended.judges_fills()) {
+        if let Some(time) = time.filter(|_| ended.measures_fill_load()) {
             self.fill_limits.record_fill(now, ended, time, actions);
         }
     }
@@ -145,7 +157,7 @@
         class.relative_time(outcome, elapsed, ended.expected_work, slowdown)
     }
 
-    /// How the request goes on: it is over, waits for a fill, is retried, or gets its final answer.
+    /// Decides how the request continues: it is complete, waits for a fill, is retried, or gets its final answer.
     fn next_step(
         &mut self,
         ended: &EndedAttempt,
@@ -154,13 +166,13 @@
     ) -> Option<PlannedAttempt> {
         let id = ended.request.id;
         if ended.succeeded() && !ended.request_answered {
-            self.record_answer(&ended.request, true, now);
+            self.record_final_answer(&ended.request, true, now);
         }
         if ended.end.finished || ended.request_answered {
-            self.close(id, actions);
+            self.close_request(id, actions);
             return None;
         }
-        if ended.found_fill_under_way() && self.wait_for_fill(ended, now, actions) {
+        if ended.found_fill_in_progress() && self.wait_for_fill(ended, now, actions) {
             return None;
         }
         if ended.is_expected_miss() || ended.was_withdrawn() {
@@ -173,7 +185,7 @@
         self.retry(id, now, actions)
     }
 
-    /// Waits until the fill that is under way at the cache should be done; false where that would be too late.
+    /// Waits until the fill in progress at the cache should be complete. Returns false if that would be too late.
     fn wait_for_fill(
         &mut self,
         ended: &EndedAttempt,
@@ -194,20 +206,20 @@
         true
     }
 
-    /// A retry after a failure, paid from the retry budget.
+    /// Retries after a failure, at the expense of the retry budget.
     fn retry(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) -> Option<PlannedAttempt> {
         let class = &self.classes[self.requests.get(&id)?.request.class];
-        if is_in_vain(class, &self.endpoints, now) || !self.retry_budget.try_withdraw() {
-            self.give_up(id, now, actions);
+        if is_retry_futile(class, &self.endpoints, now) || !self.retry_budget.try_withdraw() {
+            self.reject_or_fail(id, now, actions);
             return None;
         }
         self.plan_or_answer(id, now, actions)
     }
 
-    /// Records an outcome at the endpoint that it came from.
+    /// Records an outcome at the endpoint of the attempt.
     fn record_at_endpoint(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
-        let judges = ended.judges_endpoint();
-        let relative_time = self.relative_time(ended, 1.0).filter(|_| judges);
+        let measures_load = ended.measures_endpoint_load();
+        let relative_time = self.relative_time(ended, 1.0).filter(|_| measures_load);
         let endpoint = &mut self.endpoints[ended.end.endpoint];
         let stable_id = endpoint.stable_id;
         if ended.was_answered() {
@@ -220,20 +232,20 @@
         }
         endpoint
             .health
-            .record(now, ended.fault.of_endpoint(ended.uncacheable));
-        let unreached = ended.end.outcome == AttemptOutcome::ConnectFailed;
-        if unreached && endpoint.record_unreached(now) {
+            .record(now, ended.fault.endpoint_attribution(ended.uncacheable));
+        let connect_failed = ended.end.outcome == AttemptOutcome::ConnectFailed;
+        if connect_failed && endpoint.record_connect_failure(now) {
             actions.push(Action::Log(LogEvent::EndpointUnreachable { stable_id }));
         }
-        if judges {
-            let usual = ended.expected_work + HIT_OVERHEAD as f64;
-            let slowdown = (ended.end.elapsed as f64 / usual).min(MAX_SLOWDOWN_SAMPLE);
+        if measures_load {
+            let expected_time = ended.expected_work + HIT_OVERHEAD as f64;
+            let slowdown = (ended.end.elapsed as f64 / expected_time).min(MAX_SLOWDOWN_SAMPLE);
             endpoint.slowdown.record(now, slowdown, SAMPLE_WEIGHT);
         }
         endpoint.work_rate.record(now, ended.work_done);
     }
 
-    /// Records an outcome at the source that the attempt named, if any.
+    /// Records an outcome at the source of the attempt, if it has one.
     fn record_at_source(&mut self, ended: &EndedAttempt, now: Micros, actions: &mut Vec<Action>) {
         let Some(source) = ended.attempt.source else {
             return;
@@ -241,15 +253,15 @@
         if self.endpoints[source].tier == Tier::Parent {
             self.record_parent_fill(source, ended, now, actions);
         }
-        // A hit says nothing of the source.
-        let known_hit = ended.complete_status && ended.succeeded() && !ended.was_filled();
+        // A hit gives no information about the source.
+        let known_hit = ended.complete_cache_status && ended.succeeded() && !ended.was_filled();
         if !known_hit {
             self.record_source_times(source, ended, now);
         }
     }
 
-    /// Steps the limit of a parent by the time of a fill, where it tells of the parent's own link: what the origin had
-    /// to fetch does not.
+    /// Adjusts the limit of a parent by the time of a fill, if that time reflects the parent's own link. The time of
+    /// a fill that the parent had to fetch from the origin does not.
     fn record_parent_fill(
         &mut self,
         source: EndpointIndex,
@@ -276,7 +288,7 @@
         }
     }
 
-    /// The time of a fill over the latency objective, without the slowdown of its cache.
+    /// Time of a fill relative to the latency objective, corrected for the slowdown of its cache.
     fn parent_time(&self, ended: &EndedAttempt) -> f64 {
         let class = &self.classes[ended.request.class].settings;
         let objective = class
@@ -287,7 +299,7 @@
 
     fn record_source_times(&mut self, source: EndpointIndex, ended: &EndedAttempt, now: Micros) {
         let timed_out = ended.end.outcome == AttemptOutcome::TimedOut;
-        // Sizes differ far more than parents do: only what goes beyond the object's own time counts.
+        // Sizes vary far more than the speed of parents, so the expected transfer time of the object is subtracted.
         let elapsed = ended.end.elapsed.max(now - ended.attempt.started_at);
         let latency = (elapsed - ended.expected_work as Micros).max(0);
         let first_byte = if timed_out {
@@ -295,15 +307,15 @@
         } else {
             ended.end.first_byte
         };
-        // A quick failure is no quick answer.
+        // A fast failure must not count as low latency.
         let latency = (ended.succeeded() || timed_out).then_some(latency);
-        let work = if !ended.complete_status || ended.was_filled() {
+        let work = if !ended.complete_cache_status || ended.was_filled() {
             ended.work_done
         } else {
             0.0
         };
         let source = &mut self.endpoints[source];
-        source.health.record(now, ended.fault.of_source());
+        source.health.record(now, ended.fault.source_attribution());
         if let Some(time) = first_byte {
             source
                 .first_byte
--- a/crates/routing/src/planning.rs
+++ b/crates/routing/src/planning.rs
@@ -1,30 +1,30 @@
-//! Planning: where the next attempt of a request goes, and how.
+//! Planning: decides where the next attempt of a request goes and how far it may go.
 //!
-//! Asked in this order: may an attempt start at all (`retry`), which endpoint and source (`placement`,
-//! `source_selection`, `outlier_detection`), how far it may go (`fill_policy`), with which copies (`freshness`), and how
-//! long (`deadline`).
+//! The rules are evaluated in this order: whether an attempt may start at all (`retry`), which endpoint and source it
+//! uses (`placement`, `source_selection`, `outlier_detection`), how far it may go (`fill_policy`), which copies it
+//! may return (`freshness`), and how long it may take (`deadline`).
 
 use crate::deadline::{attempt_timeout, slack};
 use crate::endpoint::Tier;
-use crate::fill_policy::{FillPolicy, FillQuestion};
+use crate::fill_policy::{FillContext, FillPolicy};
 use crate::interface::{Action, EndpointIndex, Fill, Micros};
 use crate::pending_request::{PendingRequest, PlannedAttempt};
 use crate::placement::ANY_PART;
 use crate::request_class::RequestClass;
 use crate::retry::may_start_attempt;
 use crate::router::Router;
-use crate::tail_retention::UNCACHED;
+use crate::tail_retention::UNCACHED_RANK;
 
-/// Where an attempt goes, and from where a miss is filled.
+/// The endpoint of an attempt and the source of its fill on a miss.
 struct Route {
     endpoint: EndpointIndex,
-    /// The endpoint itself where there is no other source.
+    /// The same as `endpoint` if there is no other source.
     source: EndpointIndex,
 }
 
 impl Router {
-    /// Plans the next attempt of a request. One that cannot go on gets its final answer instead; one that has an answer,
-    /// or the start of one, needs neither.
+    /// Plans the next attempt of a request. A request that cannot continue gets its final answer instead. A request
+    /// that is already answered, or whose response has started, gets neither.
     pub(crate) fn plan_or_answer(
         &mut self,
         id: u32,
@@ -36,12 +36,12 @@
         }
         let planned = self.plan_attempt(id, now);
         if planned.is_none() {
-            self.give_up(id, now, actions);
+            self.reject_or_fail(id, now, actions);
         }
         planned
     }
 
-    /// Plans the next attempt of a request; none where it cannot go on now.
+    /// Plans the next attempt of a request; returns none if it cannot continue now.
     fn plan_attempt(&mut self, id: u32, now: Micros) -> Option<PlannedAttempt> {
         let pending = self.requests.get(&id)?;
         let request = pending.request;
@@ -53,8 +53,8 @@
         let route = self.choose_route(pending, uncacheable, now)?;
         let slack = slack(&request, &self.classes, &self.settings);
         let capacity = self.fill_limits.capacity(now, slack, &mut self.random);
-        let question = self.fill_question(pending, class, &route);
-        let policy = self.fill_limits.choose(now, &question, capacity)?;
+        let context = self.fill_context(pending, class, &route);
+        let policy = self.fill_limits.choose(now, &context, capacity)?;
         let (fill_share, fetch_share) = self.fill_limits.shares(now, policy, uncacheable);
         let endpoint = &self.endpoints[route.endpoint];
         let expected_work = class.expected_work(&request, &self.settings);
@@ -66,10 +66,11 @@
             policy,
             fill_share,
             fetch_share,
-            slack: slack.granted,
+            slack: slack.at_limits,
             timeout: attempt_timeout(pending, endpoint, class, &self.settings, now),
             work,
-            // All of it, not its likely part: emptied caches overload a warming parent before a miss rate has moved.
+            // Counts the whole fill, not its expected fraction: emptied caches would overload a warming parent before
+            // the measured miss rate rises.
             fill_work: if request.size_kb > 0.0 {
                 expected_work
             } else {
@@ -77,11 +78,11 @@
             },
             endpoint_tier_rate: self.work_rate_of(endpoint.tier, now),
             parent_tier_rate: self.work_rate_of(Tier::Parent, now),
-            known_bound: self.freshness.binding_moment(now, &request),
+            known_bound: self.freshness.latest_bound(now, &request),
         })
     }
 
-    /// The endpoint and the source of a request's next attempt.
+    /// Chooses the endpoint and the source of the next attempt of a request.
     fn choose_route(
         &self,
         pending: &PendingRequest,
@@ -90,20 +91,19 @@
     ) -> Option<Route> {
         let origin = self.endpoints.candidates(pending, Tier::Origin, ANY_PART);
         let origin = origin.first().copied();
-        let straight_to_origin = origin.filter(|_| uncacheable);
-        let source =
-            straight_to_origin.or_else(|| self.endpoints.select_source(pending, origin, now));
+        let direct_origin = origin.filter(|_| uncacheable);
+        let source = direct_origin.or_else(|| self.endpoints.select_source(pending, origin, now));
         let may_bypass = self.settings.may_bypass_caches;
         let caches =
             self.endpoints
                 .candidates(pending, Tier::Cache, u64::from(pending.request.part));
         let endpoint = match self.choose_cache(&caches, now) {
             Some(cache) if !(uncacheable && may_bypass) => Some(cache),
-            // Past the caches only where none is sound, or none would keep it anyway.
+            // Bypasses the caches only if all of them are ejected, or if the answer is uncacheable.
             _ if may_bypass => source,
             _ => caches.first().copied(),
         }?;
-        // A parent that names itself as its source would fetch nothing.
+        // A parent that is its own source would fetch nothing, so its source is the origin.
         let is_parent = self.endpoints[endpoint].tier == Tier::Parent;
         let source = if is_parent { origin } else { source };
         Some(Route {
@@ -112,32 +112,34 @@
         })
     }
 
-    /// The first cache by the hash that is not ejected; none where all are. Where it is near its limit, `home`, the first
-    /// by the hash whether ejected or not, takes the request after all, as long as it mostly serves: most requests are hits
-    /// there, and the rest of a zone must not be overloaded by what an ejected part of it had.
+    /// Chooses the first cache by hash that is not ejected, or none if all are ejected. If that cache is near its
+    /// limit, the request goes to the preferred cache, which is the first by hash whether it is ejected or not, as
+    /// long as it serves most requests. Most requests are hits there, and the load of ejected caches must not
+    /// overload the rest of the zone.
     fn choose_cache(&self, caches: &[EndpointIndex], now: Micros) -> Option<EndpointIndex> {
-        let mut sound = caches
+        let mut not_ejected = caches
             .iter()
             .copied()
             .filter(|cache| !self.endpoints.is_ejected(*cache, now));
-        let cache = sound.next()?;
-        let home = caches.first().copied();
-        let home = home.filter(|home| self.endpoints[*home].mostly_serves(now));
+        let cache = not_ejected.next()?;
+        let preferred = caches.first().copied();
+        let preferred =
+            preferred.filter(|preferred| self.endpoints[*preferred].serves_most_requests(now));
         if self.endpoints[cache].is_near_limit() {
-            return home.or(Some(cache));
+            return preferred.or(Some(cache));
         }
         Some(cache)
     }
 
-    fn fill_question(
+    fn fill_context(
         &self,
         pending: &PendingRequest,
         class: &RequestClass,
         route: &Route,
-    ) -> FillQuestion {
+    ) -> FillContext {
         let tried = |policy| pending.has_tried(route.endpoint, policy);
         let requested_recently = pending.retention.requested_recently;
-        FillQuestion {
+        FillContext {
             tier: self.endpoints[route.endpoint].tier,
             uncacheable: class.settings.uncacheable,
             source_is_origin: self.endpoints[route.source].tier == Tier::Origin,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// What the endpoint is told of the fill of a miss.
+    /// Returns the fill instructions for the endpoint in case of a miss.
     fn fill(
         &self,
         pending: &PendingRequest,
@@ -159,7 +161,7 @@
         now: Micros,
     ) -> Fill {
         let settings = &class.settings;
-        let asks_itself = policy.stays_at_cache()
+        let without_fill = policy.stays_at_cache()
             || (policy == FillPolicy::ParentCacheOnly
                 && self.endpoints[route.endpoint].tier != Tier::Cache);
         let grace = if policy == FillPolicy::StaleIfCached {
@@ -168,13 +170,13 @@
             0
         };
         Fill {
-            source: if asks_itself {
+            source: if without_fill {
                 route.endpoint
             } else {
                 route.source
             },
             retention: if settings.uncacheable {
-                UNCACHED
+                UNCACHED_RANK
             } else {
                 pending.retention.rank
             },
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Work per second that an endpoint of a tier does for this proxy on average, in microseconds.
+    /// Average work per second that an endpoint of a tier does for this proxy, in microseconds.
     fn work_rate_of(&self, tier: Tier, now: Micros) -> f64 {
         let rate = self
             .endpoints
--- a/crates/routing/src/request_class.rs
+++ b/crates/routing/src/request_class.rs
@@ -1,20 +1,20 @@
-//! What is known of each request class: its settings, and the work that its requests bring.
+//! The state of each request class: its settings, and the expected work of its requests.
 
 use crate::interface::Request;
 use crate::settings::{ClassSettings, RoutingSettings};
 use crate::size_fairness::{SizeFairness, SizeGroup};
 use crate::time::SECOND;
 
-/// Samples over which the mean work is taken, where sizes are told and where only times are seen.
+/// Maximum number of samples in the mean work, if sizes are known and if only times are known.
 const SIZED_SAMPLES: f64 = 500.0;
 const TIMED_SAMPLES: f64 = 50.0;
-/// Factor by which a mean of times may grow with each sample.
+/// Factor by which an estimate from times may grow with each sample.
 const GROWTH_PER_SAMPLE: f64 = 1.0005;
-/// Samples over which the mean for slow start is taken, and how many have to be there before it is used.
+/// Maximum number of samples in the mean for slow start, and the minimum number before it is used.
 const SLOW_START_SAMPLES: f64 = 60.0;
 const MINIMUM_SLOW_START_SAMPLES: f64 = 6.0;
 
-/// A request class.
+/// Settings and estimates of a request class.
 pub(crate) struct RequestClass {
     pub(crate) settings: ClassSettings,
     pub(crate) work: WorkEstimate,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Time that a request takes at full pace, in microseconds: by its size, else by its class's mean.
+    /// Expected time of a request at full speed, in microseconds: from its size if known, otherwise the class's mean.
     pub(crate) fn expected_work(&self, request: &Request, settings: &RoutingSettings) -> f64 {
         let pace = settings.transfer_kb_per_second;
         if request.size_kb > 0.0 && pace > 0.0 {
@@ -40,21 +40,22 @@
         self.work.typical
     }
 
-    /// The group of large requests that a request with this work is in, if any.
+    /// The group of large requests to which a request with this work belongs, if any.
     pub(crate) fn size_group(&self, work: f64) -> Option<SizeGroup> {
         SizeGroup::of(work, self.work.typical)
     }
 }
 
-/// The mean work of a class's requests, in microseconds.
+/// Estimate of the work of a class's requests, in microseconds.
 ///
-/// Where sizes are not told, work is estimated from times, which grow with an overload and would hide it: the lowest
-/// mean stands, and gives way slowly. That minimum is soon one of few samples, low by chance, and endpoints in slow
-/// start would get too much by as much: they are counted by a mean over more.
+/// If sizes are not known, work is estimated from times. Times grow in an overload and would hide it, so the estimate
+/// follows the lowest mean and rises only slowly. That minimum soon comes from few samples and is low by chance,
+/// which would send too much work to endpoints in slow start. For slow start, requests are therefore counted with a
+/// mean over more samples.
 pub(crate) struct WorkEstimate {
-    /// What a usual request takes.
+    /// Work of a typical request.
     pub(crate) typical: f64,
-    /// What a request counts for in slow start.
+    /// Work that a request counts for in slow start.
     pub(crate) for_slow_start: f64,
     mean: f64,
     mean_samples: f64,
@@ -63,7 +64,7 @@
 }
 
 impl WorkEstimate {
-    /// Starts from all the time that requests have, the careful side for endpoints in slow start.
+    /// Starts from the whole latency objective, which is the conservative choice for endpoints in slow start.
     fn new(latency_objective: f64) -> WorkEstimate {
         WorkEstimate {
             typical: latency_objective,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Records the work of a request whose size was told.
+    /// Records the work of a request whose size is known.
     pub(crate) fn record_size(&mut self, work: f64) {
         self.record(work, SIZED_SAMPLES);
         self.typical = self.mean;
@@ -87,14 +88,14 @@
         self.record(time, TIMED_SAMPLES);
         self.typical = self.mean.min(self.typical * GROWTH_PER_SAMPLE);
         if self.slow_start_samples >= MINIMUM_SLOW_START_SAMPLES {
-            let most = self.for_slow_start * GROWTH_PER_SAMPLE;
-            self.for_slow_start = self.slow_start_mean.min(most);
+            let maximum = self.for_slow_start * GROWTH_PER_SAMPLE;
+            self.for_slow_start = self.slow_start_mean.min(maximum);
         }
     }
 
-    fn record(&mut self, sample: f64, most_samples: f64) {
+    fn record(&mut self, sample: f64, max_samples: f64) {
         self.mean += (sample - self.mean) / self.mean_samples;
-        self.mean_samples = (self.mean_samples + 1.0).min(most_samples);
+        self.mean_samples = (self.mean_samples + 1.0).min(max_samples);
         self.slow_start_samples += 1.0;
         let samples = self.slow_start_samples.min(SLOW_START_SAMPLES);
         self.slow_start_mean += (sample - self.slow_start_mean) / samples;
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,9 +1,11 @@
-//! Retries: whether another attempt may go out, who pays for it, and when a fill under way is asked for again.
+//! Retries: whether another attempt may start, which attempts use the retry budget, and when to ask again for a part
+//! whose fill is in progress.
 //!
-//! Rule 2: no effect twice. Retries after a failure are paid from a budget that arriving requests fill, so that they cannot
-//! feed an overload. Free of charge (`outcome`, `dispatch`): an attempt after a miss that was asked about, after one that was
-//! withdrawn before it was written, after the wait for a fill, and one that is planned anew as source or endpoint refused
-//! it. All count towards the cap on attempts, but for the last, which never went out.
+//! Rule 2: no effect happens twice. Retries after a failure are paid from a budget that arriving requests fill, so
+//! that retries cannot amplify an overload. Some attempts are free (see `outcome` and `dispatch`): after a miss that
+//! the fill policy accepts, after an attempt that was withdrawn before it was written, after waiting for a fill, and
+//! when an attempt is planned again because its source or endpoint refused it. All of them count towards the maximum
+//! number of attempts, except a refused one, which never started.
 
 use crate::endpoint::{EndpointTable, Tier};
 use crate::interface::Micros;
@@ -14,14 +16,14 @@
 
 /// Retries that each new request adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.2;
-/// The most retries that the budget holds.
+/// Maximum number of retries in the budget.
 const MAX_BUDGET: f64 = 20.0;
-/// What a retry takes from the budget.
+/// Tokens that a retry takes from the budget.
 const RETRY_COST: f64 = 1.0;
-/// Least time before a fill under way is asked for again.
+/// Minimum time before a part whose fill is in progress is requested again.
 const MIN_FILL_WAIT: Micros = SECOND / 30;
-/// Part of a request's own time after which a fill under way is asked for again.
-const FILL_WAIT_PARTS: Micros = 4;
+/// A part whose fill is in progress is requested again after its expected transfer time divided by this.
+const FILL_WAIT_DIVISOR: Micros = 4;
 
 /// The retry budget: a token bucket that new requests fill.
 pub(crate) struct RetryBudget {
@@ -34,12 +36,12 @@
         RetryBudget { tokens: MAX_BUDGET }
     }
 
-    /// A new request has come.
+    /// Adds the tokens of a new request.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + BUDGET_PER_REQUEST).min(MAX_BUDGET);
     }
 
-    /// Pays for a retry, if the budget allows one.
+    /// Takes the cost of a retry from the budget, if it has enough tokens.
     pub(crate) fn try_withdraw(&mut self) -> bool {
         let allowed = self.tokens >= RETRY_COST;
         if allowed {
@@ -50,14 +52,14 @@
 }
 
 impl Idempotency {
-    /// Whether another attempt may run beside earlier ones of the same request.
+    /// Whether another attempt may run in addition to earlier ones of the same request.
     pub(crate) fn allows_repeat(self, earlier: &[Attempt], now: Micros) -> bool {
         let Some(first) = earlier.iter().find(|attempt| attempt.may_have_run) else {
             return true;
         };
         match self {
             Idempotency::Idempotent => true,
-            // Where only endpoints of one group share the keys, the retry would have to go to the same group.
+            // If only the endpoints of one group share the keys, the retry would have to go to the same group.
             Idempotency::Keyed {
                 shared_by_all,
                 window,
@@ -67,7 +69,8 @@
     }
 }
 
-/// Whether the next attempt of a request may start: in time, within the cap, one at a time, and with no effect twice.
+/// Whether the next attempt of a request may start: before the deadline, within the maximum number of attempts, one
+/// at a time, and without a second effect.
 pub(crate) fn may_start_attempt(
     pending: &PendingRequest,
     class: &RequestClass,
@@ -84,16 +87,20 @@
             .allows_repeat(&pending.attempts, now)
 }
 
-/// Whether retries are in vain: only the origin can run the request, and the origin fails.
-pub(crate) fn is_in_vain(class: &RequestClass, endpoints: &EndpointTable, now: Micros) -> bool {
+/// Whether a retry cannot succeed because only the origin can run the request and the origin is ejected.
+pub(crate) fn is_retry_futile(
+    class: &RequestClass,
+    endpoints: &EndpointTable,
+    now: Micros,
+) -> bool {
     let mut origins = endpoints.ready(Tier::Origin);
     class.settings.uncacheable && origins.any(|(origin, _)| endpoints.is_ejected(origin, now))
 }
 
-/// When to ask again for a part whose fill is under way at the cache and cannot be joined; none where the answer would
-/// come too late then.
+/// When to ask again for a part whose fill is in progress at the cache and cannot be joined; none if the answer would
+/// then be too late.
 ///
-/// So a new popular object is filled once, instead of once for each request.
+/// This way a newly popular object is filled once instead of once for each request.
 pub(crate) fn next_fill_poll(
     pending: &PendingRequest,
     class: &RequestClass,
@@ -102,7 +109,7 @@
     now: Micros,
 ) -> Option<Micros> {
     let work_time = work as Micros;
-    let wait = (work_time / FILL_WAIT_PARTS).max(MIN_FILL_WAIT);
+    let wait = (work_time / FILL_WAIT_DIVISOR).max(MIN_FILL_WAIT);
     let at = now + pending.attempts.len() as Micros * wait;
     let objective = pending.arrived_at + class.settings.objective(work) as Micros;
     let late = at + work_time > pending.request.deadline.min(objective);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,18 +1,19 @@
-//! The router: which rule is asked when. Events go in, actions come out; no I/O, and no clock of its own.
+//! The router: decides in which order the rules are evaluated. It takes events and returns actions, does no I/O and
+//! has no clock of its own.
 //!
-//! A host calls [`Router::new`] once and then [`Router::handle_event`] for each event, in order, with its clock; what is
-//! to be done is pushed onto `actions`, in order. Nothing is read but the events and the settings, so the same events
-//! bring the same actions.
+//! A host calls [`Router::new`] once and then [`Router::handle_event`] for each event, in order, with the time of the
+//! host's clock. Actions are appended to `actions` in the order in which the host has to carry them out. The router
+//! reads only the events and the settings, so the same events produce the same actions.
 //!
-//! The way of a request:
+//! How a request is processed:
 //!
-//! 1. It arrives ([`Event::RequestArrived`]): `tail_retention` says whether it is worth caching, and the `retry` budget
-//!    grows.
-//! 2. `planning` chooses endpoint, source and fill policy of an attempt.
-//! 3. `dispatch` reserves capacity at both and starts it, or has it planned anew.
-//! 4. The attempt ends ([`Event::AttemptEnded`]): `outcome` attributes and records it; the request is over, is retried,
-//!    or waits.
-//! 5. `response` words the final answer of a request that cannot go on.
+//! 1. The request arrives ([`Event::RequestArrived`]): `tail_retention` decides whether its part is cached, and the
+//!    `retry` budget grows.
+//! 2. `planning` chooses the endpoint, source and fill policy of an attempt.
+//! 3. `dispatch` reserves capacity at both and starts the attempt, or has it planned again.
+//! 4. The attempt ends ([`Event::AttemptEnded`]): `outcome` attributes and records its outcome. The request is
+//!    complete, is retried, or waits.
+//! 5. `response` builds the final answer of a request that cannot continue.
 
 use crate::endpoint::EndpointTable;
 use crate::fill_policy::FillLimits;
@@ -28,19 +29,20 @@
 use crate::time::SECOND;
 use std::collections::BTreeMap;
 
-/// Time after which discovery is polled again where it could not be reached.
+/// Time until discovery is polled again after it was unavailable.
 const DISCOVERY_RETRY: Micros = SECOND;
-/// Weight of a figure that other proxies measured: it stands alone.
-const ADOPTED_WEIGHT: f64 = 1.0;
-/// The timer that polls discovery; requests have others.
+/// Weight of an estimate from other proxies. It replaces the local value, since this proxy has no samples yet.
+const SHARED_ESTIMATE_WEIGHT: f64 = 1.0;
+/// Id of the timer that polls discovery. The timer of a request has the request's id.
 const DISCOVERY_TIMER: u32 = 0;
 
-/// One instance of the decisions.
+/// The state machine that makes the routing decisions.
 pub struct Router {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: Random,
     pub(crate) endpoints: EndpointTable,
-    /// By index; the last is for requests whose class the settings do not name, and takes nothing for granted.
+    /// Request classes by index. The last one is for requests whose class is not in the settings; it has the default
+    /// settings, which assume no guarantee such as idempotency.
     pub(crate) classes: Vec<RequestClass>,
     pub(crate) requests: BTreeMap<u32, PendingRequest>,
     pub(crate) retry_budget: RetryBudget,
@@ -50,7 +52,7 @@
 }
 
 impl Router {
-    /// Starts an instance. The same seed, settings and events bring the same actions.
+    /// Creates a router. The same seed, settings and events produce the same actions.
     pub fn new(seed: u64, settings: &Settings, actions: &mut Vec<Action>) -> Router {
         let mut settings = RoutingSettings::read(settings);
         if settings.polls_discovery {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Handles an event. What is to be done is appended to `actions`, in order.
+    /// Handles an event and appends the resulting actions to `actions`, in order.
     pub fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::RequestArrived(request) => self.request_arrived(request, now, actions),
@@ -80,14 +82,14 @@
             Event::ResponseStarted { id } => self.response_started(id),
             Event::AttemptEnded(end) => self.attempt_ended(end, now, actions),
             Event::ClientHalfClosed { id } => self.client_half_closed(id, now, actions),
-            Event::ClientLeft { id } => self.close(id, actions),
+            Event::ClientLeft { id } => self.close_request(id, actions),
             Event::TimerFired { timer } => self.timer_fired(timer, now, actions),
             Event::EndpointsUpdated(update) => self.endpoints_updated(update, now, actions),
             Event::Invalidated { object, group, age } => {
                 self.freshness.invalidate(now, object, group, age);
             }
             Event::DiscoveryLag { since } => self.freshness.set_discovery_lag(since),
-            Event::InvalidationsMissed => self.freshness.bound_missed(now),
+            Event::InvalidationsMissed => self.freshness.record_missed(now),
             Event::FreshnessBound {
                 not_before,
                 max_age,
@@ -105,7 +107,7 @@
                 failure_rate,
                 first_byte,
             } => {
-                self.adopt_estimate(endpoint, failure_rate, first_byte, now);
+                self.adopt_shared_estimate(endpoint, failure_rate, first_byte, now);
             }
             Event::HealthCheckEnded { .. } | Event::PeerMessage { .. } => {}
         }
@@ -125,16 +127,17 @@
         self.start_next_attempt(request.id, now, actions);
     }
 
-    /// Plans and starts the next attempt of a request, or answers it.
+    /// Plans and starts the next attempt of a request, or sends its final answer.
     fn start_next_attempt(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) {
         if let Some(planned) = self.plan_or_answer(id, now, actions) {
             self.dispatch(planned, now, actions);
         }
     }
 
-    /// An attempt may be written now that its connection is up. That took its time: against a drain, an invalidation,
-    /// the end of a window or of the client's wish in the meantime it is checked as if it were planned now, and cancelled
-    /// where it would break a rule. What is not written never ran; it counts towards the cap on attempts.
+    /// Writes or cancels an attempt whose connection is now established. In the meantime an endpoint may have started
+    /// draining, an object may have been invalidated, the idempotency window may have ended, or the client may have
+    /// closed its side. The attempt is therefore checked as if it were planned now, and cancelled if it would break a
+    /// rule. A cancelled attempt never ran, but it counts towards the maximum number of attempts.
     fn attempt_connected(&mut self, id: u32, number: u8, now: Micros, actions: &mut Vec<Action>) {
         let may_write = self.may_write(id, usize::from(number), now);
         let pending = self.requests.get_mut(&id);
@@ -168,7 +171,7 @@
         !(pending.answered || pending.half_closed)
             && accepts(attempt.endpoint)
             && attempt.source.is_none_or(accepts)
-            && self.freshness.binding_moment(now, &pending.request) <= attempt.known_bound
+            && self.freshness.latest_bound(now, &pending.request) <= attempt.known_bound
             && idempotency.allows_repeat(&pending.attempts[..number], now)
     }
 
@@ -178,18 +181,19 @@
         }
     }
 
-    /// The client has ended its side: what is in flight may still find it listening, and nothing new goes out.
+    /// The client has closed its sending side. Attempts in flight may still be answered, but no new attempt starts.
     fn client_half_closed(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         pending.half_closed = true;
         if !pending.has_attempt_in_flight() {
-            self.give_up(id, now, actions);
+            self.reject_or_fail(id, now, actions);
         }
     }
 
-    /// A fill that a request waits for should be done; any other timer polls discovery.
+    /// Starts the next attempt of a request whose awaited fill should be complete by now. Any other timer polls
+    /// discovery.
     fn timer_fired(&mut self, timer: u32, now: Micros, actions: &mut Vec<Action>) {
         let pending = self.requests.get_mut(&timer);
         if pending.is_some_and(|pending| std::mem::take(&mut pending.waits_for_fill)) {
@@ -215,8 +219,8 @@
         self.endpoints.update(update, &self.settings, now, actions);
     }
 
-    /// Takes over what other proxies measured at an endpoint, as long as this one has measured nothing itself.
-    fn adopt_estimate(
+    /// Adopts the estimates of other proxies for an endpoint that this proxy has not sent any request to.
+    fn adopt_shared_estimate(
         &mut self,
         endpoint: EndpointIndex,
         failure_rate: f64,
@@ -229,12 +233,14 @@
         }
         endpoint.health.assume_failure_rate(failure_rate);
         if let Some(time) = first_byte {
-            endpoint.first_byte.record(now, time as f64, ADOPTED_WEIGHT);
+            endpoint
+                .first_byte
+                .record(now, time as f64, SHARED_ESTIMATE_WEIGHT);
         }
     }
 
-    /// Gives a request that cannot go on its final answer.
-    pub(crate) fn give_up(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) {
+    /// Sends the final answer of a request that cannot continue.
+    pub(crate) fn reject_or_fail(&mut self, id: u32, now: Micros, actions: &mut Vec<Action>) {
         let pending = self.requests.get(&id);
         let Some(pending) = pending.filter(|pending| !pending.answered) else {
             return;
@@ -243,20 +249,20 @@
         let idempotency = self.classes[request.class].settings.idempotency;
         let limits = &self.settings.limits;
         actions.push(final_answer(pending, idempotency, limits, &mut self.random));
-        self.record_answer(&request, false, now);
-        self.close(id, actions);
+        self.record_final_answer(&request, false, now);
+        self.close_request(id, actions);
     }
 
-    /// A request has its final answer: served, or not.
-    pub(crate) fn record_answer(&mut self, request: &Request, served: bool, now: Micros) {
+    /// Records whether a request was served when it gets its final answer.
+    pub(crate) fn record_final_answer(&mut self, request: &Request, served: bool, now: Micros) {
         let class = &mut self.classes[request.class];
         let work = class.expected_work(request, &self.settings);
         let group = class.size_group(work);
         class.fairness.record(now, group, served);
     }
 
-    /// Ends a request: cancels what is in flight for it, and forgets it once nothing is.
-    pub(crate) fn close(&mut self, id: u32, actions: &mut Vec<Action>) {
+    /// Closes a request: cancels its attempts in flight, and removes its state once no attempt is in flight.
+    pub(crate) fn close_request(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
--- a/crates/routing/src/tail_retention.rs
+++ b/crates/routing/src/tail_retention.rs
@@ -1,62 +1,64 @@
 //! Tail retention: which parts of an object a cache keeps.
 //!
-//! After the design's paper (docs/design.md): viewers abandon, so the tail of an object is asked for much less than its
-//! head. The length of an object is estimated from the highest part index seen; a part at or past [`TAIL_FRACTION`] of
-//! it is tail, and passes through uncached unless it was requested lately. All head parts have one rank.
+//! Based on the paper cited in docs/design.md: viewers stop early, so the tail of an object is requested far less
+//! often than its head. The length of an object is estimated from the highest part index seen. A part at or beyond
+//! [`TAIL_FRACTION`] of that length belongs to the tail and passes through uncached unless it was requested recently.
+//! All head parts have the same rank.
 
 use crate::expiring_map::ExpiringMap;
 use crate::interface::{Micros, Request};
 use crate::settings::RoutingSettings;
 use crate::time::SECOND;
 
-/// From this fraction of the estimated length on a part is tail.
+/// Fraction of the estimated length at which the tail begins.
 const TAIL_FRACTION: f64 = 0.875;
-/// How long the estimate of an object's length holds.
+/// Lifetime of the estimate of an object's length.
 const LENGTH_LIFETIME: Micros = 300 * SECOND;
-/// A part that is requested again within this time is cached, tail or not.
+/// A part that is requested again within this time is cached, even if it belongs to the tail.
 const REPEAT_WINDOW: Micros = 10 * SECOND;
-/// Entries of each of the memories.
-const CAPACITY: usize = 50_000;
-/// Parts back that tell of a sequential scan, and proxies of a zone from which on scans matter.
+/// Maximum number of entries in each map.
+const MAX_ENTRIES: usize = 50_000;
+/// Number of preceding parts that are checked for a sequential scan, and the minimum number of proxies in the zone
+/// for scans to matter.
 const SCAN_PARTS: u32 = 3;
 const SCAN_PROXIES: f64 = 3.0;
-/// The retention rank of all that is cached.
-const CACHED: u8 = 1;
-/// The retention rank of what passes through.
-pub(crate) const UNCACHED: u8 = 0;
+/// Retention rank of all cached parts.
+const CACHED_RANK: u8 = 1;
+/// Retention rank of parts that pass through uncached.
+pub(crate) const UNCACHED_RANK: u8 = 0;
 
-/// How a part is to be kept.
+/// How a cache retains a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Retention {
-    /// Retention rank at the cache: 0 passes through.
+    /// Retention rank at the cache; 0 passes through uncached.
     pub(crate) rank: u8,
-    /// This proxy was asked for the same part within the repeat window.
+    /// This proxy received a request for the same part within the repeat window.
     pub(crate) requested_recently: bool,
 }
 
-/// Lengths of objects, and the parts requested lately.
+/// Estimated lengths of objects, and recently requested parts.
 pub(crate) struct TailRetention {
     highest_part: ExpiringMap<u64, u32>,
-    /// By object and part: whether it was itself a repeat.
+    /// By object and part: whether the latest request was itself a repeat.
     recent_parts: ExpiringMap<(u64, u32), bool>,
 }
 
 impl TailRetention {
     pub(crate) fn new() -> TailRetention {
         TailRetention {
-            highest_part: ExpiringMap::new(LENGTH_LIFETIME, CAPACITY),
-            recent_parts: ExpiringMap::new(REPEAT_WINDOW, CAPACITY),
+            highest_part: ExpiringMap::new(LENGTH_LIFETIME, MAX_ENTRIES),
+            recent_parts: ExpiringMap::new(REPEAT_WINDOW, MAX_ENTRIES),
         }
     }
 
-    /// Other proxies have seen a part of an object requested.
+    /// Records the highest part of an object that other proxies have seen requested.
     pub(crate) fn record_length(&mut self, now: Micros, object: u64, highest_part: u32) {
         let known = self.highest_part.get(now, object).unwrap_or(0);
         self.highest_part
             .insert(now, object, known.max(highest_part));
     }
 
-    /// Records a request, and says how its part is to be kept.
+    /// Records a request and returns how its part is retained.
     pub(crate) fn classify(
         &mut self,
         now: Micros,
@@ -74,15 +76,20 @@
         let cacheable = !is_tail
             || requested_recently
             || (part > known && self.is_shared_scan(now, request, settings));
-        let rank = if cacheable { CACHED } else { UNCACHED };
+        let rank = if cacheable {
+            CACHED_RANK
+        } else {
+            UNCACHED_RANK
+        };
         Retention {
             rank,
             requested_recently,
         }
     }
 
-    /// Many proxies scan a new object at once: each next part is the highest yet, and each proxy would pass it through.
-    /// Where caches join fills one fill serves them all, cached or not.
+    /// Whether several proxies scan a new object at the same time. Each next part is then the highest index so far,
+    /// so each proxy would pass it through uncached. If caches join fills, one fill serves all of them, cached or
+    /// not.
     fn is_shared_scan(&self, now: Micros, request: &Request, settings: &RoutingSettings) -> bool {
         let repeated = |back: u32| {
             let part = request.part.wrapping_sub(back);
