--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -108,7 +108,8 @@
 /// Timeout of the next attempt of a request.
 ///
 /// At an endpoint with several unanswered attempts it is a part of the remaining time. At a stalling endpoint it is at
-/// most a part of the latency objective, which grows with each attempt. The last attempt gets all of the remaining time.
+/// most a fraction of the latency objective multiplied by the number of the attempt. The last attempt gets all of the
+/// remaining time, and so does any attempt of a request that is not idempotent.
 pub(crate) fn attempt_timeout(
     pending: &PendingRequest,
     endpoint: &Endpoint,
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -25,8 +25,8 @@
     hash ^ (hash >> 31)
 }
 
-/// The score of an endpoint for a part of an object. The highest score wins; the probability of
-/// winning is in proportion to the weight.
+/// The score of an endpoint for a part of an object. The highest score wins; the probability of winning
+/// is in proportion to the weight.
 fn score(endpoint: &Endpoint, object: u64, part: u64) -> f64 {
     // Only caches have different weights: parents and the origin serve all zones alike.
     let weight = if endpoint.tier == Tier::Cache {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -87,7 +87,7 @@
             .allows_repeat(&pending.attempts, now)
 }
 
-/// Whether a retry cannot succeed because only the origin can run the request and the origin is ejected.
+/// Whether a retry cannot succeed because only the origin can run the request and an origin is ejected.
 pub(crate) fn is_retry_futile(
     class: &RequestClass,
     endpoints: &EndpointTable,
--- a/crates/routing/src/tail_retention.rs
+++ b/crates/routing/src/tail_retention.rs
@@ -1,6 +1,6 @@
 //! Tail retention: which parts of an object a cache keeps.
 //!
-//! Based on the paper cited in docs/design.md: viewers stop early, so the tail of an object is requested far less
+//! Follows the design's paper (docs/design.md): viewers stop early, so the tail of an object is requested far less
 //! often than its head. The length of an object is estimated from the highest part index seen. A part at or beyond
 //! [`TAIL_FRACTION`] of that length belongs to the tail and passes through uncached unless it was requested recently.
 //! All head parts have the same rank.
