--- a/crates/replication/src/replica/action.rs
+++ b/crates/replication/src/replica/action.rs
@@ -1,22 +1,23 @@
-//! What a replica has its host do: messages to send, decisions on requests, updates to apply, events to log.
+//! The output of a replica, which its host carries out: messages to send, decisions on requests, updates to apply and
+//! events to log.
 
 use crate::ledger::Decision;
 use crate::records::{EndpointInfo, EndpointPhase};
 use crate::Micros;
 
-/// One thing that the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram to a proxy.
     SendDatagram {
-        /// The receiver's name.
+        /// The name of the receiving proxy.
         to: String,
         /// The datagram.
         bytes: Vec<u8>,
     },
     /// Send a message that is too large for a datagram to a proxy, over a stream.
     SendStream {
-        /// The receiver's name.
+        /// The name of the receiving proxy.
         to: String,
         /// The message.
         bytes: Vec<u8>,
@@ -25,11 +26,11 @@
     Decision(Decision),
     /// Apply a purge that another proxy reported.
     Purge {
-        /// The object; none for a whole group.
+        /// The object; none for the purge of a complete group.
         object: Option<u64>,
-        /// The group, where there is no object.
+        /// The group, if `object` is none.
         group: u32,
-        /// Copies from before this time are purged, in Unix time.
+        /// Unix time. Cached copies from before this time are purged.
         stamp: Micros,
     },
     /// Apply the phase of an endpoint that another proxy reported.
@@ -40,12 +41,13 @@
         started_at: Micros,
         /// Its phase.
         phase: EndpointPhase,
-        /// What else is known of it.
+        /// Its other properties.
         endpoint: EndpointInfo,
     },
-    /// Others' observations of a subject have changed; [`super::Replica::shared_estimate`] combines them.
+    /// Use the observations of a subject by other proxies, which have changed. [`super::Replica::shared_estimate`]
+    /// combines them.
     UseObservations {
-        /// The subject, as [`super::Subject::decode`] reads it.
+        /// The subject, in the encoding that [`super::Subject::decode`] decodes.
         subject: Vec<u8>,
     },
     /// Log an event.
@@ -57,26 +59,26 @@
 pub enum LogEvent {
     /// This proxy may report that it is ready.
     Ready {
-        /// The urgent records and the claims are complete; otherwise the time allowed for them is up.
+        /// Whether the urgent records and the claims are complete. If not, the time limit for them has passed.
         caught_up: bool,
         /// Time since the start.
         elapsed: Micros,
     },
     /// Catching up is complete.
     CaughtUp {
-        /// Records received.
+        /// Number of records received.
         records: u64,
         /// Time since the start.
         elapsed: Micros,
     },
-    /// A donor failed or stalled, and another takes its place.
+    /// A donor failed or stalled, and was replaced by another.
     DonorReplaced {
-        /// The donor that is given up.
+        /// The donor that was replaced.
         former: String,
-        /// The donor that is requested instead.
+        /// The donor that replaces it.
         next: String,
     },
-    /// This proxy has compared its claims with all other voters and votes from now on.
+    /// This proxy has compared its claims with all other voters and votes on the claims of all keys from now on.
     VotingStarted {
         /// Time since the start.
         elapsed: Micros,
--- a/crates/replication/src/replica/anti_entropy.rs
+++ b/crates/replication/src/replica/anti_entropy.rs
@@ -1,8 +1,9 @@
 //! Anti-entropy: two proxies compare the roots of their trees, then digests of buckets, then hashes of records, and
 //! exchange the records that differ.
 //!
-//! Invariant: an exchange has no state; each answer follows from its message and the map alone, so that any message may
-//! be lost or come twice.
+//! Invariant: no state is stored between the messages of a comparison, and each answer follows from the received
+//! message and the replica. So any message may be lost or duplicated. (`voting` records which comparisons of claims are
+//! complete.)
 
 use super::send::{encoded_size, MAX_STREAM_RECORD_BYTES};
 use super::{Action, Replica};
@@ -13,9 +14,9 @@
 };
 use std::collections::BTreeSet;
 
-/// Hashes in one message.
+/// Maximum number of hashes in one message. A single bucket may exceed it.
 const MAX_HASHES: usize = 1500;
-/// Names of voters in one message.
+/// Maximum number of names of voters in one message.
 const MAX_VOTERS: usize = 256;
 
 fn delta(records: Records) -> Body {
@@ -26,7 +27,7 @@
 }
 
 impl Replica {
-    /// Once a period: compares with one other proxy, if the budget allows.
+    /// Starts a comparison with one other proxy, if the budget allows it. Called once per period.
     pub(super) fn start_comparison(&mut self, actions: &mut Vec<Action>) {
         if !self.has_budget() {
             return;
@@ -43,7 +44,7 @@
         has_budget
     }
 
-    /// Begins a comparison of all trees with another proxy.
+    /// Starts a comparison of all trees with another proxy.
     pub(super) fn send_roots(&mut self, to: &str, actions: &mut Vec<Action>) {
         let roots = Tree::ALL
             .into_iter()
@@ -58,14 +59,15 @@
             let differs = roots
                 .get(tree as usize)
                 .is_none_or(|root| *root != self.map.root(tree));
-            // A tree that is being copied from a donor is not compared: that would bring the same in more bytes.
+            // A tree that is being copied from a donor is not compared: a comparison would transfer the same records in
+            // more bytes.
             if differs && !self.is_catching_up(tree) && self.has_budget() {
                 self.send_bucket_digests(from, tree, actions);
             }
         }
     }
 
-    /// Begins a comparison of one tree with another proxy.
+    /// Starts a comparison of one tree with another proxy, or continues one after roots differed.
     pub(super) fn send_bucket_digests(&mut self, to: &str, tree: Tree, actions: &mut Vec<Action>) {
         let digests = BucketDigests {
             tree: tree as u32,
@@ -94,7 +96,8 @@
         self.send(from, Body::BucketHashes(hashes), actions);
     }
 
-    /// The hashes in these buckets, as many as fit into a message, beginning at a random bucket.
+    /// The hashes of the records in the differing buckets. A random bucket is the first one, and the message ends with
+    /// the last bucket that fits.
     fn bucket_hashes(&mut self, tree: Tree, mut differing: Vec<usize>) -> BucketHashes {
         let first = self.rng.usize(0..BUCKETS);
         differing.sort_by_key(|bucket| (bucket + BUCKETS - first) % BUCKETS);
@@ -114,7 +117,7 @@
         message
     }
 
-    /// Sends what the other lacks, and requests what this proxy lacks.
+    /// Sends the records that the other proxy lacks, and requests those that this proxy lacks.
     pub(super) fn receive_bucket_hashes(
         &mut self,
         from: &str,
@@ -124,11 +127,11 @@
         let Some(tree) = Tree::from_wire(theirs.tree) else {
             return;
         };
-        let stored_there: BTreeSet<u64> = theirs.hashes.iter().copied().collect();
-        let mut missing = stored_there.clone();
+        let remote_hashes: BTreeSet<u64> = theirs.hashes.iter().copied().collect();
+        let mut missing = remote_hashes.clone();
         missing.retain(|hash| !self.map.contains_hash(*hash));
-        let missing_there = self.records_besides(tree, &theirs.buckets, &stored_there);
-        self.send_records(from, &missing_there, delta, actions);
+        let missing_remotely = self.records_except(tree, &theirs.buckets, &remote_hashes);
+        self.send_records(from, &missing_remotely, delta, actions);
         if tree == Tree::Claims {
             self.continue_comparison(from, theirs, &missing);
         }
@@ -139,20 +142,20 @@
         }
     }
 
-    /// This proxy's records in some buckets of a tree, but those with the given hashes.
-    fn records_besides(&self, tree: Tree, buckets: &[u32], known: &BTreeSet<u64>) -> Vec<Record> {
+    /// This proxy's records in some buckets of a tree, except those with the hashes in `except`.
+    fn records_except(&self, tree: Tree, buckets: &[u32], except: &BTreeSet<u64>) -> Vec<Record> {
         let buckets = buckets
             .iter()
             .map(|bucket| *bucket as usize)
             .filter(|bucket| *bucket < BUCKETS);
         let hashes = buckets.flat_map(|bucket| self.map.bucket_hashes(tree, bucket));
         hashes
-            .filter(|hash| !known.contains(hash))
+            .filter(|hash| !except.contains(hash))
             .filter_map(|hash| self.map.record_by_hash(hash))
             .collect()
     }
 
-    /// Sends the records that were requested, and the hashes of those that are no longer stored.
+    /// Sends the requested records, and the hashes of those that are no longer stored.
     pub(super) fn receive_record_request(
         &mut self,
         from: &str,
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -1,8 +1,8 @@
-//! Catching up after a start: all records are copied from two donors side by side, tree by tree in the order of keys. A
-//! donor that fails or stalls is replaced, and its successor goes on from the last key received.
+//! Catching up after a start: all records are copied from two donors in parallel, tree by tree, and page by page in the
+//! order of their keys. If a donor fails or stalls, the next one continues after the last key of the latest page.
 //!
-//! Invariants: a tree is copied by one transfer at a time; the last key of a tree only advances; a tree that is done stays
-//! so, and once all are done the state is dropped.
+//! Invariants: a tree is copied by one transfer at a time; a tree that is done stays done; once all trees are done, the
+//! state is dropped.
 
 use super::receive::Origin;
 use super::{Action, LogEvent, Replica, STALL_TIMEOUT};
@@ -12,28 +12,29 @@
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Transfers that run side by side.
+/// Number of transfers that run in parallel.
 const TRANSFERS: usize = 2;
-/// The trees in the order in which each transfer takes them: the first copies the urgent records first, the second begins
+/// The order in which each transfer copies the trees. The first transfer starts with the urgent records, the second
 /// with those that can wait.
 const TREE_ORDERS: [[Tree; TREES]; TRANSFERS] = [
     [Tree::Urgent, Tree::Claims, Tree::Background],
     [Tree::Background, Tree::Claims, Tree::Urgent],
 ];
 
-/// How far catching up has come.
+/// The progress of catching up.
 #[derive(Clone, Debug)]
 pub(super) struct CatchUp {
     started_at: Micros,
     transfers: [Transfer; TRANSFERS],
-    /// By the number of the tree.
+    /// Indexed by the number of the tree.
     progress: [TreeProgress; TREES],
+    /// Number of records received.
     records: u64,
-    /// The host was notified that this proxy may report to be ready.
+    /// Whether the host was notified that this proxy may report that it is ready.
     ready_reported: bool,
 }
 
-/// A transfer from one donor, a tree at a time.
+/// A transfer from one donor, which copies one tree at a time.
 #[derive(Clone, Debug)]
 struct Transfer {
     donor: Option<String>,
@@ -44,7 +45,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct TreeProgress {
-    /// The last key received.
+    /// The last key of the latest page.
     last_key: Option<Key>,
     done: bool,
 }
@@ -79,14 +80,14 @@
         Tree::ALL.into_iter().all(|tree| self.is_tree_done(tree))
     }
 
-    /// There is nobody to copy from.
-    fn finish_all(&mut self) {
+    /// Marks all trees as done, because there is no proxy to copy from.
+    fn mark_all_done(&mut self) {
         for progress in &mut self.progress {
             progress.done = true;
         }
     }
 
-    /// The next tree for a transfer: one that is not done, nor being copied by the other transfer.
+    /// The next tree for a transfer: one that is neither done nor being copied by the other transfer.
     fn next_tree(&self, index: usize) -> Option<Tree> {
         let other = self.transfers[1 - index].tree;
         TREE_ORDERS[index]
@@ -94,7 +95,7 @@
             .find(|tree| !self.is_tree_done(*tree) && other != Some(*tree))
     }
 
-    /// The transfer in which this donor copies this tree.
+    /// The index of the transfer that copies this tree from this donor.
     fn transfer_of(&self, donor: &str, tree: Tree) -> Option<usize> {
         self.transfers.iter().position(|transfer| {
             transfer.donor.as_deref() == Some(donor) && transfer.tree == Some(tree)
@@ -110,13 +111,13 @@
             .is_some_and(|state| !state.is_tree_done(tree))
     }
 
-    /// Reports what is complete, and requests records for transfers that have nothing to wait for.
+    /// Reports readiness and completion, and requests records for transfers that do not wait for a donor.
     pub(super) fn continue_catch_up(&mut self, actions: &mut Vec<Action>) {
         let Some(mut state) = self.catch_up.take() else {
             return;
         };
         if self.is_alone() {
-            state.finish_all();
+            state.mark_all_done();
         }
         self.report_ready(&mut state, actions);
         if state.is_done() {
@@ -131,7 +132,7 @@
         self.catch_up = Some(state);
     }
 
-    /// This proxy is ready once urgent records and claims are complete, or after a time although they are not.
+    /// Reports that this proxy is ready once urgent records and claims are complete, or after `ready_timeout`.
     fn report_ready(&mut self, state: &mut CatchUp, actions: &mut Vec<Action>) {
         let elapsed = self.now - state.started_at;
         let caught_up = state.is_tree_done(Tree::Urgent) && state.is_tree_done(Tree::Claims);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Begins the next tree, or replaces the donor of the current one if it failed or stalled.
+    /// Starts to copy the next tree, or replaces the donor of the current one if it failed or stalled.
     fn continue_transfer(&mut self, state: &mut CatchUp, index: usize, actions: &mut Vec<Action>) {
         let transfer = state.transfers[index].clone();
         let is_failed = !transfer
@@ -174,8 +175,8 @@
         };
     }
 
-    /// The nearest proxy that is neither the other transfer's donor nor has stalled; failing that the former donor, or
-    /// the nearest of all.
+    /// The nearest proxy that is neither the other transfer's donor nor a donor that stalled. If there is none, the
+    /// transfer's previous donor if it is alive, and otherwise the nearest of all proxies.
     fn choose_donor(&self, state: &CatchUp, index: usize) -> Option<String> {
         let transfer = &state.transfers[index];
         let mut excluded: BTreeSet<String> =
@@ -207,7 +208,7 @@
         self.send(donor, Body::CatchUpRequest(request), actions);
     }
 
-    /// A donor sent records.
+    /// Merges a donor's page and continues the transfer that it belongs to.
     pub(super) fn receive_page(
         &mut self,
         from: &str,
@@ -230,7 +231,7 @@
         self.continue_catch_up(actions);
     }
 
-    /// Records what a page of a transfer brought, and requests the next one unless it was the last.
+    /// Updates the progress of a transfer after a page, and requests the next page unless this was the last.
     fn advance_transfer(
         &mut self,
         state: &mut CatchUp,
--- a/crates/replication/src/replica/counters.rs
+++ b/crates/replication/src/replica/counters.rs
@@ -6,7 +6,7 @@
 use meadowrill_membership::envelope::DropReason;
 use std::collections::BTreeMap;
 
-/// What one replica has sent, received and merged since its start.
+/// Counts of what one replica has sent, received and merged since its start.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaCounters {
     /// Messages sent.
@@ -19,18 +19,18 @@
     pub received: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Messages dropped, by the reason.
+    /// Messages dropped, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
-    /// Records merged from rumors, by the number of their type.
+    /// Records merged from rumors, by the number of the record type.
     pub merged_from_rumors: BTreeMap<u32, u64>,
-    /// Records merged from comparisons and catching up, by the number of their type.
+    /// Records merged from comparisons and catching up, by the number of the record type.
     pub merged_by_repair: BTreeMap<u32, u64>,
-    /// Records received that differed from a stored one, which was kept.
+    /// Records received that differed from the stored record of their key and did not replace it.
     pub conflicts_kept: u64,
-    /// Records received that replaced a stored one.
+    /// Records received that replaced the stored record of their key.
     pub conflicts_replaced: u64,
-    /// Times that a comparison waited for budget.
+    /// Number of times that a comparison was not started or continued for lack of budget.
     pub comparisons_delayed: u64,
-    /// Age of records received, by type, since the host last took these.
+    /// Type and age of records merged since the host last took this list.
     pub record_ages: Vec<(RecordType, Micros)>,
 }
--- a/crates/replication/src/replica/donor.rs
+++ b/crates/replication/src/replica/donor.rs
@@ -1,6 +1,6 @@
-//! The donor's side of catching up: hands records to proxies that start, within a budget of its own.
+//! The donor's side of catching up: sends records to proxies that have started, within a separate budget.
 //!
-//! Invariant: one request of each proxy and tree is pending at most, the latest.
+//! Invariant: for each proxy and tree, at most one request is pending, the latest.
 
 use super::budget::TokenBucket;
 use super::send::encoded_size;
@@ -11,12 +11,12 @@
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Requests that wait for budget.
+/// Maximum number of requests that wait for budget.
 const MAX_PENDING: usize = 8;
-/// Bytes of records in one page: clients' requests wait while it is packed.
+/// Bytes of records after which a page ends. Client requests wait while a page is compressed, so pages are small.
 const PAGE_BYTES: usize = 6 * 1024;
 
-/// Requests of proxies that catch up, and the budget for answers.
+/// Requests of proxies that are catching up, and the budget for the answers.
 #[derive(Clone, Debug)]
 pub(super) struct Donor {
     pending: VecDeque<PendingRequest>,
@@ -42,17 +42,17 @@
         !self.pending.is_empty()
     }
 
-    /// Adds the budget of the time that has passed.
+    /// Adds the budget for the time since the last refill.
     pub(super) fn refill(&mut self, now: Micros) {
         self.budget.refill(now);
     }
 
-    /// Takes what an answer cost from the budget.
+    /// Takes the bytes of an answer from the budget.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.budget.spend(bytes);
     }
 
-    /// Adds a request. A later one of the same proxy for the same tree replaces the earlier.
+    /// Adds a request. It replaces an earlier request of the same proxy for the same tree.
     fn add(&mut self, from: String, request: CatchUpRequest) {
         self.pending
             .retain(|pending| pending.from != from || pending.request.tree != request.tree);
@@ -63,7 +63,7 @@
 }
 
 impl Replica {
-    /// A proxy that catches up requests records.
+    /// Processes a request for records from a proxy that is catching up.
     pub(super) fn receive_catch_up_request(
         &mut self,
         from: &str,
@@ -75,7 +75,7 @@
         self.serve_catch_up_requests(actions);
     }
 
-    /// Answers requests as far as the budget goes.
+    /// Answers pending requests until the budget is used up.
     pub(super) fn serve_catch_up_requests(&mut self, actions: &mut Vec<Action>) {
         while self.donor.budget.has_tokens() {
             let Some(PendingRequest { from, request }) = self.donor.pending.pop_front() else {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The records of a tree that follow a key, as many as fit into one page.
+    /// One page of the records of a tree that follow a key.
     fn page(&self, tree: Tree, after: Option<&Key>) -> CatchUpPage {
         let mut page = CatchUpPage {
             tree: tree as u32,
--- a/crates/replication/src/replica/effects.rs
+++ b/crates/replication/src/replica/effects.rs
@@ -1,4 +1,5 @@
-//! The ledger of effects at work: this proxy's own keyed requests, and votes on the claims of others.
+//! Connects the ledger of side effects to the replica: keyed requests that this proxy receives, and votes on the claims
+//! of other proxies.
 
 use super::{Action, Replica};
 use crate::ledger::{Ledger, RequestOutcome, RequestTerms, StepInput, StepOutput};
@@ -9,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Replica {
-    /// A keyed request came: the ledger's decisions on it follow as actions. False where there is no ledger.
+    /// Starts a keyed request. The ledger's decision on it follows as an action. Returns false if there is no ledger.
     pub fn begin_request(
         &mut self,
         now: Micros,
@@ -24,7 +25,7 @@
         })
     }
 
-    /// A request that the ledger admitted has ended.
+    /// Records the outcome of a request that the ledger admitted.
     pub fn finish_request(
         &mut self,
         now: Micros,
@@ -38,7 +39,7 @@
         });
     }
 
-    /// The client of a request has gone. True if nothing of the request was sent.
+    /// Cancels a request whose client has disconnected. Returns true if no attempt of the request was sent.
     pub fn cancel_request(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) -> bool {
         self.advance(now);
         let mut unsent = false;
@@ -48,7 +49,7 @@
         unsent
     }
 
-    /// Runs one step of the ledger and carries out what it decided. False where there is no ledger.
+    /// Runs one step of the ledger and processes its output. Returns false if there is no ledger.
     pub(super) fn with_ledger(
         &mut self,
         actions: &mut Vec<Action>,
@@ -75,15 +76,15 @@
         true
     }
 
-    /// Sends claims that have ended to the owners of their keys at once: requests that wait for the outcome are decided
-    /// there, and rumors take some rounds.
+    /// Sends claims that have ended to the owners of their keys immediately. Requests that wait for the outcome are
+    /// decided there, and rumors take several rounds.
     fn send_ended_claims(&mut self, changed_keys: &[Key], actions: &mut Vec<Action>) {
         for (owner, records) in self.ended_claims(changed_keys) {
             self.send(&owner, Body::Rumors(Records { records }), actions);
         }
     }
 
-    /// By owner of their keys, those of the changed claims that have ended.
+    /// The claims among the changed records that have ended, by owner of their key.
     fn ended_claims(&self, changed_keys: &[Key]) -> BTreeMap<String, Vec<Record>> {
         let mut by_owner: BTreeMap<String, Vec<Record>> = BTreeMap::new();
         let Some(ledger) = &self.ledger else {
@@ -109,7 +110,7 @@
         self.map.record(key)
     }
 
-    /// Others' claims have changed, which may decide what requests here wait for.
+    /// Advances the requests that wait, because claims of other proxies may have changed.
     pub(super) fn update_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         let has_requests = |ledger: &Ledger| ledger.open_requests() > 0;
         if self.ledger.as_ref().is_some_and(has_requests) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Another proxy requests this one's vote on a claim.
+    /// Votes on another proxy's claim.
     pub(super) fn receive_claim_request(
         &mut self,
         from: &str,
--- a/crates/replication/src/replica/endpoints.rs
+++ b/crates/replication/src/replica/endpoints.rs
@@ -1,4 +1,4 @@
-//! Phases of endpoints: what the discovery service reported to this proxy, and what all proxies know together.
+//! Phases of endpoints: those that the discovery service reported to this proxy, and those in the replicated records.
 
 use super::Replica;
 use crate::record::Key;
@@ -8,7 +8,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Start and phase of endpoints as the discovery service itself reported them.
+/// Start time and phase of endpoints as the discovery service reported them to this proxy.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiscoveryReports(BTreeMap<String, (Micros, EndpointPhase)>);
 
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// The discovery service reported the phase of an endpoint. True if it was not known.
+    /// Publishes the phase of an endpoint that the discovery service reported. Returns true if it was not known.
     pub fn publish_endpoint(
         &mut self,
         now: Micros,
@@ -32,7 +32,7 @@
     ) -> bool {
         self.discovery_reports
             .record(id, started_at, phase, self.settings.max_entries);
-        // Rounded, so that proxies which learn of it at about the same time write the same record.
+        // Rounded, so that proxies that receive the report at about the same time write the same record.
         let retention = self.settings.endpoint_retention;
         let expires_at = (now / retention + 2) * retention;
         let (key, entry) = records::endpoint_record(id, started_at, phase, endpoint, expires_at);
@@ -43,7 +43,7 @@
         !is_known && self.publish(now, key, entry)
     }
 
-    /// Start and phase of an endpoint by all that is known.
+    /// Start time and phase of an endpoint according to its replicated record.
     pub fn endpoint_phase(&self, id: &str) -> Option<(Micros, EndpointPhase)> {
         let entry = self.map.get(&Key::new(RecordType::Endpoint, id))?;
         let (started_at, phase) = entry.rank;
@@ -51,7 +51,7 @@
         Some((started_at, EndpointPhase::from_rank(phase)))
     }
 
-    /// Start and phase of an endpoint by the discovery service alone.
+    /// Start time and phase of an endpoint according to the discovery service's reports to this proxy.
     pub fn reported_phase(&self, id: &str) -> Option<(Micros, EndpointPhase)> {
         self.discovery_reports.0.get(id).copied()
     }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,13 +1,18 @@
-//! One proxy's replica of the shared state, as a state machine: messages, local events and time go in, actions for the
-//! host come out.
+//! One proxy's replica of the shared state, as a state machine. Its input is messages, local events and the time; its
+//! output is actions for the host.
 //!
-//! Updates to urgent records (purges, endpoints, claims to effects) are disseminated as rumors when they happen. All
-//! records are compared with one other proxy each period (anti-entropy), by digests of buckets, then hashes, then what is
-//! missing. A proxy that starts copies everything from the two nearest, urgent records first.
+//! Updates to urgent records (purges, endpoints) and to claims to side effects are disseminated as rumors immediately.
+//! Once per period, all records are compared with those of one other proxy (anti-entropy): first the roots of the
+//! trees, then digests of buckets, then hashes of records; finally the missing records are exchanged. A proxy that
+//! starts copies all records from the two nearest proxies. It is ready once urgent records and claims are complete, or
+//! after a time limit.
 //!
-//! Invariants: time never goes back, whatever the host passes; records change by merging alone, so that replicas which
-//! exchanged their records store the same; every message sent is taken from a budget, and those that may wait are not
-//! sent while it is in debt.
+//! Invariants:
+//! - The replica's own time never goes back, whatever time the host passes.
+//! - Records change only by merging, apart from their expiry, so replicas that have exchanged their records store the
+//!   same ones.
+//! - The bytes of every message are taken from a budget. Messages that can wait are not sent while their budget has no
+//!   tokens.
 
 mod action;
 mod anti_entropy;
@@ -49,13 +54,14 @@
 use usage::UsageMeter;
 use voting::Voting;
 
-/// Messages wait this long for others to go with them, and for budget.
+/// Delay of rumors, so that several are sent in one message, and of catch-up requests that wait for budget.
 const BATCH_DELAY: Micros = 10_000;
-/// An exchange that brought nothing for this long is begun anew, with another proxy where there is one.
+/// Time after its last request at which an unfinished catch-up transfer or comparison of claims is restarted. A
+/// transfer changes to another donor if there is one.
 const STALL_TIMEOUT: Micros = 400_000;
-/// Catching up is checked for stalls this often.
+/// Interval at which catch-up transfers are checked for stalls.
 const STALL_CHECK_INTERVAL: Micros = STALL_TIMEOUT / 4;
-/// Proxies that a process which was suspended compares with at once.
+/// Number of proxies with which a process compares its records immediately after it was suspended.
 const PEERS_AFTER_PAUSE: usize = 2;
 
 /// One proxy's replica of the shared state.
@@ -72,13 +78,13 @@
     ledger: Option<Ledger>,
     voting: Voting,
     rumors: RumorQueue,
-    /// None once catching up is complete.
+    /// The progress of catching up; none once it is complete.
     catch_up: Option<CatchUp>,
     donor: Donor,
-    /// Whether it had caught up when it became ready; none until then.
+    /// Whether this proxy had caught up when it became ready; none until then.
     ready: Option<bool>,
     budget: TokenBucket,
-    /// Encoded messages are built here.
+    /// Reused to encode messages.
     buffer: Vec<u8>,
     discovery_reports: DiscoveryReports,
     observations: Observations,
@@ -88,7 +94,7 @@
 }
 
 impl Replica {
-    /// An empty replica of the proxy `name` in this incarnation.
+    /// Creates an empty replica for the proxy `name` in this incarnation.
     pub fn new(
         settings: ReplicationSettings,
         name: &str,
@@ -135,17 +141,17 @@
         }
     }
 
-    /// The records that are stored.
+    /// The stored records.
     pub fn map(&self) -> &Map {
         &self.map
     }
 
-    /// The ledger of effects, where the installation has one.
+    /// The ledger of side effects, if the settings include one.
     pub fn ledger(&self) -> Option<&Ledger> {
         self.ledger.as_ref()
     }
 
-    /// Whether this proxy votes on claims: it has compared its claims with all other voters.
+    /// Whether this proxy has compared its claims with all other voters, so that it votes on the claims of all keys.
     pub fn can_vote(&self) -> bool {
         self.voting.can_vote()
     }
@@ -155,7 +161,7 @@
         &self.voters
     }
 
-    /// None until this proxy may report that it is ready; then whether it had caught up by that time.
+    /// None until this proxy may report that it is ready. From then on, whether it had caught up by that time.
     pub fn ready(&self) -> Option<bool> {
         self.ready
     }
@@ -165,7 +171,7 @@
         self.catch_up.is_none()
     }
 
-    /// How many updates wait to be disseminated.
+    /// Number of updates that are queued for dissemination.
     pub fn queued_rumors(&self) -> usize {
         self.rumors.len()
     }
@@ -185,7 +191,7 @@
             .fold(self.next_period, Micros::min)
     }
 
-    /// Time has passed: does what is due.
+    /// Does everything that is due. To be called when time has passed.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.advance(now);
         self.refill_budgets();
@@ -208,10 +214,11 @@
         self.start_comparison(actions);
     }
 
-    /// This process was suspended or starved for a while, so what it stores may be stale.
+    /// Compares with other proxies immediately, because this process was suspended or starved for a while and its
+    /// records may be stale.
     pub fn resume_after_pause(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.advance(now);
-        // It has forgotten no claim that it granted, so it goes on voting; all else is compared at once.
+        // The process still stores all claims that it granted, so it continues to vote. All records are compared.
         self.next_period = now;
         for peer in self.sample_peers(PEERS_AFTER_PAUSE) {
             self.send_roots(&peer, actions);
@@ -227,7 +234,7 @@
         self.donor.refill(self.now);
     }
 
-    /// Merges a record of this proxy's own and disseminates it; false if it was known.
+    /// Merges a record that this proxy wrote, and disseminates it. Returns false if the record was not merged.
     fn publish(&mut self, now: Micros, key: Key, entry: Entry) -> bool {
         self.advance(now);
         let outcome = self.map.merge(key.clone(), entry, now);
--- a/crates/replication/src/replica/observations.rs
+++ b/crates/replication/src/replica/observations.rs
@@ -1,5 +1,5 @@
-//! Observations of objects and endpoints: what this proxy has observed, its publication, and what all proxies'
-//! observations add up to.
+//! Observations of objects and endpoints: collects and publishes those of this proxy, and combines those of the other
+//! proxies.
 
 use super::subject::{endpoint_subject, object_subject};
 use super::Replica;
@@ -9,29 +9,29 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of a new sample of an endpoint.
+/// Weight of a new sample in the smoothed values of an endpoint.
 const SMOOTHING: f64 = 0.1;
-/// Observations of objects that are published in one period at most.
+/// Maximum number of observations of objects that are published in one period.
 const MAX_OBJECTS_PER_PERIOD: u32 = 200;
-/// Published for the time to the first byte where none was measured.
+/// Published as the time to the first byte if none was measured.
 const NO_FIRST_BYTE: f64 = -1.0;
 
-/// What this proxy observed and has yet to publish.
+/// Observations that this proxy has not published yet.
 #[derive(Clone, Debug)]
 pub(super) struct Observations {
     endpoints: BTreeMap<String, EndpointStats>,
-    /// How many more observations of objects may be published in this period.
+    /// Number of observations of objects that may still be published in this period.
     objects_left: u32,
 }
 
-/// What this proxy observed of an endpoint.
+/// This proxy's observations of an endpoint.
 #[derive(Clone, Debug, Default)]
 struct EndpointStats {
     /// Fraction of attempts that failed, smoothed.
     failure_rate: f64,
-    /// Microseconds, smoothed; none where no attempt was answered.
+    /// Time to the first byte in microseconds, smoothed; none if it was never measured.
     first_byte: Option<f64>,
-    /// In this period.
+    /// Number of attempts in this period.
     attempts: u64,
 }
 
@@ -68,8 +68,8 @@
 }
 
 impl Observations {
-    /// Begins a period: the subject and the values of each endpoint that had attempts in the last one. Others are
-    /// forgotten.
+    /// Starts a period. Returns the subject and the values of each endpoint that had attempts in the previous period,
+    /// and removes all other endpoints.
     fn start_period(&mut self) -> Vec<(Vec<u8>, Vec<f64>)> {
         self.objects_left = MAX_OBJECTS_PER_PERIOD;
         self.endpoints.retain(|_, stats| stats.attempts > 0);
@@ -83,7 +83,7 @@
 }
 
 impl Replica {
-    /// Shares an observation by this proxy. True if it was not known.
+    /// Publishes an observation by this proxy. Returns true if it was not known.
     pub fn publish_observation(
         &mut self,
         now: Micros,
@@ -107,7 +107,8 @@
         self.publish(now, key, entry)
     }
 
-    /// A request came for this part of an object; shared where it is the highest that this proxy observed recently.
+    /// Records a request for this part of an object. Publishes it if it is the highest part that this proxy observed
+    /// recently.
     pub fn observe_part(&mut self, now: Micros, object: u64, part: u32) {
         let subject = object_subject(object);
         let covers_part = |values: Vec<f64>| values[0] >= f64::from(part);
@@ -120,7 +121,7 @@
         self.publish_observation(now, RecordType::Observation, &subject, values);
     }
 
-    /// What this proxy shared of a subject itself, in the first half of its time to live.
+    /// The values that this proxy last published for a subject, if their record is in the first half of its retention.
     fn recent_observation(&self, subject: &[u8], now: Micros) -> Option<Vec<f64>> {
         let own = Observation {
             writer: self.name.clone(),
@@ -141,7 +142,7 @@
         Some(observation.values).filter(|values| !values.is_empty())
     }
 
-    /// An attempt at an endpoint has ended.
+    /// Records the result of an attempt at an endpoint.
     pub fn observe_attempt(&mut self, endpoint: &str, failed: bool, first_byte: Option<Micros>) {
         let stats = self
             .observations
@@ -151,14 +152,14 @@
         stats.record(failed, first_byte);
     }
 
-    /// Once a period: shares what was observed of endpoints.
+    /// Publishes the observations of endpoints. Called once per period.
     pub(super) fn publish_observations(&mut self) {
         for (subject, values) in self.observations.start_period() {
             self.publish_observation(self.now, RecordType::Observation, &subject, values);
         }
     }
 
-    /// What other proxies' observations of a subject add up to.
+    /// The estimate that other proxies' observations of a subject result in.
     pub fn shared_estimate(&self, subject: &[u8]) -> Option<SharedEstimate> {
         let observations = shared_estimate::observations_by_others(
             &self.map,
@@ -169,7 +170,7 @@
         shared_estimate::combine(&observations, &self.settings.zone, self.now)
     }
 
-    /// All subjects of which there are observations.
+    /// All subjects with stored observations.
     pub fn observed_subjects(&self) -> BTreeSet<Vec<u8>> {
         self.map
             .of_type(RecordType::Observation)
--- a/crates/replication/src/replica/peers.rs
+++ b/crates/replication/src/replica/peers.rs
@@ -1,50 +1,54 @@
-//! The other proxies, as the membership view has them, and which of them vote on claims.
+//! The other proxies according to the membership view, and which of them vote on claims.
 //!
-//! Invariants: a proxy that voted stays a voter until it announced that it leaves and the claims of its time have
-//! settled, or until the view has forgotten it and they have expired; so both sides of a network split see the same voters,
-//! and at most one of them has a quorum. `compared` is never undone.
+//! Invariants:
+//! - A voter stays a voter until it has announced that it leaves and the claims of its time have settled, or until it
+//!   is no longer in the view and those claims have expired. So both sides of a network split see the same voters, and
+//!   at most one side has a quorum.
+//! - `compared` is never reset.
 
 use super::{Action, Replica};
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Claims granted when a proxy left or died have spread to all others after this many periods.
+/// Number of periods after which claims that were granted when a proxy left or died have spread to all others.
 const SETTLING_PERIODS: Micros = 6;
-/// Replaces an unknown round trip.
+/// Round-trip time that is assumed if it is not known.
 const UNKNOWN_ROUND_TRIP_MICROS: f64 = 1e9;
 
-/// Another proxy, as the membership view has it.
+/// Another proxy, according to the membership view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
     /// Its name.
     pub name: String,
     /// Its incarnation: when its process started.
     pub incarnation: u64,
-    /// The view holds it to be alive.
+    /// Whether the view considers it alive.
     pub alive: bool,
-    /// It announced that it leaves: it votes on nothing any more.
+    /// Whether it announced that it leaves. It no longer votes then.
     pub left: bool,
     /// Its zone.
     pub zone: String,
-    /// In microseconds; none where it is not known.
+    /// Round-trip time in microseconds; none if it is not known.
     pub round_trip: Option<f64>,
-    /// Whether it replicates state; earlier builds don't.
+    /// Whether it replicates state. Earlier builds do not.
     pub replicates: bool,
-    /// Whether it votes on claims; earlier builds don't.
+    /// Whether it votes on claims. Earlier builds do not.
     pub votes: bool,
 }
 
-/// What is remembered of another proxy.
+/// What this proxy stores about another proxy.
 #[derive(Clone, Debug)]
 pub(super) struct PeerState {
     pub(super) peer: Peer,
-    /// It votes on claims, by its own report or another's. A proxy that restarts reports nothing for a moment and must
-    /// not be left out for that: what it and one other granted could be granted again without them.
+    /// Whether it votes on claims, according to its own report or that of another proxy. It remains set: a proxy that
+    /// restarts reports nothing for a moment. If it were not a voter during that time, a claim that it and one other
+    /// proxy granted could be granted again without them.
     pub(super) is_voter: bool,
-    /// When it was alive last.
+    /// When it was last alive.
     last_alive: Micros,
-    /// Claims were compared with it since this proxy's start. Nothing undoes that: this proxy remembers what it grants
-    /// itself, and a later process of that name has to compare with this proxy before it grants anything.
+    /// Whether claims were compared with it since this proxy's start. It remains set: this proxy stores the claims that
+    /// it grants itself, and a later process of that name has to compare its claims with this proxy before it grants
+    /// any.
     pub(super) compared: bool,
 }
 
@@ -58,18 +62,19 @@
         }
     }
 
-    /// It is alive and replicates state.
-    fn is_partner(&self) -> bool {
+    /// Whether it is alive and replicates state.
+    fn is_live_replica(&self) -> bool {
         self.peer.alive && self.peer.replicates
     }
 
-    /// It votes: it is alive, or may return with the claims that it granted.
+    /// Whether it is a voter: it has not left, or the claims of its time have not settled. A proxy that is not alive
+    /// may return with the claims that it granted.
     fn counts_as_voter(&self, now: Micros, settling_time: Micros) -> bool {
         self.is_voter && (!self.peer.left || now < self.last_alive + settling_time)
     }
 }
 
-/// A proxy that is known only because another counts it among the voters.
+/// A proxy that is known only because another proxy counts it as a voter.
 fn unseen_peer(name: String) -> Peer {
     Peer {
         name,
@@ -84,7 +89,8 @@
 }
 
 impl Replica {
-    /// The membership view has changed. `agreed`: this proxy has agreed with another on the membership, or is alone.
+    /// Adopts a new membership view. `agreed` is whether this proxy has agreed on the membership with another proxy, or
+    /// is the only one.
     pub fn update_membership(
         &mut self,
         now: Micros,
@@ -116,7 +122,7 @@
         state.peer = peer;
     }
 
-    /// A proxy that the view has forgotten is forgotten once the claims of its time have expired.
+    /// Removes proxies that are no longer in the view, once the claims of their time have expired.
     fn forget_peers(&mut self, now: Micros, in_view: &BTreeSet<String>) {
         let ledger = self.settings.ledger.as_ref();
         let retention = ledger.map_or(0, |ledger| ledger.claim_retention);
@@ -127,7 +133,7 @@
         });
     }
 
-    /// Adds proxies that another counts among the voters: they may return with claims that they granted.
+    /// Adds proxies that another proxy counts as voters. They may return with claims that they granted.
     pub(super) fn add_unseen_voters(&mut self, names: Vec<String>) {
         let last_alive = self.now - self.settling_time();
         for name in names {
@@ -139,7 +145,7 @@
         }
     }
 
-    /// Brings the list of voters up to date.
+    /// Recomputes the voters, and those with which this proxy has compared its claims.
     pub(super) fn update_voters(&mut self) {
         let (now, settling_time) = (self.now, self.settling_time());
         let own = (self.name.clone(), Some(self.incarnation));
@@ -160,29 +166,32 @@
         SETTLING_PERIODS * self.settings.period
     }
 
-    /// Whether the view holds a proxy to be alive.
+    /// Whether the view considers a proxy alive.
     pub(super) fn is_alive(&self, name: &str) -> bool {
         self.peers.get(name).is_some_and(|state| state.peer.alive)
     }
 
-    /// Whether there is nobody to replicate with.
+    /// Whether there is no proxy to replicate with.
     pub(super) fn is_alone(&self) -> bool {
-        self.voters.membership_agreed && !self.peers.values().any(PeerState::is_partner)
+        self.voters.membership_agreed && !self.peers.values().any(PeerState::is_live_replica)
     }
 
-    /// Draws up to `count` different proxies that replicate state.
+    /// Selects up to `count` different live proxies that replicate state, at random.
     pub(super) fn sample_peers(&mut self, count: usize) -> Vec<String> {
-        let partners = self.peers.iter().filter(|(_, state)| state.is_partner());
-        let mut names: Vec<&String> = partners.map(|(name, _)| name).collect();
+        let candidates = self
+            .peers
+            .iter()
+            .filter(|(_, state)| state.is_live_replica());
+        let mut names: Vec<&String> = candidates.map(|(name, _)| name).collect();
         let count = count.min(names.len());
         for index in 0..count {
-            let drawn = self.rng.usize(index..names.len());
-            names.swap(index, drawn);
+            let selected = self.rng.usize(index..names.len());
+            names.swap(index, selected);
         }
         names.into_iter().take(count).cloned().collect()
     }
 
-    /// The proxy that replicates state and is nearest, by zone and then by round trip.
+    /// The nearest live proxy that replicates state, by zone and then by round-trip time.
     pub(super) fn nearest_peer(&self, excluded: &BTreeSet<String>) -> Option<String> {
         let distance = |peer: &&Peer| {
             let round_trip = peer.round_trip.unwrap_or(UNKNOWN_ROUND_TRIP_MICROS) as i64;
@@ -191,7 +200,7 @@
         };
         self.peers
             .values()
-            .filter(|state| state.is_partner())
+            .filter(|state| state.is_live_replica())
             .map(|state| &state.peer)
             .filter(|peer| !excluded.contains(&peer.name))
             .min_by_key(distance)
--- a/crates/replication/src/replica/purges.rs
+++ b/crates/replication/src/replica/purges.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 
 impl Replica {
-    /// The discovery service reported a purge. True if it was not known.
+    /// Publishes a purge that the discovery service reported. Returns true if it was not known.
     pub fn publish_purge(
         &mut self,
         now: Micros,
--- a/crates/replication/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving: messages are checked and dispatched, and the records in them merged.
+//! Checks and dispatches received messages, and merges the records in them.
 
 use super::{Action, Replica};
 use crate::map::MergeOutcome;
@@ -11,20 +11,20 @@
 use meadowrill_membership::envelope::DropReason;
 use std::collections::BTreeSet;
 
-/// Ages of records that are stored for the host to take.
+/// Maximum number of record ages that are stored until the host takes them.
 const MAX_RECORD_AGES: usize = 256;
 
 /// How a record reached this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// As a rumor: it is disseminated further.
+    /// As a rumor, which is disseminated further.
     Rumor,
-    /// By a comparison or by catching up.
+    /// By a comparison or by catching up. It is not disseminated further.
     Repair,
 }
 
 impl Replica {
-    /// A message came from another proxy.
+    /// Processes a message from another proxy.
     pub fn receive_message(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
         self.advance(now);
         self.counts.received += 1;
@@ -37,7 +37,8 @@
 
     fn decode_packet(&self, bytes: &[u8]) -> Result<Packet, DropReason> {
         let packet = wire::read(bytes, self.settings.fleet_id)?;
-        // Only proxies in the membership view are received from: a made-up one would have to pass there.
+        // The sender is known if it is or recently was in the membership view, or if another proxy reported it as a
+        // voter. An unknown sender may be forged.
         if !self.peers.contains_key(&packet.from) {
             return Err(DropReason::SenderDead);
         }
@@ -126,14 +127,15 @@
     }
 
     fn count_known(&mut self, key: &Key, entry: &Entry) {
-        // Claims that were only requested are replaced as a matter of course, by their holder.
+        // A holder regularly replaces a claim that was only requested. That is no conflict.
         let is_requested_claim =
             self.ledger.is_some() && entry.rank.0 == ClaimState::Requested as u64;
         let differs = self.map.get(key) != Some(entry);
         self.counts.conflicts_kept += u64::from(!is_requested_claim && differs);
     }
 
-    /// Records how old a record is. What catching up brings is old without being late.
+    /// Stores the age of a record for the host, except while catching up: records that are copied then are old, but
+    /// were not delayed.
     fn record_age(&mut self, key: &Key, entry: &Entry) {
         if self.catch_up.is_some() || self.counts.record_ages.len() >= MAX_RECORD_AGES {
             return;
@@ -145,7 +147,7 @@
     }
 }
 
-/// When a record was written, where its type records that.
+/// When a record was written, if its type contains that time.
 fn written_at(key: &Key, entry: &Entry) -> Option<(RecordType, Micros)> {
     let record_type = RecordType::from_wire(key.record_type)?;
     match record_type {
@@ -157,7 +159,7 @@
     }
 }
 
-/// What the host is to do about a record that came from elsewhere.
+/// The action with which the host applies a record that another proxy wrote or a snapshot restored.
 pub(super) fn action_for(key: &Key, entry: &Entry) -> Option<Action> {
     match RecordType::from_wire(key.record_type)? {
         RecordType::Purge => {
--- a/crates/replication/src/replica/rumors.rs
+++ b/crates/replication/src/replica/rumors.rs
@@ -1,7 +1,7 @@
-//! Rumor dissemination: an update to an urgent record is sent to a few random proxies at a time, a bounded number of
-//! times.
+//! Rumor dissemination: an update to an urgent record or a claim is sent to a few random proxies in each of a limited
+//! number of rounds.
 //!
-//! Invariant: each queued key has rounds left, and stands in the queue once.
+//! Invariant: each queued key has rounds left, and is in the queue once.
 
 use super::send::{encoded_size, MAX_STREAM_RECORD_BYTES};
 use super::{Action, Replica, BATCH_DELAY};
@@ -13,24 +13,24 @@
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Proxies that each round goes to.
+/// Number of proxies to which each round is sent.
 const FANOUT: usize = 3;
-/// Rounds that an update takes part in, for each doubling of the fleet's size.
+/// Number of rounds in which an update is sent, for each doubling of the fleet's size.
 const ROUNDS_PER_DOUBLING: u32 = 1;
-/// Updates that wait; what is beyond is found by anti-entropy comparison.
+/// Maximum number of queued updates. Further updates spread by anti-entropy only.
 const MAX_QUEUED: usize = 20_000;
 
-/// Updates that wait to be sent, those sent less often first.
+/// Queued updates, in the order in which they were queued or last taken for a round.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RumorQueue {
     queue: VecDeque<Key>,
-    /// How many more rounds each takes part in.
+    /// Number of rounds in which each update is still to be sent.
     rounds_left: BTreeMap<Key, u32>,
     next_round_at: Option<Micros>,
 }
 
 impl RumorQueue {
-    /// How many updates wait.
+    /// Number of queued updates.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
@@ -54,7 +54,7 @@
         self.next_round_at = Some(next);
     }
 
-    /// The records of one round, as many as fit.
+    /// Takes the records of the next round, as many as fit into one message on a stream.
     fn take_round(&mut self, map: &Map) -> Vec<Record> {
         let (mut round, mut size, mut requeued) = (Vec::new(), 0, Vec::new());
         while let Some(key) = self.queue.pop_front() {
@@ -80,7 +80,7 @@
         round
     }
 
-    /// An update has taken part in a round; whether it takes part in others.
+    /// Counts a round of an update. Returns whether the update has rounds left.
     fn finish_round(&mut self, key: &Key) -> bool {
         let Some(rounds_left) = self.rounds_left.get_mut(key) else {
             return false;
@@ -95,7 +95,7 @@
 }
 
 impl Replica {
-    /// Queues an update for dissemination, if its type is urgent.
+    /// Queues an update for dissemination, if its record type is disseminated.
     pub(super) fn queue_rumor(&mut self, key: Key) {
         if !Tree::of_type(key.record_type).is_disseminated() || mutant("no-news") {
             return;
@@ -106,7 +106,7 @@
         self.rumors.push(key, rounds, self.now + BATCH_DELAY);
     }
 
-    /// Sends the next round once it is due.
+    /// Sends the next round if it is due.
     pub(super) fn send_due_rumors(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.rumors.next_round_at.is_some_and(|due| now >= due) {
             self.rumors.next_round_at = None;
--- a/crates/replication/src/replica/send.rs
+++ b/crates/replication/src/replica/send.rs
@@ -1,4 +1,4 @@
-//! Sending: records are split over messages, and each message goes out as a datagram or over a stream.
+//! Sends messages: splits records over several messages, and sends each message as a datagram or over a stream.
 
 use super::{Action, Replica};
 use crate::wire::{self, Body, MessageType, Packet, Record, Records};
@@ -6,23 +6,23 @@
 
 /// Bytes of the envelope around a message in a datagram.
 const ENVELOPE_BYTES: usize = 16;
-/// Bytes of the packet around the records in a datagram.
+/// Maximum number of bytes of a datagram that are not records.
 const PACKET_BYTES: usize = 160;
-/// Bytes of records in one datagram.
+/// Maximum number of bytes of records in one datagram.
 const MAX_DATAGRAM_RECORD_BYTES: usize = wire::MAX_DATAGRAM_BYTES - PACKET_BYTES;
-/// Bytes of records in one message that goes over a stream, before it is packed.
+/// Maximum number of bytes of records in one message on a stream, before compression. A single record may exceed it.
 pub(super) const MAX_STREAM_RECORD_BYTES: usize = 12 * 1024;
-/// More bytes of records than fit into so many datagrams go over a stream.
+/// Records that do not fit into this number of datagrams are sent over a stream.
 const MAX_DATAGRAMS: usize = 3;
-/// Tag and length in front of a record within a message.
+/// Bytes of the tag and the length before a record in a message.
 const FIELD_BYTES: usize = 4;
 
-/// What a record takes in a message.
+/// Bytes of a record in a message.
 pub(super) fn encoded_size(record: &Record) -> usize {
     record.encoded_len() + FIELD_BYTES
 }
 
-/// Splits records over as many messages as it takes.
+/// Splits records over as many messages as are needed.
 fn split(records: &[Record]) -> Vec<Records> {
     let total: usize = records.iter().map(encoded_size).sum();
     let max_size = if total > MAX_DATAGRAMS * MAX_DATAGRAM_RECORD_BYTES {
@@ -47,7 +47,7 @@
 }
 
 impl Replica {
-    /// Sends records in as many messages as it takes; `body` makes the body of each.
+    /// Sends records in as many messages as are needed. `body` creates the body of each message.
     pub(super) fn send_records(
         &mut self,
         to: &str,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends one message, over a stream where it does not fit into a datagram.
+    /// Sends one message as a datagram or, if it does not fit, over a stream.
     pub(super) fn send(&mut self, to: &str, body: Body, actions: &mut Vec<Action>) {
         let message_type = body.message_type();
         let packet = Packet {
@@ -69,15 +69,15 @@
             incarnation: self.incarnation,
             body: Some(body),
         };
-        let unpacked_size = packet.encoded_len();
-        let fits_datagram = unpacked_size <= wire::MAX_DATAGRAM_BYTES - ENVELOPE_BYTES;
+        let uncompressed_size = packet.encoded_len();
+        let fits_datagram = uncompressed_size <= wire::MAX_DATAGRAM_BYTES - ENVELOPE_BYTES;
         if fits_datagram {
             wire::write(&packet, &mut self.buffer);
         } else {
             wire::write_chunk(&packet, &mut self.buffer);
         }
         let (to, bytes) = (to.to_string(), self.buffer.clone());
-        self.account_for(message_type, unpacked_size, bytes.len());
+        self.count_and_charge(message_type, uncompressed_size, bytes.len());
         actions.push(if fits_datagram {
             Action::SendDatagram { to, bytes }
         } else {
@@ -85,7 +85,12 @@
         });
     }
 
-    fn account_for(&mut self, message_type: MessageType, unpacked_size: usize, sent_size: usize) {
+    fn count_and_charge(
+        &mut self,
+        message_type: MessageType,
+        uncompressed_size: usize,
+        sent_size: usize,
+    ) {
         let sent_bytes = sent_size as u64;
         self.counts.sent += 1;
         self.counts.sent_bytes += sent_bytes;
@@ -95,8 +100,8 @@
             .entry(message_type)
             .or_default() += sent_bytes;
         if message_type == MessageType::CatchUpPage {
-            // Unpacked: it is the packing that requests wait for.
-            self.donor.spend(unpacked_size);
+            // The uncompressed size counts, because client requests wait while a page is compressed.
+            self.donor.spend(uncompressed_size);
         } else {
             self.budget.spend(sent_size);
         }
--- a/crates/replication/src/replica/subject.rs
+++ b/crates/replication/src/replica/subject.rs
@@ -1,11 +1,11 @@
-//! The subjects that proxies share observations of, and their encoding in the names of records.
+//! The subjects of observations, and their encoding in the names of records.
 
-/// What an observation is about.
+/// The subject of an observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// An object, of which the highest part requested is observed.
+    /// An object. Its highest requested part is observed.
     Object(u64),
-    /// An endpoint, of which failures and the time to the first byte are observed.
+    /// An endpoint. Its failures and its time to the first byte are observed.
     Endpoint(String),
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Subject {
-    /// The subject with this encoding.
+    /// Decodes a subject. Returns none if the encoding is not valid.
     pub fn decode(bytes: &[u8]) -> Option<Subject> {
         let (tag, name) = bytes.split_first()?;
         match *tag {
--- a/crates/replication/src/replica/usage.rs
+++ b/crates/replication/src/replica/usage.rs
@@ -1,13 +1,13 @@
-//! What this proxy admitted, by tenant, and its publication to the other proxies.
+//! Counts the requests that this proxy admitted by tenant, and publishes the counts to the other proxies.
 
 use super::Replica;
 use crate::record_type::RecordType;
 use std::collections::BTreeMap;
 
-/// Tenants whose usage is counted.
+/// Maximum number of tenants whose usage is counted.
 const MAX_TENANTS: usize = 200;
 
-/// Usage of all tenants.
+/// Usage since the start, by tenant.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageMeter {
     tenants: BTreeMap<String, TenantUsage>,
@@ -17,7 +17,7 @@
 struct TenantUsage {
     requests: f64,
     kilobytes: f64,
-    /// Since it was published last.
+    /// Whether it has changed since it was last published.
     changed: bool,
 }
 
@@ -32,7 +32,7 @@
         usage.changed = true;
     }
 
-    /// Tenants whose usage has changed since the last call: requests and kilobytes.
+    /// The tenants whose usage has changed since the last call, each with its requests and kilobytes.
     fn take_changed(&mut self) -> Vec<(String, Vec<f64>)> {
         let mut changed = Vec::new();
         for (tenant, usage) in &mut self.tenants {
@@ -45,12 +45,12 @@
 }
 
 impl Replica {
-    /// A tenant's request was admitted.
+    /// Counts an admitted request of a tenant.
     pub fn record_usage(&mut self, tenant: &str, kilobytes: f64) {
         self.usage.record(tenant, kilobytes);
     }
 
-    /// Once a period: shares what has changed.
+    /// Publishes the usage that has changed. Called once per period.
     pub(super) fn publish_usage(&mut self) {
         for (tenant, values) in self.usage.take_changed() {
             self.publish_observation(self.now, RecordType::Usage, tenant.as_bytes(), values);
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -1,8 +1,9 @@
-//! When this proxy votes on claims. A process that restarts has forgotten the claims that it granted before, so it grants
-//! none until it has compared the claims it stores with all other voters.
+//! Comparisons of claims with the other voters after a start. A process that restarts has lost the claims that it
+//! granted before. So it votes on a key only once it has compared its claims with all other owners of the key (see
+//! [`crate::ledger`]), and on all keys once it has compared them with all other voters.
 //!
-//! Invariant: a comparison counts as complete once the other's answer covered all that differs, the other counts this
-//! proxy among the voters, and every record that this proxy lacked has come or was reported as no longer stored.
+//! Invariant: a comparison is complete once the other proxy's answer covered all differences, the other proxy counts
+//! this one as a voter, and every record that this proxy lacked was received or reported as no longer stored.
 
 use super::{Action, LogEvent, Replica, STALL_TIMEOUT};
 use crate::record_type::Tree;
@@ -10,15 +11,15 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// In its first periods a proxy does not know all others, nor they it.
-const SETTLING_IN_PERIODS: Micros = 2;
+/// Number of periods after its start in which a proxy may not know all others, nor they it.
+const STARTUP_PERIODS: Micros = 2;
 
-/// Whether this proxy votes, and the comparisons that it takes.
+/// Whether this proxy has compared its claims with all other voters, and the comparisons in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Voting {
     can_vote: bool,
     started_at: Micros,
-    /// Comparisons that have begun, by the other proxy.
+    /// Comparisons that have started and are not complete, by the name of the other proxy.
     comparisons: BTreeMap<String, Comparison>,
 }
 
@@ -26,9 +27,9 @@
 #[derive(Clone, Debug)]
 struct Comparison {
     requested_at: Micros,
-    /// Hashes of the records that this proxy still lacks; none before the other has answered.
+    /// Hashes of the records that this proxy still lacks; none before the other proxy has answered.
     missing: Option<BTreeSet<u64>>,
-    /// The answer covered all that differs, and the other counts this proxy among the voters.
+    /// Whether the answer covered all differences, and the other proxy counts this one as a voter.
     covers_all: bool,
 }
 
@@ -59,14 +60,14 @@
         }
     }
 
-    /// Whether this proxy has compared with all other voters.
+    /// Whether this proxy has compared its claims with all other voters.
     pub(super) fn can_vote(&self) -> bool {
         self.can_vote
     }
 }
 
 impl Replica {
-    /// Once a period: whether this proxy votes, and requests to those that it has yet to compare with.
+    /// Updates whether this proxy votes on all keys, and starts missing comparisons. Called once per period.
     pub(super) fn update_voting(&mut self, actions: &mut Vec<Action>) {
         if self.ledger.is_none() || !self.voters.membership_agreed {
             return;
@@ -82,11 +83,11 @@
         }
     }
 
-    /// Whether this proxy has settled in and compared with all voters. Those that are gone are missed by the keys that
-    /// they own with this proxy only.
+    /// Whether the first periods after the start are over and this proxy has compared its claims with all other voters.
+    /// While a voter is gone that was not compared, this proxy does not vote on the keys that both own.
     fn has_compared_with_all(&self) -> bool {
-        let settled_at = self.voting.started_at + SETTLING_IN_PERIODS * self.settings.period;
-        if self.now < settled_at || self.catch_up.is_some() {
+        let startup_end = self.voting.started_at + STARTUP_PERIODS * self.settings.period;
+        if self.now < startup_end || self.catch_up.is_some() {
             return false;
         }
         let voters = self.voters.members.keys();
@@ -96,11 +97,11 @@
     }
 
     fn peers_to_compare_with(&self) -> Vec<String> {
-        let pending = self
+        let uncompared = self
             .peers
             .iter()
             .filter(|(_, state)| state.is_voter && !state.compared && state.peer.alive);
-        pending.map(|(name, _)| name.clone()).collect()
+        uncompared.map(|(name, _)| name.clone()).collect()
     }
 
     fn request_comparison(&mut self, peer: String, actions: &mut Vec<Action>) {
@@ -114,7 +115,7 @@
         self.send_bucket_digests(&peer, Tree::Claims, actions);
     }
 
-    /// Another proxy has answered with its claims, of which this proxy lacks some.
+    /// Processes another proxy's answer. `missing` are the hashes of the claims that this proxy lacks.
     pub(super) fn continue_comparison(
         &mut self,
         from: &str,
@@ -127,7 +128,8 @@
         comparison.missing = Some(missing.clone());
         comparison.covers_all = theirs.covers_all && theirs.receiver_votes;
         if !comparison.covers_all {
-            // The next comparison finds the others: it begins at another bucket.
+            // The comparison is restarted in the next period. Its answer starts at another bucket, so that it covers
+            // the remaining differences.
             comparison.requested_at = self.now - STALL_TIMEOUT;
         }
         self.add_unseen_voters(theirs.voters);
@@ -135,7 +137,7 @@
         self.finish_comparison(from);
     }
 
-    /// Another proxy has sent records that this one requested, or reported that they are no longer stored.
+    /// Removes the records that another proxy has sent, or reported as no longer stored, from the missing records.
     pub(super) fn complete_record_requests(&mut self, from: &str, answered: &BTreeSet<u64>) {
         let comparison = self.voting.comparisons.get_mut(from);
         if let Some(missing) = comparison.and_then(|comparison| comparison.missing.as_mut()) {
--- a/crates/replication/tests/common/records.rs
+++ b/crates/replication/tests/common/records.rs
@@ -1,4 +1,4 @@
-//! Drawn records and maps of them.
+//! Random records, and maps that contain them.
 
 use meadowrill_replication::map::{Map, MapLimits};
 use meadowrill_replication::record::{Entry, Key};
@@ -12,7 +12,8 @@
     bytes: 1_000_000,
 };
 
-/// Records of types that this build knows and of two that it does not; few names, so that they meet.
+/// Records of types that this build knows and of two types that it does not. There are few names, so that many records
+/// have the same key.
 pub(crate) fn records() -> impl Strategy<Value = Vec<Record>> {
     let record_type = prop::sample::select(vec![1u32, 2, 3, 9, 16, 17, 40]);
     let record = (
@@ -36,7 +37,7 @@
     prop::collection::vec(record, 0..60)
 }
 
-/// A map with these records, merged in this order.
+/// A map into which these records were merged in this order.
 pub(crate) fn merged<'a>(records: impl Iterator<Item = &'a Record>) -> Map {
     let mut map = Map::new(LIMITS);
     for record in records {
