--- a/crates/proxy/src/net/attempt_error.rs
+++ b/crates/proxy/src/net/attempt_error.rs
@@ -1,29 +1,30 @@
-//! Failed attempts: how far one had come, why it failed, and what that proves.
+//! Failed attempts: how far the attempt had progressed, why it failed, and whether the request may have run.
 //!
-//! Rule 2: only a request that never left completely is known not to have run.
+//! Rule 2: a request is known not to have run only if it was not written completely.
 
 use crate::http::ResponseError;
 use meadowrill_routing::interface::AttemptOutcome;
 use std::fmt;
 use std::io;
 
-/// How far an attempt had come when it failed.
+/// How far an attempt had progressed when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// No descriptor was to be had, or the request was over.
+    /// No connection could be opened, or the request had already ended.
     NotStarted,
-    /// The connection was not up, or the request was not to be written yet.
+    /// The connection was not established, or the request was not yet allowed to be written.
     Connecting,
-    /// Some of the request never left.
+    /// Part of the request was not written.
     PartlyWritten,
-    /// All of the request left; nothing of a response came.
+    /// The complete request was written; no part of a response was received.
     Written,
-    /// A part of a response came.
+    /// Part of a response was received.
     ResponseStarted,
 }
 
 impl Progress {
-    /// Whether the endpoint has accepted the request: its last byte was written to a connection that it accepted.
+    /// Whether the endpoint counts as having accepted the request: it accepted the connection, and the last byte of the
+    /// request was written to it.
     pub(crate) fn is_accepted(self) -> bool {
         matches!(self, Progress::Written | Progress::ResponseStarted)
     }
@@ -32,23 +33,23 @@
 /// Why an attempt failed.
 #[derive(Debug)]
 pub(crate) enum Cause {
-    /// The connection failed, or none could be opened.
+    /// The connection failed or could not be opened.
     Io(io::Error),
     /// The endpoint closed the connection.
     ClosedByEndpoint,
-    /// Its timeout has passed.
+    /// The attempt timed out.
     TimedOut,
-    /// The decisions gave it up, or its client has gone.
+    /// The router cancelled the attempt, or its client has disconnected.
     Cancelled,
-    /// All descriptors for endpoint connections are in use.
+    /// All file descriptors for endpoint connections are in use.
     NoDescriptor,
-    /// The response cannot be used.
+    /// The response is not usable.
     Response(ResponseError),
-    /// This program panicked over it.
+    /// This program panicked while handling the connection.
     Panicked,
 }
 
-/// Who is at fault.
+/// Which party is at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ErrorSource {
     Client,
@@ -74,7 +75,7 @@
 }
 
 impl AttemptError {
-    /// The outcome for the decisions.
+    /// The outcome that is reported to the router.
     pub(crate) fn outcome(&self) -> AttemptOutcome {
         let cancelled = matches!(self.cause, Cause::Cancelled);
         match (self.progress, &self.cause) {
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Who is at fault for it. An attempt is cancelled where its client has left, or where the router takes it back before
-    /// it is written; both count as the client's.
+    /// Which party is at fault. An attempt is cancelled when its client has disconnected, or when the router withdraws
+    /// it before it is written; both count as caused by the client.
     pub(crate) fn source(&self) -> ErrorSource {
         match (self.progress, &self.cause) {
             (_, Cause::Cancelled) => ErrorSource::Client,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Whether another attempt is harmless whatever the class of the request: this one never ran.
+    /// Whether another attempt is safe for any request class, because this attempt did not run.
     pub(crate) fn is_retry_safe(&self) -> bool {
         !self.outcome().may_have_run()
     }
@@ -109,20 +110,20 @@
 impl fmt::Display for AttemptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.progress {
-            Progress::NotStarted => "not sent",
+            Progress::NotStarted => "not started",
             Progress::Connecting => "not connected",
-            Progress::PartlyWritten => "not completely written",
-            Progress::Written => "written, no response",
-            Progress::ResponseStarted => "response incomplete",
+            Progress::PartlyWritten => "request partly written",
+            Progress::Written => "request written, no response received",
+            Progress::ResponseStarted => "incomplete response",
         })?;
         match &self.cause {
             Cause::Io(e) => write!(f, ": {e}"),
             Cause::ClosedByEndpoint => write!(f, ": closed by the endpoint"),
             Cause::TimedOut => write!(f, ": timed out"),
             Cause::Cancelled => write!(f, ": cancelled"),
-            Cause::NoDescriptor => write!(f, ": no descriptor free"),
+            Cause::NoDescriptor => write!(f, ": no free file descriptor for endpoint connections"),
             Cause::Response(error) => write!(f, ": {error}"),
-            Cause::Panicked => write!(f, ": panic"),
+            Cause::Panicked => write!(f, ": panic while handling the connection"),
         }
     }
 }
--- a/crates/proxy/src/net/attempt_error/tests.rs
+++ b/crates/proxy/src/net/attempt_error/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn only_a_request_that_never_left_completely_is_known_not_to_have_run() {
+fn only_a_request_that_was_not_written_completely_is_known_not_to_have_run() {
     let outcome = |progress, cause| AttemptError { progress, cause }.outcome();
     assert_eq!(
         outcome(Progress::NotStarted, Cause::NoDescriptor),
--- a/crates/proxy/src/net/clients.rs
+++ b/crates/proxy/src/net/clients.rs
@@ -1,14 +1,14 @@
-//! Client connections: requests in, and exactly one response on each stream.
+//! Client connections: receives requests and sends exactly one response on each stream.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `connection` | one connection: its state, and what is queued on it |
-//! | `receiving` | frames in: requests, cancellations, readiness queries, faults |
-//! | `closing` | the one way in which connections end; idle, slow and surplus ones |
-//! | `event` | what the loop learns of clients, and reuse of requests |
+//! | `connection` | the state of one connection and the frames that are queued on it |
+//! | `receiving` | received frames: requests, cancellations, readiness queries, faulty frames |
+//! | `closing` | closing of connections, also of idle, slow and surplus ones |
+//! | `event` | events for the event loop, and reuse of request allocations |
 //!
-//! Invariants: a stream has at most one open request and gets one response; a connection that is muted reads nothing
-//! more; responses of a round leave with one write for each client.
+//! Invariants: a stream has at most one open request and gets one response; a connection that discards input handles no
+//! more frames; the responses of a round that are queued for the same client are flushed together.
 
 mod closing;
 mod connection;
@@ -20,7 +20,7 @@
 
 use self::connection::ClientConnection;
 use self::event::RequestPool;
-use self::receiving::{Readiness, Receiving};
+use self::receiving::{FrameReceiver, Readiness};
 use super::buffered_stream::BufferLimits;
 use super::syscalls::increment;
 use super::{Key, Poll};
@@ -31,41 +31,43 @@
 use std::io;
 use std::net::{IpAddr, TcpStream};
 
-/// Requests that a connection may have open, and so how many responses its buffer may have to hold.
+/// Maximum number of open requests on a connection, and so the number of responses that its buffer may have to hold.
 const MAX_OPEN_REQUESTS: usize = 32;
 const LIMITS: BufferLimits = BufferLimits {
     inbound: frame::MAX_CLIENT_FRAME,
     outbound: (MAX_OPEN_REQUESTS + 1) * frame::MAX_FRAME,
 };
-/// Bodies from this size on are written at once from where they are, in bytes; smaller ones are copied, to be written
-/// together.
-const LARGE_BODY: usize = 16_384;
+/// Bodies of at least this many bytes are written immediately without a copy. Smaller ones are copied into the buffer
+/// and written together.
+const LARGE_BODY_BYTES: usize = 16_384;
 
 /// All client connections.
 pub(crate) struct Clients {
     connections: BTreeMap<u64, ClientConnection>,
-    /// Connections with more to read than a round takes.
+    /// Connections with more input than one round handles.
     unread: BTreeSet<u64>,
-    /// Draining connections, by when that ends.
+    /// Draining connections, ordered by the time at which draining ends.
     draining: BTreeSet<(Micros, u64)>,
-    /// The most connections that are served, and that drain beside them.
+    /// Maximum number of connections that are served.
     max_connections: usize,
+    /// Maximum number of draining connections, in addition to those that are served.
     max_draining: usize,
-    /// A connection that takes nothing of what is written for so long is lost.
+    /// A connection that accepts no output for this long is closed.
     stall_timeout: Micros,
-    last_request: u32,
-    /// Whether this proxy says that it is ready, unless no endpoint accepts its requests.
+    last_request_id: u32,
+    /// Whether this proxy reports that it is ready, provided that it is also available.
     pub ready: bool,
+    /// Whether any endpoint accepts its requests.
     pub available: bool,
-    /// Where state is shared: whether it had been received when this proxy became ready.
+    /// Whether the shared state had been received when this proxy became ready; none if no state is shared.
     pub caught_up: Option<bool>,
-    /// This proxy is shutting down: nothing new is taken.
+    /// This proxy is shutting down and accepts no new requests.
     closing: bool,
-    /// Fields that identify tenant and client.
+    /// Names of the request fields that identify the tenant and the client.
     pub identity_fields: IdentityFields,
     events: Vec<ClientEvent>,
-    /// Connections with responses that were queued and not written yet.
-    unwritten: Vec<u64>,
+    /// Connections with responses that are queued and not yet flushed.
+    unflushed: Vec<u64>,
     pool: RequestPool,
 }
 
@@ -82,14 +84,14 @@
             max_connections,
             max_draining,
             stall_timeout,
-            last_request: 0,
+            last_request_id: 0,
             ready: true,
             available: true,
             caught_up: None,
             closing: false,
             identity_fields: IdentityFields::default(),
             events: Vec::new(),
-            unwritten: Vec::new(),
+            unflushed: Vec::new(),
             pool: RequestPool::default(),
         }
     }
@@ -99,24 +101,24 @@
         into.append(&mut self.events);
     }
 
-    /// Gives the allocation of a request back that is over.
+    /// Returns the allocation of a finished request to the pool.
     pub(crate) fn recycle(&mut self, request: Box<Request>) {
-        self.pool.give(request);
+        self.pool.put(request);
     }
 
     /// Writes the responses that were queued in this round.
     pub(crate) fn flush(&mut self, now: Micros, poll: &Poll) {
-        let mut unwritten = std::mem::take(&mut self.unwritten);
-        // One write for all responses of a client.
-        unwritten.sort_unstable();
-        unwritten.dedup();
-        for number in unwritten.drain(..) {
-            self.settle(number, Ok(()), now, poll);
+        let mut unflushed = std::mem::take(&mut self.unflushed);
+        // All responses to a client are flushed together.
+        unflushed.sort_unstable();
+        unflushed.dedup();
+        for number in unflushed.drain(..) {
+            self.finish_step(number, Ok(()), now, poll);
         }
-        self.unwritten = unwritten;
+        self.unflushed = unflushed;
     }
 
-    /// Connections that are to be read again although nothing new has come.
+    /// Takes the connections that must be read again even if the poll reports no new input.
     pub(crate) fn take_unread(&mut self) -> BTreeSet<u64> {
         std::mem::take(&mut self.unread)
     }
@@ -129,7 +131,7 @@
         self.connections.is_empty()
     }
 
-    /// Takes an accepted connection in.
+    /// Registers an accepted connection.
     pub(crate) fn accept(
         &mut self,
         stream: TcpStream,
@@ -144,7 +146,7 @@
         Ok(())
     }
 
-    /// A connection became readable or writable, or has more to read.
+    /// Handles a connection that became readable or writable, or that has unread input.
     pub(crate) fn handle_ready(
         &mut self,
         number: u64,
@@ -156,7 +158,7 @@
             return;
         };
         client.stream.set_ready(ready);
-        let mut receiving = Receiving {
+        let mut receiver = FrameReceiver {
             number,
             now,
             readiness: Readiness {
@@ -164,18 +166,18 @@
                 caught_up: self.caught_up,
             },
             identity: &self.identity_fields,
-            last_request: &mut self.last_request,
+            last_request_id: &mut self.last_request_id,
             pool: &mut self.pool,
             events: &mut self.events,
         };
-        let received = receiving.receive(client);
+        let received = receiver.receive(client);
         if matches!(received, Ok(true)) {
             self.unread.insert(number);
         }
-        self.settle(number, received.map(|_| ()), now, poll);
+        self.finish_step(number, received.map(|_| ()), now, poll);
     }
 
-    /// Sends the one response of a request, unless its stream has had it or is gone.
+    /// Sends the response to a request, unless the request is no longer open or its connection is closed.
     pub(crate) fn send_response(
         &mut self,
         (number, stream, request): (u64, u32, u32),
@@ -198,23 +200,23 @@
             Some(fields),
             body.len(),
         );
-        if body.len() < LARGE_BODY {
+        if body.len() < LARGE_BODY_BYTES {
             increment(&poll.syscalls.copied, body.len() as u64);
             if client.stream.queue(&head, body).is_ok() {
-                self.unwritten.push(number);
+                self.unflushed.push(number);
                 return;
             }
         }
         let sent = client.stream.send(&head, body);
-        self.settle(number, sent, now, poll);
+        self.finish_step(number, sent, now, poll);
     }
 
-    /// Counts a request that the settings do not allow against its connection.
+    /// Counts a request that violates the settings as a fault of its connection.
     pub(crate) fn record_fault(&mut self, number: u64, now: Micros, poll: &Poll) {
         let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
-        let done = client.record_fault();
-        self.settle(number, done, now, poll);
+        let result = client.record_fault();
+        self.finish_step(number, result, now, poll);
     }
 }
--- a/crates/proxy/src/net/clients/closing.rs
+++ b/crates/proxy/src/net/clients/closing.rs
@@ -1,10 +1,10 @@
-//! How client connections end: in good order where they can, and at once where they are broken or stalled.
+//! Closing of client connections: gracefully where possible, and immediately if they are broken or stalled.
 //!
-//! [`Clients::settle`] is the one way in good order: nothing more is read, all is written, our side is shut, and what
-//! still comes is dropped up to the peer's end or [`DRAIN_TIMEOUT`]. [`Clients::disconnect`] is for what is broken,
-//! stalled, or at the end of that way.
+//! [`Clients::finish_step`] starts each graceful close: no more frames are handled, all output is written, the sending
+//! direction is shut down, and further input is discarded until the peer closes its side or [`DRAIN_TIMEOUT`] has
+//! passed. [`Clients::disconnect`] closes connections that are broken, stalled, or have finished draining.
 
-use super::connection::Use;
+use super::connection::EvictionOrder;
 use super::{ClientEvent, Clients};
 use crate::frame::FrameError;
 use crate::net::Poll;
@@ -12,15 +12,16 @@
 use meadowrill_routing::interface::Micros;
 use std::io;
 
-/// How long a connection may be silent before its first complete frame, or within one.
+/// How long a client may take to send its first frame, or to complete a frame that it has begun.
 const INCOMPLETE_TIMEOUT: Micros = 2_000_000;
-/// How long a connection with nothing open is kept. Clients close theirs earlier; some never do.
+/// How long a connection without open requests is kept. Clients normally close their connections earlier, but some
+/// never do.
 const IDLE_TIMEOUT: Micros = 6_000_000;
-/// How long bytes behind the shutdown of our side are read and dropped, if the peer does not end its own before: a close
-/// with unread bytes is a reset, in which the responses before it may be lost.
+/// How long input is read and discarded after the sending direction was shut down, unless the peer closes its side
+/// earlier. Closing a socket with unread input resets the connection, and the peer may lose responses sent before.
 pub(crate) const DRAIN_TIMEOUT: Micros = 1_000_000;
 
-/// As if the poll had reported that something has come.
+/// The readiness that the poll reports when input has arrived.
 const READABLE: Readiness = Readiness {
     readable: true,
     writable: false,
@@ -28,19 +29,19 @@
 };
 
 impl Clients {
-    /// Whether another connection may be accepted. At the ceiling the connection of least use is closed, so that clients
-    /// that say nothing, or have sent one request and hold on, do not keep all others out.
+    /// Whether another connection may be accepted. At the limit the first connection in [`EvictionOrder`] is closed, so
+    /// that clients that send nothing, or that keep a connection after a single request, do not block all others.
     pub(crate) fn make_room(&mut self, now: Micros, poll: &mut Poll) -> bool {
         while self.connections.len() - self.draining.len() >= self.max_connections {
             let closable = self.connections.iter().filter_map(|(number, client)| {
-                client.closable_use(now).map(|least| (least, *number))
+                client.eviction_order(now).map(|order| (order, *number))
             });
-            let Some((_, number)): Option<(Use, u64)> = closable.min() else {
+            let Some((_, number)): Option<(EvictionOrder, u64)> = closable.min() else {
                 return false;
             };
             self.close_idle(number, now, poll);
         }
-        // Of those that drain the first has had the most time.
+        // The first of the draining connections has been draining for longest.
         while self.connections.len() >= self.max_connections + self.max_draining {
             let Some((_, first)) = self.draining.first().copied() else {
                 return false;
@@ -50,13 +51,14 @@
         true
     }
 
-    /// Closes a connection with nothing open, unless something has come on it that was not read yet.
+    /// Closes a connection without open requests, unless unread input has arrived on it.
     fn close_idle(&mut self, number: u64, now: Micros, poll: &mut Poll) {
         let Some(client) = self.connections.get(&number) else {
             return;
         };
         let before = (client.used_at, client.stream.inbound.len());
-        // What has come by now counts, the peer's end too, even if the poll has not reported it yet.
+        // Input that has arrived by now counts, and so does the end of the peer's side, even if the poll has not
+        // reported it.
         self.handle_ready(number, READABLE, now, poll);
         let Some(client) = self
             .connections
@@ -70,21 +72,27 @@
             client.incomplete_since = client.incomplete_since.map(|_| now);
             return;
         }
-        client.muted = true;
-        let done = client.queue_going_away();
-        self.settle(number, done, now, poll);
+        client.discards_input = true;
+        let result = client.queue_going_away();
+        self.finish_step(number, result, now, poll);
     }
 
-    /// To be called after each step with a connection: ends it in good order once it is muted and all is written, and
-    /// takes note of whether it is stalled.
-    pub(super) fn settle(&mut self, number: u64, done: io::Result<()>, now: Micros, poll: &Poll) {
+    /// Must be called after each step with a connection. Flushes the output, starts the graceful close once input is
+    /// discarded and nothing is open or queued, and records whether the connection is stalled.
+    pub(super) fn finish_step(
+        &mut self,
+        number: u64,
+        result: io::Result<()>,
+        now: Micros,
+        poll: &Poll,
+    ) {
         let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
-        if done.and_then(|()| client.stream.flush()).is_err() {
+        if result.and_then(|()| client.stream.flush()).is_err() {
             return self.disconnect(number, poll);
         }
-        if (client.muted || self.closing) && client.is_idle() {
+        if (client.discards_input || self.closing) && client.is_idle() {
             return self.drain(number, now, poll);
         }
         client.stalled = match client.stalled {
@@ -94,13 +102,13 @@
         };
     }
 
-    /// Shuts our side, and closes the connection once the peer has ended its own.
+    /// Shuts down the sending direction, and closes the connection once the peer has closed its side.
     fn drain(&mut self, number: u64, now: Micros, poll: &Poll) {
         let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
         if client.draining_until.is_none() {
-            client.muted = true;
+            client.discards_input = true;
             client.incomplete_since = None;
             client.stream.inbound.clear();
             client.stream.shut_down_output();
@@ -112,7 +120,7 @@
         }
     }
 
-    /// Closes a connection at once; its open requests are cancelled.
+    /// Closes a connection immediately and cancels its open requests.
     pub(crate) fn disconnect(&mut self, number: u64, poll: &Poll) {
         let Some(client) = self.connections.remove(&number) else {
             return;
@@ -120,13 +128,14 @@
         if let Some(until) = client.draining_until {
             self.draining.remove(&(until, number));
         }
-        let open = client.open.iter();
+        let open = client.open_requests.iter();
         self.events
             .extend(open.map(|(_, id)| ClientEvent::Cancelled { id: *id }));
         client.stream.close(poll);
     }
 
-    /// Closes connections whose time is up: draining, stalled, within a frame, or idle. To be called regularly.
+    /// Closes connections whose timeout has passed: those that are draining, stalled, within a frame, or idle. Must be
+    /// called regularly.
     pub(crate) fn close_stale(&mut self, now: Micros, poll: &mut Poll) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
@@ -138,41 +147,41 @@
         let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
-        let is_over = |since: Micros, timeout: Micros| since + timeout <= now;
+        let has_passed = |since: Micros, timeout: Micros| since + timeout <= now;
         let stalled = client.stalled;
         if client.draining_until.is_some_and(|until| until <= now) {
             self.disconnect(number, poll);
-        } else if let Some((_, before)) = stalled.filter(|s| is_over(s.0, self.stall_timeout)) {
-            // A client that reads so slowly has lost its responses, and others need the memory that they fill.
+        } else if let Some((_, before)) = stalled.filter(|s| has_passed(s.0, self.stall_timeout)) {
+            // A client that reads this slowly no longer benefits from its responses, and other clients need the memory.
             let written = client.stream.written;
             client.stalled = Some((now, written));
             if before == written {
                 self.disconnect(number, poll);
             }
-        } else if client.muted {
-            // Nothing is read from it any more, and its responses are on their way.
+        } else if client.discards_input {
+            // No more requests are read from it, and its open requests still get their responses.
         } else if client
             .incomplete_since
-            .is_some_and(|since| is_over(since, INCOMPLETE_TIMEOUT))
+            .is_some_and(|since| has_passed(since, INCOMPLETE_TIMEOUT))
         {
             let error = FrameError::Incomplete;
             self.events.push(ClientEvent::BadFrame {
                 client: number,
                 error,
             });
-            let done = client.stop_reading();
-            self.settle(number, done, now, poll);
-        } else if client.is_idle() && is_over(client.used_at, IDLE_TIMEOUT) {
+            let result = client.stop_reading();
+            self.finish_step(number, result, now, poll);
+        } else if client.is_idle() && has_passed(client.used_at, IDLE_TIMEOUT) {
             self.close_idle(number, now, poll);
         }
     }
 
-    /// Begins the shutdown: handles what has come so far, takes nothing more, and ends connections with nothing open; the
-    /// others end with their last response.
+    /// Begins the shutdown: handles the input received so far, rejects new requests, and closes connections without
+    /// open requests. Each of the others is closed after its last response.
     pub(crate) fn shut_down(&mut self, now: Micros, poll: &mut Poll) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for &number in &numbers {
-            // Sent before the notice that nothing more is taken: it gets its response, even if the poll has not reported
+            // A request that was sent before the going-away notice gets its response, even if the poll has not reported
             // it yet.
             self.handle_ready(number, READABLE, now, poll);
         }
@@ -181,12 +190,12 @@
             let Some(client) = self.connections.get_mut(&number) else {
                 continue;
             };
-            let done = if client.muted {
+            let result = if client.discards_input {
                 Ok(())
             } else {
                 client.queue_going_away()
             };
-            self.settle(number, done, now, poll);
+            self.finish_step(number, result, now, poll);
         }
     }
 }
--- a/crates/proxy/src/net/clients/connection.rs
+++ b/crates/proxy/src/net/clients/connection.rs
@@ -1,7 +1,7 @@
-//! One client connection: its state, and what this proxy queues on it.
+//! One client connection: its state, and the frames that this proxy queues on it.
 //!
-//! A connection is open, then muted (what still comes is dropped), then draining (our side is shut, and the peer's end
-//! is waited for), then closed. Each step is taken once and none back.
+//! A connection is open, then discards input, then drains (the sending direction is shut down until the peer closes its
+//! side), and then is closed. Each transition happens at most once, and none is reversed.
 
 use crate::frame;
 use crate::net::BufferedStream;
@@ -9,19 +9,20 @@
 use std::io;
 use std::net::IpAddr;
 
-/// Faulty frames after which nothing more is read from a connection.
+/// Number of faulty frames after which no more requests are read from a connection.
 const MAX_FAULTS: u32 = 16;
-/// A younger connection is not closed to make room: its first bytes may still be on their way.
-const MIN_AGE: Micros = 100_000;
+/// A connection is not closed to make room within this time after it was accepted, after its last frame or response, or
+/// after a frame began: its next bytes may still be in transit.
+const MIN_EVICTION_AGE: Micros = 100_000;
 
-/// How much is lost with a connection, the least first.
+/// The order in which connections are closed to make room: those whose loss costs the client least come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Use {
-    /// It has never sent a complete frame.
+pub(super) enum EvictionOrder {
+    /// The client has never sent a complete frame.
     Unused { since: Micros },
-    /// It is within a frame.
+    /// A frame has been received in part.
     WithinFrame { since: Micros },
-    /// It is idle.
+    /// No request is open, and no frame has been received in part.
     Idle { since: Micros },
 }
 
@@ -29,24 +30,25 @@
     pub(super) stream: BufferedStream,
     pub(super) address: IpAddr,
     pub(super) last_stream: u32,
-    /// Streams with the request that is open on each, in order; few.
-    pub(super) open: Vec<(u32, u32)>,
-    /// What still comes is dropped: the peer has ended its side, no frame can be found any more, or our side is shut.
-    pub(super) muted: bool,
-    /// The peer has ended its side.
+    /// The few streams with an open request, in the order of opening, each with the id of its request.
+    pub(super) open_requests: Vec<(u32, u32)>,
+    /// Further input is discarded: the peer has closed its side, reading was stopped after faults or a timeout, or the
+    /// connection is being closed.
+    pub(super) discards_input: bool,
+    /// The peer has closed its side.
     pub(super) half_closed: bool,
-    /// The peer has been notified that nothing new is taken.
+    /// The peer has been notified that new requests are rejected.
     going_away: bool,
-    /// Our side is shut; the connection is closed at the peer's end, or at this moment.
+    /// The sending direction is shut down, and the connection is closed when the peer closes its side or at this time.
     pub(super) draining_until: Option<Micros>,
-    /// A complete frame has come.
+    /// A complete frame was received.
     pub(super) has_sent_frame: bool,
-    /// Since when a frame, or the first, is incomplete.
+    /// Since when a frame, or the first frame, has been incomplete.
     pub(super) incomplete_since: Option<Micros>,
-    /// When a frame was read or a response sent last.
+    /// When the last frame was read or the last response sent.
     pub(super) used_at: Micros,
     faults: u32,
-    /// Since when the peer takes nothing of what is queued, and how much was written by then.
+    /// Set while output is queued: the start of the current stall check, and the number of bytes written by then.
     pub(super) stalled: Option<(Micros, u64)>,
 }
 
@@ -56,8 +58,8 @@
             stream,
             address,
             last_stream: 0,
-            open: Vec::new(),
-            muted: false,
+            open_requests: Vec::new(),
+            discards_input: false,
             half_closed: false,
             going_away: false,
             draining_until: None,
@@ -69,18 +71,18 @@
         }
     }
 
-    /// Whether new requests are rejected: the peer has gone, or was notified that none is taken.
+    /// Whether new requests are rejected: the peer has closed its side, or was notified that they are rejected.
     pub(super) fn rejects_requests(&self) -> bool {
         self.half_closed || self.going_away
     }
 
-    /// Queues a response without fields and body.
+    /// Queues a response without fields and without a body.
     pub(super) fn queue_response(&mut self, stream: u32, code: u8) -> io::Result<()> {
         let head = frame::encode_head(frame::RESPONSE, stream, Some(code), Some(&[]), 0);
         self.stream.queue(&head, &[])
     }
 
-    /// Queues, once, that nothing new is taken.
+    /// Queues the notice that new requests are rejected, unless it was queued before.
     pub(super) fn queue_going_away(&mut self) -> io::Result<()> {
         if std::mem::replace(&mut self.going_away, true) {
             return Ok(());
@@ -89,52 +91,57 @@
         self.stream.queue(&head, &[])
     }
 
-    /// Reports a fault of the connection and reads nothing more: the client has to send what is left to another proxy.
+    /// Reports a fault of the connection and handles no more frames. The client has to send its remaining requests to
+    /// another proxy.
     pub(super) fn stop_reading(&mut self) -> io::Result<()> {
-        self.muted = true;
+        self.discards_input = true;
         self.incomplete_since = None;
         self.stream.inbound.clear();
         self.queue_response(0, frame::FAILED)?;
         self.queue_going_away()
     }
 
-    /// Counts a faulty frame.
+    /// Counts a faulty frame and stops reading when there were too many.
     pub(super) fn record_fault(&mut self) -> io::Result<()> {
         self.faults += 1;
-        if self.faults < MAX_FAULTS || self.muted {
+        if self.faults < MAX_FAULTS || self.discards_input {
             return Ok(());
         }
         self.stop_reading()
     }
 
     pub(super) fn has_open(&self, stream: u32, request: u32) -> bool {
-        self.open.contains(&(stream, request))
+        self.open_requests.contains(&(stream, request))
     }
 
-    /// Removes the open request of a stream.
+    /// Removes the open request of a stream and returns its id.
     pub(super) fn close_request(&mut self, stream: u32) -> Option<u32> {
-        let at = self.open.iter().position(|open| open.0 == stream)?;
-        Some(self.open.remove(at).1)
+        let at = self
+            .open_requests
+            .iter()
+            .position(|request| request.0 == stream)?;
+        Some(self.open_requests.remove(at).1)
     }
 
-    /// Nothing is open, and all is written.
+    /// Whether no request is open and all output is written.
     pub(super) fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.stream.outbound.is_empty()
+        self.open_requests.is_empty() && self.stream.outbound.is_empty()
     }
 
-    /// What would be lost by closing it to make room; none where it must stay, as it has something open or may have soon.
-    pub(super) fn closable_use(&self, now: Micros) -> Option<Use> {
+    /// The place of this connection in the eviction order. None if it must not be closed, because it has an open
+    /// request or unwritten output, is draining already, or was used too recently.
+    pub(super) fn eviction_order(&self, now: Micros) -> Option<EvictionOrder> {
         if !self.is_idle() || self.draining_until.is_some() {
             return None;
         }
-        let (since, least) = match self.incomplete_since {
-            Some(since) if self.has_sent_frame => (since, Use::WithinFrame { since }),
-            Some(since) => (since, Use::Unused { since }),
+        let (since, order) = match self.incomplete_since {
+            Some(since) if self.has_sent_frame => (since, EvictionOrder::WithinFrame { since }),
+            Some(since) => (since, EvictionOrder::Unused { since }),
             None => {
                 let since = self.used_at;
-                (since, Use::Idle { since })
+                (since, EvictionOrder::Idle { since })
             }
         };
-        (since + MIN_AGE <= now).then_some(least)
+        (since + MIN_EVICTION_AGE <= now).then_some(order)
     }
 }
--- a/crates/proxy/src/net/clients/event.rs
+++ b/crates/proxy/src/net/clients/event.rs
@@ -1,13 +1,13 @@
-//! What the loop learns of clients, and reuse of the allocations of requests.
+//! Events of client connections for the event loop, and reuse of request allocations.
 
 use crate::frame::{FrameError, Request};
 use std::collections::VecDeque;
 use std::net::IpAddr;
 
-/// Allocations of requests that are kept for reuse.
+/// Maximum number of request allocations that are kept for reuse.
 const MAX_SPARE_REQUESTS: usize = 256;
 
-/// What has happened on a client's connection. `id` is the id of the request within this process.
+/// An event on a client connection. `id` is the id of the request within this process.
 pub(crate) enum ClientEvent {
     RequestReceived {
         id: u32,
@@ -17,30 +17,31 @@
         stream: u32,
         request: Box<Request>,
     },
-    /// Nobody waits for the response any more.
+    /// The response is no longer wanted.
     Cancelled { id: u32 },
-    /// The client has ended its side: no attempt is to begin any more, while those in flight may find it still reading.
+    /// The client has closed its side. No new attempt may begin; the client may still read the responses of attempts in
+    /// flight.
     HalfClosed { id: u32 },
-    /// For the log.
+    /// A faulty frame, to be logged.
     BadFrame { client: u64, error: FrameError },
 }
 
-/// Allocations of requests that are over, for those to come.
+/// Allocations of finished requests, for reuse by later requests.
 #[derive(Default)]
 pub(super) struct RequestPool(VecDeque<Box<Request>>);
 
 impl RequestPool {
-    pub(super) fn give(&mut self, request: Box<Request>) {
+    pub(super) fn put(&mut self, request: Box<Request>) {
         if self.0.len() < MAX_SPARE_REQUESTS {
             self.0.push_back(request);
         }
     }
 
-    pub(super) fn place(&mut self, request: Request) -> Box<Request> {
+    pub(super) fn allocate(&mut self, request: Request) -> Box<Request> {
         match self.0.pop_back() {
-            Some(mut place) => {
-                *place = request;
-                place
+            Some(mut allocation) => {
+                *allocation = request;
+                allocation
             }
             None => Box::new(request),
         }
--- a/crates/proxy/src/net/clients/receiving.rs
+++ b/crates/proxy/src/net/clients/receiving.rs
@@ -1,4 +1,4 @@
-//! Frames of a client: requests, cancellations, readiness queries, and what is done about faulty ones.
+//! Frames received from a client: requests, cancellations and readiness queries, and the handling of faulty frames.
 
 use super::connection::ClientConnection;
 use super::event::{ClientEvent, RequestPool};
@@ -7,20 +7,21 @@
 use meadowrill_routing::interface::Micros;
 use std::io;
 
-/// Frames of one connection that are handled in a round: whoever floods waits for the others.
+/// Maximum number of frames of one connection that are handled in a round, so that a client that floods does not delay
+/// the others.
 const MAX_FRAMES_PER_ROUND: usize = 64;
 
-/// What this proxy answers to a readiness query.
+/// The answer of this proxy to a readiness query.
 #[derive(Clone, Copy)]
 pub(super) struct Readiness {
     pub(super) ready: bool,
-    /// Where state is shared: whether it had been received when this proxy became ready.
+    /// Whether the shared state had been received when this proxy became ready; none if no state is shared.
     pub(super) caught_up: Option<bool>,
 }
 
-/// A frame as it was read, before anything is done about it.
-enum Message {
-    /// A request on a connection that takes none any more.
+/// A parsed frame that has not been handled yet.
+enum ParsedFrame {
+    /// A request on a connection that rejects new requests.
     LateRequest {
         stream: u32,
     },
@@ -34,33 +35,34 @@
     ReadinessQuery {
         stream: u32,
     },
-    /// A faulty frame. The fault is answered on its stream, or on stream 0 where that had or will have its response.
+    /// A faulty frame. The failure response goes to the stream of the frame, or to stream 0 if that stream already has
+    /// or will get a response, or if the frame type is unknown.
     Faulty {
         reply_to: u32,
         error: FrameError,
     },
 }
 
-/// What a connection is read with.
-pub(super) struct Receiving<'a> {
+/// The state that is needed to receive frames on one connection.
+pub(super) struct FrameReceiver<'a> {
     /// Number of the connection.
     pub(super) number: u64,
     pub(super) now: Micros,
     pub(super) readiness: Readiness,
     pub(super) identity: &'a IdentityFields,
-    pub(super) last_request: &'a mut u32,
+    pub(super) last_request_id: &'a mut u32,
     pub(super) pool: &'a mut RequestPool,
     pub(super) events: &'a mut Vec<ClientEvent>,
 }
 
-impl Receiving<'_> {
-    /// Reads what has come and handles a round's share of it; true where there is more.
+impl FrameReceiver<'_> {
+    /// Reads available input and handles at most [`MAX_FRAMES_PER_ROUND`] frames. Returns true if there is more input.
     pub(super) fn receive(&mut self, client: &mut ClientConnection) -> io::Result<bool> {
-        // Behind the end of its stream a reset shows in no read.
+        // After the end of the peer's stream a read does not report a reset.
         if client.half_closed && !client.stream.is_connected()? {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        let ended = if client.muted {
+        let ended = if client.discards_input {
             client.stream.discard()?
         } else {
             client.stream.fill()?
@@ -68,19 +70,19 @@
         if ended && !client.half_closed {
             self.half_close(client)?;
         }
-        if client.muted {
+        if client.discards_input {
             return Ok(client.stream.readable && !client.half_closed);
         }
         for _ in 0..MAX_FRAMES_PER_ROUND {
-            match self.read_message(client) {
-                Ok(Some((message, length))) => {
-                    self.handle_message(client, message, length)?;
-                    if client.muted {
+            match self.parse_next(client) {
+                Ok(Some((parsed, length))) => {
+                    self.handle_frame(client, parsed, length)?;
+                    if client.discards_input {
                         return Ok(client.stream.readable);
                     }
                 }
                 Ok(None) => {
-                    self.wait_for_more(client);
+                    self.update_incomplete(client);
                     return Ok(client.stream.readable && !client.half_closed);
                 }
                 Err(error) => {
@@ -97,36 +99,38 @@
         Ok(true)
     }
 
-    /// The peer has ended its side. Whoever has closed completely is gone, and whoever only ended its side still reads;
-    /// both look the same until something is written. A peer that has closed answers the notice with a reset, and the
-    /// attempts of its requests end with it.
+    /// Handles the end of the peer's stream. A peer that has closed its socket reads nothing more, and a peer that has
+    /// only shut down its sending direction still reads. Both look the same until something is written. A closed peer
+    /// answers the going-away notice with a reset, which ends the attempts of its requests.
     fn half_close(&mut self, client: &mut ClientConnection) -> io::Result<()> {
         client.half_closed = true;
-        let open = client.open.iter();
+        let open = client.open_requests.iter();
         self.events
             .extend(open.map(|(_, id)| ClientEvent::HalfClosed { id: *id }));
-        if client.open.is_empty() {
+        if client.open_requests.is_empty() {
             return Ok(());
         }
         client.queue_going_away()
     }
 
-    /// All complete frames are handled.
-    fn wait_for_more(&self, client: &mut ClientConnection) {
+    /// Updates the state of a connection once all its complete frames are handled.
+    fn update_incomplete(&self, client: &mut ClientConnection) {
         let incomplete = !client.has_sent_frame || !client.stream.inbound.is_empty();
         client.incomplete_since = if incomplete {
             client.incomplete_since.or(Some(self.now))
         } else {
             None
         };
-        client.muted |= client.half_closed;
+        client.discards_input |= client.half_closed;
     }
 
-    /// The next complete frame and its length; an error where no frame can be found any more.
-    fn read_message(
+    /// Returns the next complete frame and its length.
+    ///
+    /// Returns an error if the frame boundary cannot be determined.
+    fn parse_next(
         &mut self,
         client: &ClientConnection,
-    ) -> Result<Option<(Message, usize)>, FrameError> {
+    ) -> Result<Option<(ParsedFrame, usize)>, FrameError> {
         let Some(Frame {
             frame_type,
             stream,
@@ -135,67 +139,72 @@
         else {
             return Ok(None);
         };
-        let message = match frame_type {
-            frame::REQUEST => self.read_request(client, stream, payload),
-            frame::CANCEL => Message::Cancel { stream },
-            frame::READINESS_QUERY => Message::ReadinessQuery { stream },
-            _ => Message::Faulty {
+        let parsed = match frame_type {
+            frame::REQUEST => self.parse_request_frame(client, stream, payload),
+            frame::CANCEL => ParsedFrame::Cancel { stream },
+            frame::READINESS_QUERY => ParsedFrame::ReadinessQuery { stream },
+            _ => ParsedFrame::Faulty {
                 reply_to: 0,
                 error: FrameError::UnreadableField("type"),
             },
         };
-        Ok(Some((message, frame::HEAD + payload.len())))
+        Ok(Some((parsed, frame::HEAD + payload.len())))
     }
 
-    fn read_request(&mut self, client: &ClientConnection, stream: u32, payload: &[u8]) -> Message {
+    fn parse_request_frame(
+        &mut self,
+        client: &ClientConnection,
+        stream: u32,
+        payload: &[u8],
+    ) -> ParsedFrame {
         let is_new = stream > client.last_stream;
         let error = if is_new && client.rejects_requests() {
-            return Message::LateRequest { stream };
-        } else if is_new && client.open.len() < MAX_OPEN_REQUESTS {
+            return ParsedFrame::LateRequest { stream };
+        } else if is_new && client.open_requests.len() < MAX_OPEN_REQUESTS {
             match frame::parse_request(payload, self.identity) {
                 Ok(request) => {
-                    let request = self.pool.place(request);
-                    return Message::Request { stream, request };
+                    let request = self.pool.allocate(request);
+                    return ParsedFrame::Request { stream, request };
                 }
                 Err(error) => error,
             }
         } else {
             FrameError::UnreadableField("stream")
         };
-        Message::Faulty {
+        ParsedFrame::Faulty {
             reply_to: if is_new { stream } else { 0 },
             error,
         }
     }
 
-    fn handle_message(
+    fn handle_frame(
         &mut self,
         client: &mut ClientConnection,
-        message: Message,
+        parsed: ParsedFrame,
         length: usize,
     ) -> io::Result<()> {
         client.stream.inbound.consume(length);
         client.has_sent_frame = true;
         client.incomplete_since = None;
         client.used_at = self.now;
-        match message {
-            Message::LateRequest { stream } => {
+        match parsed {
+            ParsedFrame::LateRequest { stream } => {
                 client.last_stream = stream;
                 client.queue_response(stream, frame::REJECTED)
             }
-            Message::Request { stream, request } => {
+            ParsedFrame::Request { stream, request } => {
                 client.last_stream = stream;
                 self.open_request(client, stream, request);
                 Ok(())
             }
-            Message::Cancel { stream } => {
+            ParsedFrame::Cancel { stream } => {
                 let cancelled = client.close_request(stream);
                 self.events
                     .extend(cancelled.map(|id| ClientEvent::Cancelled { id }));
                 Ok(())
             }
-            Message::ReadinessQuery { stream } => self.answer_readiness(client, stream),
-            Message::Faulty { reply_to, error } => {
+            ParsedFrame::ReadinessQuery { stream } => self.answer_readiness(client, stream),
+            ParsedFrame::Faulty { reply_to, error } => {
                 client.last_stream = client.last_stream.max(reply_to);
                 let client_number = self.number;
                 self.events.push(ClientEvent::BadFrame {
@@ -209,10 +218,10 @@
     }
 
     fn open_request(&mut self, client: &mut ClientConnection, stream: u32, request: Box<Request>) {
-        // 0 stands for no request.
-        *self.last_request = self.last_request.wrapping_add(1).max(1);
-        let id = *self.last_request;
-        client.open.push((stream, id));
+        // The id 0 means no request.
+        *self.last_request_id = self.last_request_id.wrapping_add(1).max(1);
+        let id = *self.last_request_id;
+        client.open_requests.push((stream, id));
         self.events.push(ClientEvent::RequestReceived {
             id,
             client: self.number,
--- a/crates/proxy/src/net/datagrams.rs
+++ b/crates/proxy/src/net/datagrams.rs
@@ -1,5 +1,5 @@
-//! The datagram socket of the fleet. Nothing waits on it: reading is bounded in each round, and a datagram for which the
-//! kernel has no room is counted and dropped.
+//! The datagram socket of the fleet. It never blocks: each round reads a bounded number of datagrams, and a datagram
+//! that cannot be sent is counted and dropped.
 
 use super::{Key, Poll};
 use meadowrill_membership::wire::MAX_DATAGRAM_LENGTH as MAX_DATAGRAM;
@@ -7,14 +7,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Datagrams that are read in one round; the next round reads the rest.
+/// Maximum number of datagrams that are read in one round; the next round reads the others.
 const MAX_READS_PER_ROUND: usize = 256;
 
 pub(crate) struct Datagrams {
     socket: Rc<UdpSocket>,
-    /// There may be more to read.
+    /// There may be unread datagrams.
     has_unread: bool,
-    /// Datagrams that the kernel had no room for.
+    /// Number of datagrams that could not be sent.
     pub unsent: u64,
 }
 
@@ -34,14 +34,14 @@
         self.socket.local_addr()
     }
 
-    /// Whether it is to be read again although nothing new was reported.
+    /// Whether the socket must be read again even if the poll reports nothing new.
     pub(crate) fn has_unread(&self) -> bool {
         self.has_unread
     }
 
-    /// Reads what has come, up to a round's share.
+    /// Reads the datagrams that have arrived, at most [`MAX_READS_PER_ROUND`].
     pub(crate) fn receive(&mut self, mut received: impl FnMut(&[u8])) {
-        // A byte more than allowed, so that a longer datagram shows.
+        // The buffer is one byte longer than allowed, so that a longer datagram is recognized.
         let mut bytes = [0; MAX_DATAGRAM + 1];
         self.has_unread = true;
         for _ in 0..MAX_READS_PER_ROUND {
@@ -52,7 +52,8 @@
                     self.has_unread = false;
                     return;
                 }
-                // A host that reports that nobody listens: that shows where acknowledgements are missing.
+                // A host may report that no process listens on the port. The missing acknowledgements show that as
+                // well.
                 Err(_) => {}
             }
         }
--- a/crates/proxy/src/net/discovery.rs
+++ b/crates/proxy/src/net/discovery.rs
@@ -1,17 +1,17 @@
 //! The connection to the discovery service: the endpoint list and invalidations.
 //!
-//! The service numbers its events without gaps and sends a line each second. Invariants: an event is passed on at most
-//! once and in order; an event that is missing or unreadable is polled for again, and passed over once it was polled for
-//! [`MAX_REPOLLS`] times in vain; whoever has the events is told of each that is passed over ([`Notice::Missed`]), before
-//! those behind it; whatever the service may have held back since its last line counts as lag until a line says that
-//! there is nothing more. An outage is reported once, however often the connection is tried.
+//! The service numbers its events without gaps and sends a line each second. Invariants: an event is delivered at most
+//! once and in order. An event that is missing or unreadable is requested again, and is skipped after [`MAX_REPOLLS`]
+//! requests without success. The receiver of the events is notified of skipped events ([`Notice::Missed`]) before the
+//! events that follow them. Events that the service may have held back since its last line count as lag until a line
+//! reports that there are no more events. An outage is reported once, however often the connection is retried.
 
 pub(super) mod codec;
 mod error;
 mod missed_events;
 
 pub(crate) use self::codec::{EndpointRecord, Update};
-pub(crate) use self::error::{log_event, ContactEvent, Loss};
+pub(crate) use self::error::{log_event, ConnectionEvent, Loss};
 pub(crate) use self::missed_events::MissedEvents;
 
 use self::codec::{parse_line, Line};
@@ -23,40 +23,41 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The longest line, in bytes: a list of some thousands of endpoints.
-const MAX_LINE: usize = 1 << 20;
+/// The longest line: a list of some thousands of endpoints.
+const MAX_LINE_BYTES: usize = 1 << 20;
 const LIMITS: BufferLimits = BufferLimits {
-    inbound: MAX_LINE,
+    inbound: MAX_LINE_BYTES,
     outbound: 64,
 };
-/// Without a line for so long the connection counts as lost: the service misses two.
+/// A connection without a line for this long counts as lost: by then two lines are overdue.
 const SILENCE_TIMEOUT: Micros = 2_200_000;
-/// How long a connection may take to come up.
+/// How long it may take to establish a connection.
 const CONNECT_TIMEOUT: Micros = 600_000;
-/// Between two attempts to connect.
+/// Minimum time between two connection attempts.
 const RECONNECT_INTERVAL: Micros = 250_000;
-/// How often an event that is missing is polled for again before it is passed over.
+/// How often a missing event is requested again before it is skipped.
 const MAX_REPOLLS: u32 = 3;
-/// A moment before any other.
-const LONG_AGO: Micros = Micros::MIN / 2;
+/// A time that is earlier than any other.
+const DISTANT_PAST: Micros = Micros::MIN / 2;
 
-/// What one step with the service brought, in order.
+/// A result of a step with the discovery service. The notices of a step are in order.
 #[derive(Debug)]
 pub(crate) enum Notice {
-    /// A change to be put in force.
+    /// A change to be applied.
     Update(Update),
-    /// Events will not come any more.
+    /// Events that will not be received any more.
     Missed(MissedEvents),
-    /// For the log.
-    Event(ContactEvent),
+    /// A change of the connection or an unreadable line, to be logged.
+    Event(ConnectionEvent),
 }
 
-/// What an event that the configuration brings from before the start says; nothing for one without a change.
-pub(crate) fn known_entry(value: &Value) -> Vec<Notice> {
+/// Parses an event that the configuration lists, from before the start. Returns no notice for an event without a
+/// change.
+pub(crate) fn parse_configured_event(value: &Value) -> Vec<Notice> {
     match codec::parse_entry(value) {
         Ok(line) => line.update.map(Notice::Update).into_iter().collect(),
         Err(error) => vec![
-            Notice::Event(ContactEvent::UnreadableLine(error)),
+            Notice::Event(ConnectionEvent::UnreadableLine(error)),
             Notice::Missed(MissedEvents::UnreadableEntry),
         ],
     }
@@ -65,40 +66,40 @@
 pub(crate) struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<(Key, BufferedStream)>,
-    /// Number of the last event that was passed on.
+    /// Position of the last event that was delivered.
     last_position: u64,
-    /// How often in a row the event behind it was missing.
+    /// How often in a row the event after it was missing.
     repolls: u32,
-    /// The lowest number that the service stood at behind `last_position`, until it has come to that again.
-    went_back_to: Option<u64>,
-    /// The connection is up.
+    /// The lowest position below `last_position` that the service has reported, until it reaches `last_position` again.
+    regressed_to: Option<u64>,
+    /// Whether the connection is established.
     connected: bool,
     received_at: Micros,
-    connecting_at: Micros,
-    /// An outage was reported and has not ended.
+    connect_started_at: Micros,
+    /// Whether an outage was reported and has not ended.
     unreachable: bool,
-    /// Since when not all may have been received.
+    /// Since when events may be outstanding.
     lag_since: Option<Micros>,
 }
 
 impl DiscoveryClient {
-    /// A client that has all events up to `last_position`.
+    /// Creates a client that has received all events up to `last_position`.
     pub(crate) fn new(address: SocketAddr, last_position: u64) -> DiscoveryClient {
         DiscoveryClient {
             address,
             connection: None,
             last_position,
             repolls: 0,
-            went_back_to: None,
+            regressed_to: None,
             connected: false,
             received_at: 0,
-            connecting_at: LONG_AGO,
+            connect_started_at: DISTANT_PAST,
             unreachable: false,
             lag_since: None,
         }
     }
 
-    /// A client that lags from the start on, until the service has said that there is nothing more.
+    /// Creates a client that lags from the start, until the service reports that there are no more events.
     pub(crate) fn new_lagging(
         address: SocketAddr,
         last_position: u64,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Goes on at another address, behind the last event received.
+    /// Reconnects at another address and continues after the last event received.
     pub(crate) fn change_address(
         &mut self,
         address: SocketAddr,
@@ -121,17 +122,17 @@
         if address != self.address {
             self.address = address;
             self.disconnect(Loss::AddressChanged, poll, notices);
-            self.connecting_at = LONG_AGO;
+            self.connect_started_at = DISTANT_PAST;
             self.maintain(now, poll, notices);
         }
     }
 
-    /// Since when not all events may have been received, if so.
+    /// Since when events may be outstanding; none without a lag.
     pub(crate) fn lag_since(&self) -> Option<Micros> {
         self.lag_since
     }
 
-    /// Connects where there is no connection, and drops one that is silent. To be called regularly.
+    /// Connects if there is no connection, and drops a silent connection. Must be called regularly.
     pub(crate) fn maintain(&mut self, now: Micros, poll: &mut Poll, notices: &mut Vec<Notice>) {
         let timeout = if self.connected {
             SILENCE_TIMEOUT
@@ -141,13 +142,13 @@
         if self.connection.is_some() && now >= self.received_at + timeout {
             self.disconnect(Loss::Silent, poll, notices);
         }
-        if self.connection.is_none() && now >= self.connecting_at + RECONNECT_INTERVAL {
+        if self.connection.is_none() && now >= self.connect_started_at + RECONNECT_INTERVAL {
             self.connect(now, poll, notices);
         }
     }
 
     fn connect(&mut self, now: Micros, poll: &mut Poll, notices: &mut Vec<Notice>) {
-        self.connecting_at = now;
+        self.connect_started_at = now;
         self.received_at = now;
         self.connected = false;
         let key = Key::Discovery(poll.next_number());
@@ -162,19 +163,20 @@
         }
     }
 
-    /// Drops the connection, and reports an outage that was not reported yet.
+    /// Drops the connection, and reports the outage unless it was reported before.
     pub(crate) fn disconnect(&mut self, loss: Loss, poll: &Poll, notices: &mut Vec<Notice>) {
         if let Some((_, stream)) = self.connection.take() {
             stream.close(poll);
         }
-        // Not from when it was noticed: a service that fell silent may have held back all since its last line.
+        // The lag starts at the last line and not when the loss is noticed, because a silent service may have held back
+        // all events since its last line.
         self.lag_since = self.lag_since.or(Some(self.received_at));
         if !std::mem::replace(&mut self.unreachable, true) {
-            notices.push(Notice::Event(ContactEvent::Lost(loss)));
+            notices.push(Notice::Event(ConnectionEvent::Lost(loss)));
         }
     }
 
-    /// The connection became readable or writable.
+    /// Handles a connection that became readable or writable.
     pub(crate) fn handle_ready(
         &mut self,
         key: Key,
@@ -194,9 +196,9 @@
                 self.disconnect(loss, poll, notices);
                 self.maintain(now, poll, notices);
             }
-            Ok(()) if self.unreachable && self.received_at > self.connecting_at => {
+            Ok(()) if self.unreachable && self.received_at > self.connect_started_at => {
                 self.unreachable = false;
-                notices.push(Notice::Event(ContactEvent::Restored));
+                notices.push(Notice::Event(ConnectionEvent::Restored));
             }
             Ok(()) => {}
         }
@@ -248,9 +250,9 @@
         Ok(())
     }
 
-    /// A number that is not the next one shows that an event was missed or could not be read, and it is polled for again:
-    /// to go on would lose an invalidation for good. What stays missing or unreadable is passed over in the end, so that
-    /// the events behind it are received at all, and that is told.
+    /// Handles one line. A position that is not the next one shows that an event was missed or could not be read. It is
+    /// requested again, because skipping it may lose an invalidation permanently. An event that stays missing or
+    /// unreadable is finally skipped, so that the events after it are received at all, and the skip is reported.
     fn handle_line(
         &mut self,
         line: Result<Line, LineError>,
@@ -259,13 +261,13 @@
         let Line { position, update } = match line {
             Ok(line) => line,
             Err(error) => {
-                notices.push(Notice::Event(ContactEvent::UnreadableLine(error)));
+                notices.push(Notice::Event(ConnectionEvent::UnreadableLine(error)));
                 return Ok(());
             }
         };
         let next = self.last_position + u64::from(update.is_some());
-        let missed = position.is_some_and(|position| position > next);
-        if missed && self.repolls < MAX_REPOLLS {
+        let has_gap = position.is_some_and(|position| position > next);
+        if has_gap && self.repolls < MAX_REPOLLS {
             self.repolls += 1;
             return Err(Loss::MissingEvent {
                 after: self.last_position,
@@ -277,9 +279,9 @@
         if update.is_none() && position == Some(self.last_position) {
             self.lag_since = None;
         }
-        // An event that was received before would put an older list back.
+        // An event that was received before is ignored, because it could restore an older endpoint list.
         if position.is_none_or(|position| position > self.last_position) {
-            if missed {
+            if has_gap {
                 let after = self.last_position;
                 let until =
                     position.map_or(after, |position| position - u64::from(update.is_some()));
@@ -292,19 +294,20 @@
         Ok(())
     }
 
-    /// A service that says that all is told, and stands behind what was received, holds its events back or gives its
-    /// numbers anew. Once it has come to the last position again, other events may have had the numbers in between.
+    /// Checks whether the service may have renumbered its events. A service that reports no more events at a position
+    /// below the last one received either holds events back or has renumbered them. Once it reaches the last position
+    /// again, other events may have had the positions in between.
     fn check_renumbered(&mut self, position: u64, is_event: bool, notices: &mut Vec<Notice>) {
         if position >= self.last_position {
             let until = self.last_position;
-            let renumbered = self.went_back_to.take();
+            let renumbered = self.regressed_to.take();
             notices.extend(
                 renumbered.map(|from| Notice::Missed(MissedEvents::Renumbered { from, until })),
             );
         } else if !is_event {
             self.lag_since = self.lag_since.or(Some(self.received_at));
-            let lowest = self.went_back_to.unwrap_or(position).min(position);
-            self.went_back_to = Some(lowest);
+            let lowest = self.regressed_to.unwrap_or(position).min(position);
+            self.regressed_to = Some(lowest);
         }
     }
 }
--- a/crates/proxy/src/net/discovery/codec.rs
+++ b/crates/proxy/src/net/discovery/codec.rs
@@ -1,13 +1,13 @@
-//! The lines of the discovery service. Each field of the wire is mapped to its term here:
+//! Parser for the lines of the discovery service. The fields on the wire map to these terms:
 //!
 //! | wire | term |
 //! | --- | --- |
-//! | `tail N` | poll for the events behind N |
+//! | `tail N` | request for the events after N |
 //! | `pos` | position of an event |
 //! | `hosts`, `members` | endpoint list, endpoints |
 //! | `flavor`, `locality`, `size`, `up_since_ms` | machine kind, zone, weight, start of the process |
 //! | `phase`: `SERVING`, `DRAINING`, `DELETED` | status: ready, draining, removed |
-//! | `expire`: `name`, `set`, `stamp` | invalidation: object, group, when it was issued |
+//! | `expire`: `name`, `set`, `stamp` | invalidation: object, group, time of issue |
 
 use super::error::LineError;
 use meadowrill_routing::interface::{EndpointStatus, Micros};
@@ -15,14 +15,14 @@
 use std::net::SocketAddr;
 
 const MICROS_PER_MILLI: f64 = 1e3;
-/// Times on the wire are Unix milliseconds up to the end of the year 9999: sums with them cannot overflow.
+/// Times on the wire are Unix milliseconds up to the end of the year 9999, so that sums with them cannot overflow.
 const MAX_TIME_MS: f64 = 253_402_300_799_999.0;
 
-/// An endpoint as it is listed.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointRecord {
     pub id: String,
-    /// None where a removed one is only named.
+    /// None if a removed endpoint is listed without an address.
     pub address: Option<SocketAddr>,
     pub zone: String,
     pub machine_kind: String,
@@ -32,30 +32,30 @@
     pub started_at: Micros,
 }
 
-/// What an event brings.
+/// The content of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Update {
     Endpoints {
-        /// The complete list, not only what has changed.
+        /// Whether this is the complete list and not only the changed endpoints.
         complete: bool,
         endpoints: Vec<EndpointRecord>,
     },
     Invalidation {
-        /// None for the whole group.
+        /// None if the complete group is invalidated.
         object: Option<u64>,
         group: u32,
         issued_at: Micros,
     },
 }
 
-/// A line: the position of an event, and what it brings. A position alone says that there is nothing more.
+/// A line: the position of an event and its content. A position alone reports that there are no more events.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Line {
     pub position: Option<u64>,
     pub update: Option<Update>,
 }
 
-/// The request for all events behind a position.
+/// The request for all events after a position.
 pub(super) fn poll_request(last_position: u64) -> String {
     format!("tail {last_position}\n")
 }
@@ -123,7 +123,7 @@
     }
     let cell = value["cell"].as_u64().and_then(|c| u16::try_from(c).ok());
     let weight = value["size"].as_f64().filter(|weight| *weight > 0.0);
-    // One that cannot be is no reason to lose the whole list: it counts as long ago.
+    // An invalid start time does not make the list unusable: the process counts as started long ago.
     let started_at = parse_time(&value["up_since_ms"]).unwrap_or(0);
     Ok(EndpointRecord {
         id,
@@ -137,7 +137,7 @@
     })
 }
 
-/// A time in Unix milliseconds; none where it is no number or out of range.
+/// Parses a time in Unix milliseconds. None if the value is not a number or is out of range.
 fn parse_time(value: &Value) -> Option<Micros> {
     let milliseconds = value.as_f64()?;
     (0.0..=MAX_TIME_MS)
--- a/crates/proxy/src/net/discovery/error.rs
+++ b/crates/proxy/src/net/discovery/error.rs
@@ -1,11 +1,12 @@
-//! What goes wrong with the discovery service, and its log lines. Discovery is at fault in each case but a panic of this
-//! program; all of it is retried.
+//! Errors of the connection to the discovery service, and their log lines. The service is at fault in every case except
+//! a changed address and a panic of this program. Every failure is retried.
 
+use super::MAX_LINE_BYTES;
 use slog::{warn, Logger};
 use std::fmt;
 use std::io;
 
-/// Why a line cannot be used. The texts name the fields of the wire, for whoever looks at the service.
+/// Why a line cannot be used. The messages name the fields on the wire, for operators who examine the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LineError {
     Json(String),
@@ -39,15 +40,15 @@
 
 impl std::error::Error for LineError {}
 
-/// Why the connection was given up.
+/// Why the connection was dropped.
 #[derive(Debug)]
 pub(crate) enum Loss {
     Io(io::Error),
-    /// No line came in time, or the connection did not come up.
+    /// No line was received in time, or the connection was not established in time.
     Silent,
     /// The configuration names another address.
     AddressChanged,
-    /// The event behind this one did not come, or could not be read.
+    /// The event after this position was not received or could not be read.
     MissingEvent {
         after: u64,
     },
@@ -65,34 +66,38 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Loss::Io(error) => write!(f, "{error}"),
-            Loss::Silent => f.write_str("silent"),
-            Loss::AddressChanged => f.write_str("address changed"),
-            Loss::MissingEvent { after } => write!(f, "event after {after} is missing"),
-            Loss::LineTooLong => f.write_str("line too long"),
-            Loss::Panicked => f.write_str("panic"),
+            Loss::Silent => f.write_str("no line received before the timeout"),
+            Loss::AddressChanged => f.write_str("address changed in the configuration"),
+            Loss::MissingEvent { after } => {
+                write!(f, "event after position {after} is missing or unreadable")
+            }
+            Loss::LineTooLong => write!(f, "no line feed within {MAX_LINE_BYTES} bytes"),
+            Loss::Panicked => f.write_str("panic while handling the connection"),
         }
     }
 }
 
 impl std::error::Error for Loss {}
 
-/// What an operator should know of the connection.
+/// An event of the connection that operators should know of.
 #[derive(Debug)]
-pub(crate) enum ContactEvent {
-    /// The service cannot be reached, or is not to be relied on.
+pub(crate) enum ConnectionEvent {
+    /// The service cannot be reached, or its lines cannot be relied on.
     Lost(Loss),
     /// The service can be reached again.
     Restored,
     UnreadableLine(LineError),
 }
 
-/// A line of the log.
-pub(crate) fn log_event(log: &Logger, event: &ContactEvent) {
+/// Logs an event of the connection.
+pub(crate) fn log_event(log: &Logger, event: &ConnectionEvent) {
     match event {
-        ContactEvent::Lost(loss) => warn!(log, "discovery service lost"; "reason" => %loss),
-        ContactEvent::Restored => warn!(log, "discovery service reached again"),
-        ContactEvent::UnreadableLine(error) => {
-            warn!(log, "unreadable line from the discovery service"; "reason" => %error)
+        ConnectionEvent::Lost(loss) => {
+            warn!(log, "connection to the discovery service lost"; "reason" => %loss)
+        }
+        ConnectionEvent::Restored => warn!(log, "connection to the discovery service restored"),
+        ConnectionEvent::UnreadableLine(error) => {
+            warn!(log, "cannot read a line from the discovery service"; "reason" => %error)
         }
     }
 }
--- a/crates/proxy/src/net/discovery/missed_events.rs
+++ b/crates/proxy/src/net/discovery/missed_events.rs
@@ -1,26 +1,26 @@
-//! Events of the discovery service that will not come any more.
+//! Events of the discovery service that will not be received any more.
 
 use std::fmt;
 
-/// Why events are missing. What they said is unknown: invalidations may have been among them, or changes of the list.
+/// Why events are missing. Their content is unknown and may include invalidations or changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MissedEvents {
-    /// Polled for in vain, and passed over.
+    /// The events were requested again without success, and skipped.
     Skipped {
-        /// The last event that was received before them.
+        /// Position of the last event that was received before them.
         after: u64,
-        /// The last event that was passed over.
+        /// Position of the last event that was skipped.
         until: u64,
     },
-    /// The service stood behind what had been received, and has come to it again: where it gives its numbers anew, other
-    /// events have the numbers of those that were received.
+    /// The service reported a position below the last one received, and has reached that one again. If it renumbered
+    /// its events, other events now have the positions of those that were received.
     Renumbered {
-        /// Where the service stood.
+        /// The lowest position that the service reported.
         from: u64,
-        /// The last event that had been received.
+        /// Position of the last event that had been received.
         until: u64,
     },
-    /// An entry of the configuration's own list cannot be read.
+    /// An event that the configuration lists cannot be read.
     UnreadableEntry,
 }
 
@@ -28,16 +28,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MissedEvents::Skipped { after, until } => {
-                write!(f, "events after {after} up to {until} stayed missing")
+                write!(
+                    f,
+                    "events after position {after} up to {until} were skipped"
+                )
             }
             MissedEvents::Renumbered { from, until } => {
                 write!(
                     f,
-                    "the service went back to {from} and came to {until} again"
+                    "the service went back to position {from} and reached {until} again"
                 )
             }
             MissedEvents::UnreadableEntry => {
-                f.write_str("an entry of the configuration is unreadable")
+                f.write_str("an event in the configuration is unreadable")
             }
         }
     }
--- a/crates/proxy/src/net/discovery/tests.rs
+++ b/crates/proxy/src/net/discovery/tests.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_unusable_line_is_refused_completely() {
+fn an_unusable_line_is_rejected_completely() {
     let member = |phase: &str, address: &str| {
         read(&format!(
             r#"{{"pos":1,"hosts":{{"members":[{{"id":"s","phase":"{phase}","host_port":"{address}"}}]}}}}"#
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_new_lagging_client_lags_until_the_service_says_that_there_is_nothing_more() {
+fn a_new_lagging_client_lags_until_the_service_reports_no_more_events() {
     let mut client = DiscoveryClient::new_lagging("127.0.0.1:1".parse().unwrap(), 1, 5_000);
     assert_eq!(client.lag_since(), Some(5_000));
     let mut notices = Vec::new();
@@ -96,9 +96,9 @@
     assert_eq!(client.lag_since(), None);
 }
 
-// Guards against sums that overflow, and endpoints that never warm up, by times that cannot be.
+// Guards against overflowing sums, and against endpoints that never warm up, because of times out of range.
 #[test]
-fn times_out_of_range_are_not_taken() {
+fn times_out_of_range_are_not_used() {
     let purge = |stamp: &str| {
         read(&format!(
             r#"{{"pos":1,"expire":{{"set":1,"stamp":{stamp}}}}}"#
--- a/crates/proxy/src/net/endpoints.rs
+++ b/crates/proxy/src/net/endpoints.rs
@@ -1,14 +1,14 @@
-//! Connections to caches, parents and the origin, and the attempts that are in flight on them.
+//! Connections to caches, parents and the origin, and the attempts in flight on them.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `attempt` | an attempt, its end, and what a response stands for |
-//! | `connection` | one connection: its request out, its response in |
-//! | `pool` | idle connections: reuse, rest, expiry |
+//! | `attempt` | an attempt, its result, and the outcome of a response |
+//! | `connection` | one connection: writes its request and reads its response |
+//! | `pool` | idle connections: reuse, reuse delay, expiry |
 //!
-//! Invariants: a connection carries one attempt at a time; each attempt ends exactly once ([`EndedAttempt`]); the response of
-//! an attempt stays in its connection's buffer until [`EndpointConnections::release`]; a connection is idle exactly while
-//! it carries neither an attempt nor an unreleased response.
+//! Invariants: a connection carries one attempt at a time; each attempt ends exactly once ([`EndedAttempt`]); the
+//! response of an attempt stays in its connection's buffer until [`EndpointConnections::release`]; a connection is idle
+//! exactly while it carries neither an attempt nor an unreleased response.
 
 mod attempt;
 mod connection;
@@ -16,7 +16,7 @@
 
 pub(crate) use self::attempt::{load_report, response_outcome, AttemptRef, EndedAttempt};
 
-use self::connection::{Answered, EndpointConnection};
+use self::connection::{EndpointConnection, UnreleasedResponse};
 use super::{AttemptError, Cause, Poll};
 use crate::http;
 use crate::sorted_vec::SortedVec;
@@ -25,26 +25,27 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Endpoints close idle connections after a time that the settings name; this proxy closes them so much earlier, at most a
-/// quarter of that time: a request that crosses such a close would prove nothing.
+/// Endpoints close idle connections after a configured time. This proxy closes them earlier by this margin, or by a
+/// quarter of that time if that is less: if a request is written while the endpoint closes the connection, it is
+/// unknown whether the request has run.
 const IDLE_MARGIN: Micros = 2_000_000;
 
 /// All connections to endpoints.
 pub(crate) struct EndpointConnections {
     connections: HashMap<u64, EndpointConnection>,
-    /// Idle connections by endpoint, the last used last.
+    /// Idle connections by endpoint, the most recently used last.
     idle: SortedVec<(EndpointIndex, Micros, u64)>,
     /// Idle connections by age.
     idle_by_age: SortedVec<(Micros, u64, EndpointIndex)>,
     max_connections: usize,
     max_idle: Micros,
     ended: Vec<EndedAttempt>,
-    /// Attempts whose connections have come up.
+    /// Attempts whose connections have been established.
     connected: Vec<AttemptRef>,
 }
 
 impl EndpointConnections {
-    /// `idle_timeout` is when endpoints close an idle connection.
+    /// `idle_timeout` is the time after which endpoints close an idle connection.
     pub(crate) fn new(max_connections: usize, idle_timeout: Micros) -> EndpointConnections {
         EndpointConnections {
             connections: HashMap::new(),
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Moves the attempts whose connections have come up since the last call to `into`. Nothing of them is written before
-    /// [`EndpointConnections::write_attempt`], as what they were decided upon may have changed.
+    /// Moves the attempts whose connections were established since the last call to `into`. Nothing of them is written
+    /// before [`EndpointConnections::write_attempt`], because the state that the router decided on may have changed.
     pub(crate) fn take_connected(&mut self, into: &mut Vec<AttemptRef>) {
         into.append(&mut self.connected);
     }
@@ -68,8 +69,8 @@
         into.append(&mut self.ended);
     }
 
-    /// Starts an attempt. Returns the number of its connection while it is in flight; its end comes by
-    /// [`EndpointConnections::take_ended`] in any case.
+    /// Starts an attempt. Returns the number of its connection if the attempt is in flight. In every case
+    /// [`EndpointConnections::take_ended`] reports the end of the attempt.
     pub(crate) fn start_attempt(
         &mut self,
         endpoint: EndpointIndex,
@@ -97,7 +98,7 @@
         Some(number)
     }
 
-    /// Ends an attempt that was never started.
+    /// Records the failure of an attempt that was never started.
     pub(crate) fn fail_unstarted(
         &mut self,
         attempt: AttemptRef,
@@ -112,7 +113,7 @@
         });
     }
 
-    /// Writes a request whose connection has come up.
+    /// Writes a request whose connection has been established.
     pub(crate) fn write_attempt(&mut self, number: u64, serial: u64, poll: &Poll) {
         if !self.is_in_flight(number, serial) {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Ends an attempt and its connection, if it is still in flight.
+    /// Fails an attempt and closes its connection, if the attempt is still in flight.
     pub(crate) fn fail_attempt(&mut self, number: u64, serial: u64, cause: Cause, poll: &Poll) {
         let Some(connection) = self.connections.get(&number) else {
             return;
@@ -144,7 +145,7 @@
         self.close(number, poll);
     }
 
-    /// Ends a connection whose handling panicked.
+    /// Closes a connection whose handling panicked, and fails its attempt.
     pub(crate) fn fail_panicked(&mut self, number: u64, poll: &Poll) {
         match self.connections.get(&number).and_then(|c| c.attempt) {
             Some(attempt) => self.fail_attempt(number, attempt.serial, Cause::Panicked, poll),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Attempts that are in flight now.
+    /// Number of attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         let connections = self.connections.values();
         connections.filter(|c| c.attempt.is_some()).count()
@@ -166,19 +167,19 @@
             .is_some_and(|attempt| attempt.serial == serial)
     }
 
-    /// Whether the connection that an attempt waits for is still not up.
+    /// Whether an attempt still waits for its connection to be established.
     pub(crate) fn is_connecting(&self, number: u64, serial: u64) -> bool {
         self.is_in_flight(number, serial)
             && self.connections.get(&number).is_some_and(|c| !c.connected)
     }
 
-    /// Whether nothing of an attempt may have been written yet.
+    /// Whether an attempt is in flight and nothing of it may be written yet.
     pub(crate) fn is_unwritten(&self, number: u64, serial: u64) -> bool {
         self.is_in_flight(number, serial)
             && self.connections.get(&number).is_some_and(|c| !c.may_write)
     }
 
-    /// Whether an endpoint has accepted an attempt that was started since then, and has not answered it yet.
+    /// Whether an endpoint has accepted an attempt that was started at `since` or later and has not been answered yet.
     pub(crate) fn any_accepted_since(&self, since: Micros) -> bool {
         self.connections.values().any(|connection| {
             connection.attempt.is_some_and(|a| a.started_at >= since)
@@ -186,7 +187,8 @@
         })
     }
 
-    /// A connection became readable or writable. Without `may_read` a response stays with the kernel.
+    /// Handles a connection that became readable or writable. Without `may_read` a response stays in the kernel's
+    /// buffer.
     pub(crate) fn handle_ready(
         &mut self,
         number: u64,
@@ -206,7 +208,7 @@
         }
         match exchanged {
             Ok(None) => {}
-            Ok(Some(response)) => self.end_answered(number, response),
+            Ok(Some(response)) => self.complete_attempt(number, response),
             Err(cause) => match serial {
                 Some(serial) => self.fail_attempt(number, serial, cause, poll),
                 None => self.close(number, poll),
@@ -214,13 +216,13 @@
         }
     }
 
-    fn end_answered(&mut self, number: u64, response: http::Response) {
+    fn complete_attempt(&mut self, number: u64, response: http::Response) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        connection.answered = Some(Answered {
+        connection.unreleased = Some(UnreleasedResponse {
             length: response.length(),
-            reusable: connection.is_reusable_behind(&response),
+            reusable: connection.is_reusable_after(&response),
         });
         if let Some(attempt) = connection.attempt.take() {
             self.ended.push(EndedAttempt {
@@ -232,24 +234,24 @@
         }
     }
 
-    /// The body of a response that was not released yet.
+    /// The body of a response that has not been released.
     pub(crate) fn response_body(&self, number: u64, response: &http::Response) -> &[u8] {
         let bytes = self
             .connections
             .get(&number)
-            .filter(|c| c.answered.is_some())
+            .filter(|c| c.unreleased.is_some())
             .map(|c| c.stream.inbound.bytes());
         bytes
             .and_then(|bytes| bytes.get(response.head_length..response.length()))
             .unwrap_or_default()
     }
 
-    /// A response has been passed on: its connection becomes idle, or is closed.
+    /// Releases a response that is no longer needed: its connection becomes idle or is closed.
     pub(crate) fn release(&mut self, number: u64, now: Micros, poll: &Poll) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let Some(Answered { length, reusable }) = connection.answered.take() else {
+        let Some(UnreleasedResponse { length, reusable }) = connection.unreleased.take() else {
             return;
         };
         connection.stream.inbound.consume(length);
--- a/crates/proxy/src/net/endpoints/attempt.rs
+++ b/crates/proxy/src/net/endpoints/attempt.rs
@@ -1,11 +1,11 @@
-//! An attempt, its end, and what a response stands for.
+//! An attempt, its result, and the outcome of a response.
 
 use crate::http;
 use crate::net::AttemptError;
 use compact_str::CompactString;
 use meadowrill_routing::interface::{AttemptOutcome, EndpointIndex, Micros};
 
-/// Which attempt of which request, and when it was started.
+/// Identifies an attempt of a request, with its start time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptRef {
     /// Id of the request within this process.
@@ -13,21 +13,22 @@
     /// Number of the attempt within its request, from 0.
     pub attempt: u8,
     pub started_at: Micros,
-    /// Never used twice: tells the attempts on one connection apart.
+    /// Never reused: distinguishes the attempts on one connection.
     pub serial: u64,
 }
 
-/// The one end of an attempt. The body of a response stays with its connection until that is released.
+/// The result of an attempt, reported exactly once. The body of a response stays in the buffer of its connection until
+/// the response is released.
 pub(crate) struct EndedAttempt {
     pub attempt: AttemptRef,
     pub endpoint: EndpointIndex,
-    /// Number of the connection; 0 where it was never started.
+    /// Number of the connection; 0 if the attempt was never started.
     pub connection: u64,
     pub result: Result<http::Response, AttemptError>,
 }
 
 impl EndedAttempt {
-    /// Whether the endpoint accepted the request; one that says that it is at its limit did not.
+    /// Whether the endpoint accepted the request. An endpoint that rejects it because of its limit did not accept it.
     pub(crate) fn was_accepted(&self, outcome: AttemptOutcome) -> bool {
         match &self.result {
             Ok(_) => outcome != AttemptOutcome::Rejected,
@@ -36,26 +37,27 @@
     }
 }
 
-/// What a response stands for, to a request that named the client's copy by this tag.
+/// The outcome of a response to a request that named the client's copy by the version tag `known_version`.
 pub(crate) fn response_outcome(
     response: &http::Response,
     known_version: Option<&str>,
 ) -> AttemptOutcome {
     match (response.status, response.not_run) {
         (200, _) => AttemptOutcome::Success,
-        // Without the tag it may be the late response to another request: nobody said that this client's copy is current.
+        // Without that tag it may be a late response to another request, and does not confirm that this client's copy
+        // is current.
         (304, _) if known_version.is_some_and(|tag| response.has_version(tag)) => {
             AttemptOutcome::Success
         }
         (404, _) => AttemptOutcome::Miss,
         (503, true) => AttemptOutcome::Rejected,
         (504, true) => AttemptOutcome::Superseded,
-        // Whatever else an endpoint may say proves nothing.
+        // Any other response proves nothing.
         _ => AttemptOutcome::Error,
     }
 }
 
-/// A load report in the order of the settings; empty where none came.
+/// The values of a load report in the order of the configured fields; empty without a load report.
 pub(crate) fn load_report(load: &[(CompactString, f64)], fields: &[String]) -> Vec<f64> {
     if load.is_empty() {
         return Vec::new();
--- a/crates/proxy/src/net/endpoints/pool.rs
+++ b/crates/proxy/src/net/endpoints/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections: which is used again, when a new one is opened, and which are closed.
+//! The pool of idle connections: reuses idle connections, opens new ones, and closes expired ones.
 
 use super::connection::EndpointConnection;
 use super::EndpointConnections;
@@ -9,17 +9,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A response with its head; a request with the largest body.
+/// The input buffer holds a response with its head, and the output buffer a request with the largest body.
 const LIMITS: BufferLimits = BufferLimits {
     inbound: http::MAX_HEAD + http::MAX_BODY,
     outbound: 65_536,
 };
-/// How long a connection rests before it is used again. Bytes that come late behind a response must not be taken for the
-/// next response: those that came within the rest were read before any client was.
-const REST: Micros = 10_000;
+/// How long a connection is idle before it is reused. Bytes that arrive late after a response must not be parsed as the
+/// next response. Those that arrive within this delay are read before any client input, and the connection is closed.
+const REUSE_DELAY: Micros = 10_000;
 
 impl EndpointConnections {
-    /// An idle connection to this endpoint and address, the last used first.
+    /// Takes an idle connection to this endpoint and address out of the pool, the most recently used first.
     pub(super) fn reuse(
         &mut self,
         endpoint: EndpointIndex,
@@ -27,14 +27,15 @@
         now: Micros,
         poll: &Poll,
     ) -> Option<u64> {
-        let rested = now - REST;
+        let latest_idle_since = now - REUSE_DELAY;
         while let Some(&(_, since, number)) = self
             .idle
-            .last_up_to(&(endpoint, rested, u64::MAX))
+            .last_up_to(&(endpoint, latest_idle_since, u64::MAX))
             .filter(|idle| idle.0 == endpoint)
         {
-            // The address of an endpoint may have passed to another.
-            let usable = |c: &EndpointConnection| c.address == address && c.stream.is_quiet();
+            // The endpoint may have another address than when the connection was opened.
+            let usable =
+                |c: &EndpointConnection| c.address == address && c.stream.has_no_pending_input();
             if self.connections.get(&number).is_some_and(usable) {
                 self.remove_idle(endpoint, since, number);
                 return Some(number);
@@ -44,7 +45,7 @@
         None
     }
 
-    /// Opens a connection; at the ceiling the one that has been idle for longest gives way.
+    /// Opens a connection. At the connection limit the one that has been idle for longest is closed.
     pub(super) fn open(
         &mut self,
         endpoint: EndpointIndex,
@@ -74,7 +75,7 @@
         self.idle_by_age.remove(&(since, number, endpoint));
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub(super) fn close(&mut self, number: u64, poll: &Poll) {
         if let Some(connection) = self.connections.remove(&number) {
             if connection.attempt.is_none() {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint that is not to be used again.
+    /// Closes the idle connections to an endpoint that will not be used again.
     pub(crate) fn close_idle(&mut self, endpoint: EndpointIndex, poll: &Poll) {
         let idle: Vec<u64> = self
             .idle
@@ -107,7 +108,7 @@
     }
 }
 
-/// Out of descriptors or ports says nothing of the endpoint; a refusal does.
+/// A lack of descriptors or ports says nothing about the endpoint; a refused connection does.
 fn connect_error(error: io::Error) -> AttemptError {
     let progress = if error.kind() == io::ErrorKind::ConnectionRefused {
         Progress::Connecting
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -1,16 +1,16 @@
-//! Connections by peer, and what they share.
+//! Network connections, grouped by the kind of peer, and the code that they share.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `clients` | client connections: requests in, one response each |
-//! | `endpoints` | connections to caches, parents and the origin: the pool, and attempts in flight |
-//! | `discovery` | the discovery service: endpoint list and invalidations |
-//! | `peers`, `datagrams`, `streams`, `subscription` | other members of the fleet, and relays |
-//! | `operators` | the operators' local socket |
-//! | `poll` | what is ready, and new connections |
+//! | `clients` | client connections: receives requests and sends one response to each |
+//! | `endpoints` | connections to caches, parents and the origin: the connection pool and the attempts in flight |
+//! | `discovery` | the connection to the discovery service: endpoint list and invalidations |
+//! | `peers`, `datagrams`, `streams`, `subscription` | traffic with other members of the fleet and with relays |
+//! | `operators` | the local socket for operator commands |
+//! | `poll` | readiness notification and registration of connections |
 //! | `buffered_stream` | a non-blocking stream with a bounded buffer in each direction |
-//! | `attempt_error` | how far a failed attempt came, and what that proves |
-//! | `syscalls` | counters of system calls and copied bytes |
+//! | `attempt_error` | how far a failed attempt progressed, and whether it may have run |
+//! | `syscalls` | counters of system calls and of copied bytes |
 
 pub(crate) mod attempt_error;
 pub(crate) mod buffered_stream;
--- a/crates/proxy/src/net/operators.rs
+++ b/crates/proxy/src/net/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' local socket: one command and a line feed, then a text in answer, then the end.
+//! The local socket for operators. A connection carries one command, ended by a line feed, and one text as the answer,
+//! and is then closed.
 
 use super::{Key, Poll};
 use calloop::RegistrationToken;
@@ -9,28 +10,28 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Operators at one time: further ones are closed at once.
+/// Maximum number of connected operators; further connections are closed immediately.
 const MAX_OPERATORS: usize = 4;
-/// The longest command, in bytes.
-const MAX_COMMAND: usize = 256;
+/// The longest command.
+const MAX_COMMAND_BYTES: usize = 256;
 
 struct Operator {
     stream: Rc<UnixStream>,
     token: RegistrationToken,
     command: Vec<u8>,
-    /// The answer, and how much of it was written.
+    /// The answer, and the number of its bytes that have been written.
     answer: Option<(Vec<u8>, usize)>,
 }
 
 pub(crate) struct Operators {
     path: PathBuf,
     listener: UnixListener,
-    open: BTreeMap<u64, Operator>,
+    connections: BTreeMap<u64, Operator>,
 }
 
 impl Operators {
     pub(crate) fn listen(path: &Path, poll: &Poll) -> io::Result<Operators> {
-        // A socket that a killed process left behind; anything else is not ours to remove.
+        // A killed process leaves its socket behind. A file of any other type must not be removed.
         if std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket()) {
             std::fs::remove_file(path)?;
         }
@@ -40,13 +41,13 @@
         Ok(Operators {
             path: path.to_path_buf(),
             listener,
-            open: BTreeMap::new(),
+            connections: BTreeMap::new(),
         })
     }
 
     pub(crate) fn accept(&mut self, poll: &mut Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.open.len() >= MAX_OPERATORS || stream.set_nonblocking(true).is_err() {
+            if self.connections.len() >= MAX_OPERATORS || stream.set_nonblocking(true).is_err() {
                 continue;
             }
             let (number, stream) = (poll.next_number(), Rc::new(stream));
@@ -57,19 +58,19 @@
                     command: Vec::new(),
                     answer: None,
                 };
-                self.open.insert(number, operator);
+                self.connections.insert(number, operator);
             }
         }
     }
 
-    /// An operator's connection became readable or writable; `run` gives the answer to a command.
+    /// Handles an operator's connection that became readable or writable; `run` returns the answer to a command.
     pub(crate) fn handle_ready(
         &mut self,
         number: u64,
         poll: &Poll,
         run: impl FnOnce(&str) -> String,
     ) {
-        let Some(operator) = self.open.get_mut(&number) else {
+        let Some(operator) = self.connections.get_mut(&number) else {
             return;
         };
         if !matches!(operator.exchange(run), Ok(false)) {
@@ -78,17 +79,18 @@
     }
 
     pub(crate) fn disconnect(&mut self, number: u64, poll: &Poll) {
-        if let Some(operator) = self.open.remove(&number) {
+        if let Some(operator) = self.connections.remove(&number) {
             poll.unwatch(operator.token);
         }
     }
 }
 
 impl Operator {
-    /// Reads the command and writes the answer as far as they go now; true once all is written or nothing will come.
+    /// Reads the command and writes the answer as far as possible now. Returns true once the answer is written or no
+    /// complete command can arrive.
     fn exchange(&mut self, run: impl FnOnce(&str) -> String) -> io::Result<bool> {
         if self.answer.is_none() {
-            let mut bytes = [0; MAX_COMMAND];
+            let mut bytes = [0; MAX_COMMAND_BYTES];
             match (&*self.stream).read(&mut bytes) {
                 Ok(0) => return Ok(true),
                 Ok(n) => self.command.extend(&bytes[..n]),
@@ -96,7 +98,7 @@
                 Err(e) => return Err(e),
             }
             let Some(end) = self.command.iter().position(|b| *b == b'\n') else {
-                return Ok(self.command.len() >= MAX_COMMAND);
+                return Ok(self.command.len() >= MAX_COMMAND_BYTES);
             };
             let answer = run(String::from_utf8_lossy(&self.command[..end]).trim());
             self.answer = Some((answer.into_bytes(), 0));
@@ -104,7 +106,7 @@
         self.write_answer()
     }
 
-    /// True once all is written.
+    /// Writes the answer as far as possible now. Returns true once it is written.
     fn write_answer(&mut self) -> io::Result<bool> {
         let Some((text, written)) = &mut self.answer else {
             return Ok(false);
@@ -124,7 +126,7 @@
 
 impl Drop for Operators {
     fn drop(&mut self) {
-        // Nobody is left to answer there.
+        // No process answers on this socket any more.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/proxy/src/net/peers/capabilities.rs
+++ b/crates/proxy/src/net/peers/capabilities.rs
@@ -1,17 +1,17 @@
-//! What a member takes part in: one byte of flags in a value that it spreads of itself.
+//! The capabilities of a member: one byte of flags in a value that the member spreads through gossip.
 
 use meadowrill_membership::view::Member;
 use meadowrill_membership::wire::Value;
 
-/// Kind of the value by which a member says what it takes part in.
+/// Kind of the value that announces the capabilities of a member.
 const CAPABILITIES_KIND: u32 = 1;
-/// Capability: it replicates the shared state.
+/// Capability: the member replicates the shared state.
 const REPLICATES: u8 = 1;
-/// Capability: it decides on requests with an effect.
+/// Capability: the member takes part in decisions on requests with an effect.
 const HAS_LEDGER: u8 = 2;
 
 /// The value of a member that replicates the shared state.
-pub(super) fn value(has_ledger: bool) -> Value {
+pub(super) fn own_value(has_ledger: bool) -> Value {
     let ledger = if has_ledger { HAS_LEDGER } else { 0 };
     Value {
         kind: CAPABILITIES_KIND,
@@ -25,7 +25,7 @@
     flags(member) & REPLICATES != 0
 }
 
-/// Whether a member decides on requests with an effect.
+/// Whether a member takes part in decisions on requests with an effect.
 pub(super) fn has_ledger(member: &Member) -> bool {
     flags(member) & HAS_LEDGER != 0
 }
--- a/crates/proxy/src/net/peers/dispatch.rs
+++ b/crates/proxy/src/net/peers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries messages: those received to the view or the replica, those of the view and the replica to the sockets.
+//! Dispatches messages: received ones to the view or the replica, and those of the view and the replica to the sockets.
 
 use super::{capabilities, Peers};
 use crate::net::Poll;
@@ -10,7 +10,7 @@
 use meadowrill_routing::interface::Micros;
 
 impl Peers {
-    /// The membership has changed: gives the replica its members.
+    /// Passes the members to the replica after the membership has changed.
     pub(super) fn update_replica_members(&mut self, now: Micros) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -25,17 +25,17 @@
             replicates: capabilities::replicates(m),
             votes: capabilities::has_ledger(m),
         };
-        let alone = self.alone && self.view.members().next().is_none();
+        let is_alone = self.has_no_contacts && self.view.members().next().is_none();
         let peers = self.view.members().map(peer).collect();
         replica.update_membership(
             now,
-            self.view.has_joined() || alone,
+            self.view.has_joined() || is_alone,
             peers,
-            &mut self.replica_acts,
+            &mut self.replica_actions,
         );
     }
 
-    /// Sends what the view, the replica and their changes ask for.
+    /// Performs the pending actions of the view, and sends the messages of the replica.
     pub(crate) fn dispatch(&mut self, now: Micros, poll: &mut Poll) {
         let mut changed = false;
         for action in self.actions.drain(..) {
@@ -44,7 +44,7 @@
                     if let (Change::ProcessPaused { .. }, Some(replica)) =
                         (&change, &mut self.replica)
                     {
-                        replica.resume_after_pause(now, &mut self.replica_acts);
+                        replica.resume_after_pause(now, &mut self.replica_actions);
                     }
                     self.changes.push(change);
                     changed = true;
@@ -64,15 +64,15 @@
         self.dispatch_replica(now, poll);
     }
 
-    /// The replica names members; the view knows their addresses.
+    /// Sends the messages of the replica. The replica names members, and the view knows their addresses.
     fn dispatch_replica(&mut self, now: Micros, poll: &mut Poll) {
-        let mut rest = Vec::new();
-        for action in self.replica_acts.drain(..) {
+        let mut remaining = Vec::new();
+        for action in self.replica_actions.drain(..) {
             let (to, bytes, stream) = match action {
                 replica::Action::SendDatagram { to, bytes } => (to, bytes, false),
                 replica::Action::SendStream { to, bytes } => (to, bytes, true),
                 other => {
-                    rest.push(other);
+                    remaining.push(other);
                     continue;
                 }
             };
@@ -80,31 +80,31 @@
                 continue;
             };
             if stream {
-                // What is dropped is found missing by the next comparison.
+                // The next anti-entropy comparison finds what is missing after a message was dropped.
                 self.streams.send(address, &bytes, now, poll);
             } else {
                 self.datagrams.send(address, &bytes);
             }
         }
-        self.replica_acts = rest;
+        self.replica_actions = remaining;
     }
 }
 
-/// Hands a datagram or message to the replica or the view, by its first bytes.
+/// Passes a datagram or message to the replica or the view, according to its first bytes.
 pub(super) fn receive(
     view: &mut View,
     replica: &mut Option<Replica>,
     now: Micros,
     bytes: &[u8],
-    (actions, replica_acts): (&mut Vec<Action>, &mut Vec<replica::Action>),
+    (actions, replica_actions): (&mut Vec<Action>, &mut Vec<replica::Action>),
 ) {
     let for_replica = matches!(
         envelope::message_magic(bytes),
         Some(wire::MARK | wire::CHUNK_MARK)
     );
     match replica {
-        Some(replica) if for_replica => replica.receive_message(now, bytes, replica_acts),
-        // Without a replica the view drops it, and counts that.
+        Some(replica) if for_replica => replica.receive_message(now, bytes, replica_actions),
+        // Without a replica the view drops the message and counts it.
         _ => view.receive(now, bytes, actions),
     }
 }
--- a/crates/proxy/src/net/peers/sockets.rs
+++ b/crates/proxy/src/net/peers/sockets.rs
@@ -1,14 +1,14 @@
-//! Sockets for datagrams and streams at one address and port.
+//! Sockets for datagrams and streams on the same address and port.
 
 use crate::net::streams::Streams;
 use crate::net::Poll;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
-/// Ports from the kernel that are tried, until one is free for datagrams and streams.
+/// How often another port from the kernel is tried, until one is free for both datagrams and streams.
 const MAX_PORT_ATTEMPTS: u32 = 16;
 
-/// Opens both; a port that the kernel chooses has to be free for both.
+/// Opens both sockets. A port that the kernel chooses has to be free for both.
 pub(super) fn bind_pair(listen: SocketAddr, poll: &Poll) -> io::Result<(UdpSocket, Streams)> {
     let mut attempts = 0;
     loop {
--- a/crates/proxy/src/net/poll.rs
+++ b/crates/proxy/src/net/poll.rs
@@ -1,9 +1,10 @@
-//! Readiness: waits until connections can be read or written, and registers new ones.
+//! Readiness notification: waits until connections can be read or written, and registers new connections.
 //!
-//! Client, endpoint, discovery and fleet connections are registered with an epoll instance of this module, edge-triggered:
-//! each change is reported once, so a connection without news costs nothing. Listeners, signals and the operators'
-//! socket are registered with calloop, whose own poller is watched as one entry here. (Waiting with calloop for all would
-//! take five system calls each time, two of them for a timer and a notifier that nothing here needs.)
+//! Client, endpoint, discovery and fleet connections are registered with an epoll instance of this module,
+//! edge-triggered: each change is reported once, so a connection without changes costs nothing. Listeners, signals and
+//! the operators' socket are registered with calloop, whose own poller is watched as one entry here. Waiting for all
+//! connections with calloop would take five system calls each time, two of them for a timer and a notifier that are not
+//! needed here.
 
 use super::buffered_stream::{BufferLimits, BufferedStream};
 use super::syscalls::{increment, SyscallCounters};
@@ -20,11 +21,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that one wait reports; the next wait reports the others.
+/// Maximum number of connections that one wait reports; the next wait reports the others.
 const MAX_REPORTED: usize = 1024;
 /// The epoll entry of calloop's own poller.
-const CALLOOP: u64 = 0;
-/// Bits of an epoll entry below the kind of its connection.
+const CALLOOP_ENTRY: u64 = 0;
+/// Number of bits of an epoll entry that hold the connection's number; the kind of the connection is above them.
 const NUMBER_BITS: u32 = 60;
 const DISCOVERY_KIND: u64 = 1;
 const ENDPOINT_KIND: u64 = 2;
@@ -33,10 +34,11 @@
 const MILLIS_PER_SECOND: i64 = 1000;
 const NANOS_PER_MILLI: i64 = 1_000_000;
 
-/// What became ready. Numbers are never used twice, so a late event finds nothing.
+/// A source of readiness events. Numbers are never reused, so a late event matches no other connection.
 ///
-/// The order of the variants is the order in which a round handles them: discovery first, so that no request is answered
-/// by what an invalidation ahead of it forbids; then responses, so that no timeout overtakes one; then clients.
+/// A round handles events in the order of the variants. Discovery comes first, so that no request is answered with
+/// content that an earlier invalidation forbids. Responses come next, so that no timeout is handled before a response
+/// that has arrived. Clients come after them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Key {
     /// The connection to the discovery service.
@@ -45,23 +47,23 @@
     Endpoint(u64),
     /// A client's connection.
     Client(u64),
-    /// Clients wait to be accepted.
+    /// Client connections that wait to be accepted.
     Listener,
-    /// Datagrams of other members of the fleet.
+    /// Datagrams from other members of the fleet.
     Datagrams,
-    /// Members of the fleet wait for a stream to be accepted.
+    /// Streams of other members that wait to be accepted.
     StreamListener,
     /// A stream to or from a member of the fleet.
     Stream(u64),
-    /// Operators wait to be accepted.
+    /// Operator connections that wait to be accepted.
     Operators,
     /// An operator's connection.
     Operator(u64),
-    /// The signal to read the configuration again.
+    /// The signal to reload the configuration.
     Reload,
-    /// The signal to write the report into the log.
+    /// The signal to write the report to the log.
     Report,
-    /// A signal to end.
+    /// A signal to shut down.
     Signal,
 }
 
@@ -74,11 +76,11 @@
             Key::Endpoint(number) => entry(ENDPOINT_KIND, number),
             Key::Client(number) => entry(CLIENT_KIND, number),
             Key::Stream(number) => entry(STREAM_KIND, number),
-            _ => CALLOOP,
+            _ => CALLOOP_ENTRY,
         }
     }
 
-    /// None for the entry of calloop's poller.
+    /// Decodes an epoll entry; none for the entry of calloop's poller.
     fn from_entry(entry: u64) -> Option<Key> {
         let number = entry & ((1 << NUMBER_BITS) - 1);
         match entry >> NUMBER_BITS {
@@ -91,10 +93,10 @@
     }
 }
 
-/// What became ready in one round.
+/// The events of one round.
 pub(crate) type ReadyEvents = Vec<(Key, Readiness)>;
 
-/// Registration of connections, and what they share.
+/// Registers connections, and holds the state that they share.
 pub(crate) struct Poll {
     calloop: LoopHandle<'static, ReadyEvents>,
     pub buffer_memory: BufferMemory,
@@ -110,7 +112,7 @@
         epoll::add(
             &epoll,
             events,
-            epoll::EventData::new_u64(CALLOOP),
+            epoll::EventData::new_u64(CALLOOP_ENTRY),
             epoll::EventFlags::IN,
         )?;
         Ok(Poll {
@@ -123,10 +125,11 @@
         })
     }
 
-    /// Waits until something is ready, at most for `timeout`; true where calloop has events to dispatch.
+    /// Waits until something is ready, for at most `timeout`. Returns true if calloop has events to dispatch.
     pub(crate) fn wait(&mut self, timeout: Duration, ready: &mut ReadyEvents) -> io::Result<bool> {
         increment(&self.syscalls.waits, 1);
-        // Whole milliseconds, rounded up: the call with a finer timeout is missing on some kernels, and under tools.
+        // The timeout is rounded up to milliseconds: the system call with a finer timeout is missing on some kernels
+        // and under some tools.
         let millis = timeout.as_micros().div_ceil(1000) as i64;
         let timeout = Timespec {
             tv_sec: millis / MILLIS_PER_SECOND,
@@ -166,7 +169,7 @@
         self.watch_for(file, key, Interest::BOTH)
     }
 
-    /// Watches a file for input alone: a datagram socket would report each datagram that has left.
+    /// Watches a file only for input: otherwise a datagram socket would report each datagram that was sent.
     pub(crate) fn watch_input<F: AsFd + 'static>(
         &self,
         file: F,
@@ -197,7 +200,7 @@
         self.calloop.remove(token);
     }
 
-    /// Begins to connect without waiting; a refusal shows here, or when the connection becomes ready.
+    /// Starts to connect without blocking. A refused connection is reported here or when the connection becomes ready.
     pub(crate) fn connect(
         &self,
         address: SocketAddr,
@@ -207,7 +210,7 @@
         self.connect_from(None, address, key, limits)
     }
 
-    /// As [`Poll::connect`], from a local address if it is of the same family.
+    /// Like [`Poll::connect`], but from a local address if it has the same address family.
     pub(crate) fn connect_from(
         &self,
         local: Option<IpAddr>,
@@ -233,7 +236,7 @@
         self.register(TcpStream::from(socket), key, limits)
     }
 
-    /// Registers a connection; closing its descriptor ends the registration.
+    /// Registers a connection. Closing its descriptor removes the registration.
     pub(crate) fn register(
         &self,
         stream: TcpStream,
--- a/crates/proxy/src/net/recorded.rs
+++ b/crates/proxy/src/net/recorded.rs
@@ -1,7 +1,7 @@
-//! Recorded bytes of each codec: what is read from them, and what is written, stays as it was recorded, byte for byte.
+//! Recordings of each codec: decoded values and encoded bytes must equal the recording, byte for byte.
 //!
-//! An input stands on a line of its own, in hex where it is not a text; the file `.read.txt` beside it holds what the
-//! codec reads from each, in the same order.
+//! Each line of an input file is one input, in hex if it is not text. The file `.read.txt` with the same name holds the
+//! decoded value of each input, in the same order.
 
 use crate::frame::{self, Frame, IdentityFields};
 use crate::http::{self, Request};
@@ -144,7 +144,7 @@
 
 #[test]
 fn requests_to_caches_are_written_as_recorded() {
-    let least = Request {
+    let minimal = Request {
         host: "127.0.0.9:80",
         class: "segment",
         object_id: "7f3a9c21e0b4d655",
@@ -161,7 +161,7 @@
         known_version: None,
         body: b"",
     };
-    let all = Request {
+    let full = Request {
         part: u32::MAX,
         timeout_ms: 1500,
         idempotency_key: Some("5c0f"),
@@ -173,24 +173,24 @@
         revalidate: true,
         known_version: Some("W/\"a1\""),
         body: b"xyz",
-        ..least
+        ..minimal
     };
     let (join_fill, cached_only, revalidate) = (
         Request {
             join_fill: true,
-            ..least
+            ..minimal
         },
         Request {
             cached_only: true,
-            ..least
+            ..minimal
         },
         Request {
             revalidate: true,
-            ..least
+            ..minimal
         },
     );
     let mut written = Vec::new();
-    for request in [least, all, join_fill, cached_only, revalidate] {
+    for request in [minimal, full, join_fill, cached_only, revalidate] {
         request.write(&mut written);
     }
     assert_eq!(
--- a/crates/proxy/src/net/streams.rs
+++ b/crates/proxy/src/net/streams.rs
@@ -1,7 +1,7 @@
-//! Streams between members of the fleet, for messages too long for a datagram, each behind its length.
+//! Streams between members of the fleet, for messages that are too long for a datagram. A length precedes each message.
 //!
-//! A stream is opened when something is to be sent, and ends when nothing was for a while. Nothing waits on one: a message
-//! for which there is no room is dropped, and whoever sent it learns so.
+//! A stream is opened when a message has to be sent, and closed when none was sent for a while. Sending never blocks: a
+//! message for which there is no room is dropped, and its sender is notified.
 
 use super::buffered_stream::BufferLimits;
 use super::{BufferedStream, Key, Poll};
@@ -12,46 +12,48 @@
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
-/// Streams that this member has opened at one time.
+/// Maximum number of open streams that this member has opened.
 const MAX_OPENED: usize = 8;
-/// Streams that others have opened to this member at one time.
+/// Maximum number of open streams that others have opened to this member.
 const MAX_ACCEPTED: usize = 32;
-/// Bytes that one direction of a stream holds; the next message for a slow one is dropped.
-const BUFFER: usize = 4 * MAX_MESSAGE;
+/// Buffer size of one direction of a stream. A message that does not fit, because the receiver is slow, is dropped.
+const BUFFER_BYTES: usize = 4 * MAX_MESSAGE;
 const LIMITS: BufferLimits = BufferLimits {
-    inbound: BUFFER,
-    outbound: BUFFER,
+    inbound: BUFFER_BYTES,
+    outbound: BUFFER_BYTES,
 };
-/// Bytes of the length before a message.
-const HEAD: usize = 4;
-/// How long a stream may take to come up.
+/// Size of the length that precedes a message.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// How long it may take to establish a stream.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
-/// How long a stream may take nothing of what is queued.
+/// How long a stream may make no progress with its queued output.
 const STALL_TIMEOUT: Micros = 3_000_000;
-/// How long a stream is kept with nothing queued.
+/// How long a stream is kept without queued output.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// The same at the side that accepted it. The other side ends its own streams; where it is gone silently, this side does.
+/// The idle timeout on the side that accepted the stream. The other side closes the streams that it opened; if it has
+/// disappeared silently, this side closes them.
 const ACCEPTED_IDLE_TIMEOUT: Micros = 2 * IDLE_TIMEOUT;
 
 struct Stream {
     stream: BufferedStream,
-    /// Whom it was opened to; none where it was accepted.
+    /// The address that the stream was opened to; none if it was accepted.
     to: Option<SocketAddr>,
     connected: bool,
-    /// When it made progress last, and how much had been written by then.
+    /// When the stream last made progress.
     progress_at: Micros,
+    /// Number of bytes written by then.
     written: u64,
 }
 
 pub(crate) struct Streams {
     listener: TcpListener,
     local: IpAddr,
-    open: BTreeMap<u64, Stream>,
-    /// Streams opened to others.
+    open_streams: BTreeMap<u64, Stream>,
+    /// Number of streams opened to others.
     pub opened: u64,
-    /// Streams that ended with something unsent.
+    /// Number of streams opened to others that failed to connect or ended with unsent output.
     pub lost: u64,
-    /// Messages and streams for which there was no room.
+    /// Number of messages and streams for which there was no room.
     pub full: u64,
 }
 
@@ -63,7 +65,7 @@
         Ok(Streams {
             listener,
             local: address.ip(),
-            open: BTreeMap::new(),
+            open_streams: BTreeMap::new(),
             opened: 0,
             lost: 0,
             full: 0,
@@ -72,7 +74,13 @@
 
     pub(crate) fn accept(&mut self, now: Micros, poll: &mut Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.open.values().filter(|s| s.to.is_none()).count() >= MAX_ACCEPTED {
+            if self
+                .open_streams
+                .values()
+                .filter(|s| s.to.is_none())
+                .count()
+                >= MAX_ACCEPTED
+            {
                 self.full += 1;
                 continue;
             }
@@ -85,12 +93,13 @@
                     progress_at: now,
                     written: 0,
                 };
-                self.open.insert(number, stream);
+                self.open_streams.insert(number, stream);
             }
         }
     }
 
-    /// Queues a message; false where it was dropped, as no stream could be opened or its buffer is full.
+    /// Queues a message. Returns false if it was dropped, because no stream could be opened, the buffer is full or the
+    /// stream is broken.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
@@ -98,7 +107,7 @@
         now: Micros,
         poll: &mut Poll,
     ) -> bool {
-        let open = self.open.iter().find(|(_, s)| s.to == Some(to));
+        let open = self.open_streams.iter().find(|(_, s)| s.to == Some(to));
         let number = match open.map(|(number, _)| *number) {
             Some(number) => number,
             None => match self.connect(to, now, poll) {
@@ -106,10 +115,10 @@
                 None => return false,
             },
         };
-        let Some(stream) = self.open.get_mut(&number) else {
+        let Some(stream) = self.open_streams.get_mut(&number) else {
             return false;
         };
-        if stream.stream.outbound.remaining() < HEAD + message.len() {
+        if stream.stream.outbound.remaining() < LENGTH_PREFIX_BYTES + message.len() {
             self.full += 1;
             return false;
         }
@@ -117,11 +126,18 @@
     }
 
     fn connect(&mut self, to: SocketAddr, now: Micros, poll: &mut Poll) -> Option<u64> {
-        if self.open.values().filter(|s| s.to.is_some()).count() >= MAX_OPENED {
-            self.close_least_used(poll)?;
+        if self
+            .open_streams
+            .values()
+            .filter(|s| s.to.is_some())
+            .count()
+            >= MAX_OPENED
+        {
+            self.close_least_recently_used(poll)?;
         }
         let number = poll.next_number();
-        // From the address that the others know, so that a network in between can tell who it is.
+        // The stream comes from the address that the others know, so that a network in between can identify this
+        // member.
         let stream = poll
             .connect_from(Some(self.local), to, Key::Stream(number), LIMITS)
             .ok()?;
@@ -133,17 +149,17 @@
             progress_at: now,
             written: 0,
         };
-        self.open.insert(number, stream);
+        self.open_streams.insert(number, stream);
         Some(number)
     }
 
-    /// Makes room for a new stream; none where all opened ones are in use. In a large fleet each member talks to another
-    /// one all the time.
-    fn close_least_used(&mut self, poll: &Poll) -> Option<()> {
-        let opened = self.open.iter().filter(|(_, s)| s.to.is_some());
+    /// Closes the least recently used idle stream to make room for a new one; none if all opened streams are in use. In
+    /// a large fleet each member keeps changing the members that it communicates with.
+    fn close_least_recently_used(&mut self, poll: &Poll) -> Option<()> {
+        let opened = self.open_streams.iter().filter(|(_, s)| s.to.is_some());
         let idle = opened.filter(|(_, s)| s.is_idle());
-        let least = idle.min_by_key(|(_, s)| s.progress_at);
-        let Some(number) = least.map(|(number, _)| *number) else {
+        let least_recent = idle.min_by_key(|(_, s)| s.progress_at);
+        let Some(number) = least_recent.map(|(number, _)| *number) else {
             self.full += 1;
             return None;
         };
@@ -151,8 +167,8 @@
         Some(())
     }
 
-    /// A stream became readable or writable; `received` gets each complete message. Returns whom it was opened to if it
-    /// has ended with something unsent.
+    /// Handles a stream that became readable or writable; `received` gets each complete message. If the stream has
+    /// ended with unsent output, returns the address that it was opened to.
     pub(crate) fn handle_ready(
         &mut self,
         number: u64,
@@ -161,16 +177,16 @@
         poll: &mut Poll,
         received: impl FnMut(&[u8]),
     ) -> Option<SocketAddr> {
-        let stream = self.open.get_mut(&number)?;
+        let stream = self.open_streams.get_mut(&number)?;
         match stream.exchange(ready, now, received) {
             Ok(false) => None,
             Ok(true) | Err(_) => self.close(number, poll),
         }
     }
 
-    /// Closes a stream. Returns whom it was opened to where something for it was left.
+    /// Closes a stream. If there was unsent output, returns the address that the stream was opened to.
     pub(crate) fn close(&mut self, number: u64, poll: &Poll) -> Option<SocketAddr> {
-        let stream = self.open.remove(&number)?;
+        let stream = self.open_streams.remove(&number)?;
         let unsent = !stream.connected || !stream.stream.outbound.is_empty();
         self.lost += u64::from(unsent && stream.to.is_some());
         let to = stream.to.filter(|_| unsent);
@@ -178,10 +194,11 @@
         to
     }
 
-    /// Closes streams that do not come up, are stalled or idle. Returns whom something was left for.
+    /// Closes streams that were not established in time, are stalled or are idle. Returns the addresses with unsent
+    /// output.
     pub(crate) fn close_stale(&mut self, now: Micros, poll: &Poll) -> Vec<SocketAddr> {
         let stale: Vec<u64> = self
-            .open
+            .open_streams
             .iter_mut()
             .filter_map(|(number, stream)| stream.is_stale(now).then_some(*number))
             .collect();
@@ -194,7 +211,7 @@
 
 impl Stream {
     fn is_idle(&self) -> bool {
-        self.connected && self.stream.outbound.is_empty() && self.stream.is_quiet()
+        self.connected && self.stream.outbound.is_empty() && self.stream.has_no_pending_input()
     }
 
     fn is_stale(&mut self, now: Micros) -> bool {
@@ -211,7 +228,7 @@
         now - self.progress_at > timeout
     }
 
-    /// Queues a message for which there is room, and writes what it can; false where the stream is broken.
+    /// Queues a message for which there is room, and writes as much as possible. Returns false if the stream is broken.
     fn send(&mut self, message: &[u8], now: Micros) -> bool {
         if self.stream.outbound.is_empty() {
             self.progress_at = now;
@@ -222,7 +239,7 @@
         queued && (!self.connected || self.stream.flush().is_ok())
     }
 
-    /// Writes and reads what it can; true once the other side has ended the stream.
+    /// Writes and reads as much as possible. Returns true once the other side has closed the stream.
     fn exchange(
         &mut self,
         ready: Readiness,
@@ -240,29 +257,31 @@
         self.stream.flush()?;
         loop {
             let ended = self.stream.fill()?;
-            let mut any = false;
+            let mut received_any = false;
             while let Some(length) = self.message_length()? {
-                received(&self.stream.inbound.bytes()[HEAD..HEAD + length]);
-                self.stream.inbound.consume(HEAD + length);
+                received(
+                    &self.stream.inbound.bytes()[LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length],
+                );
+                self.stream.inbound.consume(LENGTH_PREFIX_BYTES + length);
                 self.progress_at = now;
-                any = true;
+                received_any = true;
             }
-            if ended || !any || !self.stream.readable {
+            if ended || !received_any || !self.stream.readable {
                 return Ok(ended);
             }
         }
     }
 
-    /// Length of the next message, where it is complete.
+    /// Length of the next message, if it was received completely.
     fn message_length(&self) -> io::Result<Option<usize>> {
         let bytes = self.stream.inbound.bytes();
-        let Some(head) = bytes.first_chunk::<HEAD>() else {
+        let Some(head) = bytes.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*head) as usize;
         if length > MAX_MESSAGE {
             return Err(ErrorKind::InvalidData.into());
         }
-        Ok((bytes.len() >= HEAD + length).then_some(length))
+        Ok((bytes.len() >= LENGTH_PREFIX_BYTES + length).then_some(length))
     }
 }
--- a/crates/proxy/src/net/subscription.rs
+++ b/crates/proxy/src/net/subscription.rs
@@ -1,6 +1,7 @@
-//! The subscription to events of a relay: hands it datagrams and time, and holds its outputs, in order, for the loop.
+//! The subscription to the events of a relay: passes datagrams and time to the subscriber, and holds its outputs, in
+//! order, for the event loop.
 //!
-//! Invariant: after a panic nothing that it knew is relied on; it starts anew without a lease.
+//! Invariant: after a panic the subscriber's former state is not used; the subscription restarts without a lease.
 
 use meadowrill_event_distribution::output::Output;
 use meadowrill_event_distribution::settings::{DistributionSettings, Identity};
@@ -10,26 +11,26 @@
 use meadowrill_routing::interface::Micros;
 
 pub(crate) struct Subscription {
-    plan: DistributionSettings,
-    me: Identity,
+    settings: DistributionSettings,
+    identity: Identity,
     seed: u64,
     subscriber: Subscriber,
     outputs: Vec<Output>,
-    /// Texts of panics that were not logged yet.
+    /// Messages of panics that have not been logged yet.
     panics: Vec<String>,
 }
 
 impl Subscription {
     pub(crate) fn new(
-        plan: DistributionSettings,
-        me: Identity,
+        settings: DistributionSettings,
+        identity: Identity,
         now: Micros,
         seed: u64,
     ) -> Subscription {
-        let subscriber = Subscriber::new(plan.clone(), me.clone(), now, seed);
+        let subscriber = Subscriber::new(settings.clone(), identity.clone(), now, seed);
         Subscription {
-            plan,
-            me,
+            settings,
+            identity,
             seed,
             subscriber,
             outputs: Vec::new(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// One step; a panic restarts the subscription.
+    /// Runs one step; a panic restarts the subscription.
     fn step(&mut self, now: Micros, step: impl FnOnce(&mut Subscriber, &mut Vec<Output>)) {
         let (subscriber, outputs) = (&mut self.subscriber, &mut self.outputs);
         let Err(panic) = catch_panic(|| step(subscriber, outputs)) else {
@@ -59,20 +60,25 @@
         self.restart(now);
     }
 
-    /// Starts anew, without a lease, and fetches all events that are in force.
+    /// Restarts without a lease, and fetches all events that are in force.
     pub(crate) fn restart(&mut self, now: Micros) {
-        // Messages that were to be sent belong to the former incarnation.
+        // Messages that have not been sent belong to the previous incarnation.
         self.outputs
             .retain(|output| matches!(output, Output::Apply(_)));
-        self.me.incarnation = self.me.incarnation.saturating_add(1).max(now.max(0) as u64);
-        self.subscriber = Subscriber::new(self.plan.clone(), self.me.clone(), now, self.seed);
+        self.identity.incarnation = self
+            .identity
+            .incarnation
+            .saturating_add(1)
+            .max(now.max(0) as u64);
+        self.subscriber =
+            Subscriber::new(self.settings.clone(), self.identity.clone(), now, self.seed);
     }
 
     pub(crate) fn next_wake(&self) -> Micros {
         self.subscriber.next_wake()
     }
 
-    pub(crate) fn copy_bound(&self, now: Micros) -> FreshnessBound {
+    pub(crate) fn freshness_bound(&self, now: Micros) -> FreshnessBound {
         self.subscriber.freshness_bound(now)
     }
 
@@ -80,7 +86,7 @@
         self.subscriber.status(now)
     }
 
-    /// Outputs since the last call, in order: an event has to be in force before a later datagram is sent.
+    /// Takes the outputs since the last call, in order: an event has to be in force before a later datagram is sent.
     pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/proxy/src/net/syscalls.rs
+++ b/crates/proxy/src/net/syscalls.rs
@@ -1,4 +1,4 @@
-//! Counters of the loop's system calls by kind, and of body bytes that were copied: counted where they happen.
+//! Counters of the event loop's system calls by kind, and of copied body bytes. Each event is counted where it happens.
 
 use std::cell::Cell;
 use std::fmt::Write;
@@ -6,13 +6,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct SyscallCounters {
     pub waits: Cell<u64>,
-    /// Changes of what is watched.
+    /// Changes to the set of watched files.
     pub controls: Cell<u64>,
     pub reads: Cell<u64>,
     pub writes: Cell<u64>,
-    /// Connections opened, accepted or inspected: socket, connect, accept, options, names.
+    /// System calls that open, accept, inspect or close connections: socket, connect, accept, options, names.
     pub connections: Cell<u64>,
-    /// Bytes of bodies that were copied from one place of this program to another.
+    /// Body bytes that were copied within this program.
     pub copied: Cell<u64>,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl SyscallCounters {
-    /// A line for each counter, for the operators' socket.
+    /// Formats a line for each counter, for the operators' socket.
     pub(crate) fn report(&self) -> String {
         let mut text = String::new();
         let all = [
@@ -33,7 +33,7 @@
             ("copied_bytes", &self.copied),
         ];
         for (name, count) in all {
-            // Writing to a text cannot fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "{name} {}", count.get());
         }
         text
--- a/crates/proxy/src/proxy/endpoint_list.rs
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -21,7 +21,7 @@
     pub(super) fn apply_initial_list(&mut self, now: Micros) {
         let initial = std::mem::take(&mut self.config.initial_list);
         for entry in initial["entries"].as_array().into_iter().flatten() {
-            for notice in discovery::known_entry(entry) {
+            for notice in discovery::parse_configured_event(entry) {
                 self.apply_notice(notice, now);
             }
         }
--- a/crates/proxy/src/proxy/event_subscription.rs
+++ b/crates/proxy/src/proxy/event_subscription.rs
@@ -76,7 +76,7 @@
         let Some(subscription) = self.fleet.subscription() else {
             return;
         };
-        let bound = subscription.copy_bound(self.clock.now());
+        let bound = subscription.freshness_bound(self.clock.now());
         if self.fleet.freshness_bound == Some(bound) {
             return;
         }
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -23,7 +23,7 @@
             self.metrics
                 .observe_replication_lag(kind.name(), lag as f64 / 1e6);
         }
-        for effect in peers.take_replica_acts() {
+        for effect in peers.take_replica_actions() {
             match effect {
                 Action::Decision(decision) => self.apply_claim_decision(decision, now),
                 Action::Purge {
