--- a/crates/proxy/src/net/attempt_error.rs
+++ b/crates/proxy/src/net/attempt_error.rs
@@ -112,7 +112,7 @@
         f.write_str(match self.progress {
             Progress::NotStarted => "not started",
             Progress::Connecting => "not connected",
-            Progress::PartlyWritten => "request partly written",
+            Progress::PartlyWritten => "request not completely written",
             Progress::Written => "request written, no response received",
             Progress::ResponseStarted => "incomplete response",
         })?;
