--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,19 +1,19 @@
-//! The proxy on sockets: the event loop round the router. It decides nothing itself; time limits are those that the
-//! router or the settings give.
+//! The proxy process: an event loop that connects the router to sockets. The loop makes no routing decisions; all time
+//! limits come from the router or from the settings.
 //!
-//! The way of a request:
+//! Life cycle of a request:
 //!
-//! 1. A frame is read and becomes a request in the table (`client_requests`); an invalid one fails at once.
-//! 2. Admission control lets it in, queues it or rejects it (`admission`), at once or in a later round.
-//! 3. One with an effect waits for its claim at the ledger, where state is shared (`effect_claims`).
-//! 4. At the end of the round the router handles its arrival and asks for an attempt (`routing`).
-//! 5. The attempt goes out (`attempts`), at once on an idle connection, else once its connection is up and the router
-//!    has agreed again.
-//! 6. The attempt ends: the router is told, and the first success is the response (`outcomes`). The router may ask for
-//!    further attempts, or for a final answer (`response`).
-//! 7. It leaves the table once it has its response, and no attempt is in flight (`request_table`).
+//! 1. A frame is read and added to the table as a request (`client_requests`). An invalid request fails immediately.
+//! 2. Admission control admits, queues or rejects the request (`admission`), immediately or in a later round.
+//! 3. If state is shared, a request with a side effect waits for its claim at the ledger (`effect_claims`).
+//! 4. At the end of the round the router handles the arrival and requests an attempt (`routing`).
+//! 5. The attempt is written (`attempts`): immediately on an idle connection, otherwise once its connection is
+//!    established and the router has confirmed the attempt.
+//! 6. The attempt ends. The router is notified, and the first success becomes the response (`outcomes`). The router may
+//!    request further attempts, or a final answer (`response`).
+//! 7. The request is removed from the table once it has been answered and no attempt is in flight (`request_table`).
 //!
-//! Each part of [`Proxy`] has its state in a struct of its own, in the module that changes it.
+//! The state of each part of [`Proxy`] is a separate struct in the module that changes it.
 
 mod admission;
 mod attempts;
@@ -96,12 +96,12 @@
 }
 
 impl Proxy {
-    /// Sets all parts up; the first requests are accepted once [`Proxy::run`] is called. `benchmark_counts` adds what a
-    /// benchmark's build counts.
+    /// Creates all parts. Requests are accepted only once [`Proxy::run`] is called. `benchmark_counts` returns the
+    /// additional counters of a benchmark build.
     ///
     /// # Errors
     ///
-    /// Returns the fault of a socket that cannot be opened.
+    /// Returns the error of a socket that cannot be opened.
     pub(crate) fn new(
         config: Config,
         listener: TcpListener,
@@ -145,10 +145,10 @@
         Ok(proxy)
     }
 
-    /// Takes in what is known before the first request, and sets the first timers.
+    /// Applies the endpoint list of the configuration and the snapshot, and sets the first timers.
     fn start(&mut self, now: Micros) {
         self.subscribe_to_relays(now);
-        // Where state is shared, other proxies are asked for it first.
+        // A proxy that shares state is not ready until it has requested the state of the other proxies.
         self.downstream.clients.ready = !self.fleet.shares_state();
         self.apply_initial_list(now);
         self.restore_snapshot(now);
@@ -182,8 +182,9 @@
 
 fn open_fleet(config: &Config, now: Micros, poll: &Poll) -> io::Result<Option<Peers>> {
     let replica = config.operator.replica.as_ref();
-    let plan = config.operator.fleet.as_ref();
-    plan.map(|plan| Peers::listen(plan, replica, &config.name, now, config.seed, poll))
+    let fleet = config.operator.fleet.as_ref();
+    fleet
+        .map(|fleet| Peers::listen(fleet, replica, &config.name, now, config.seed, poll))
         .transpose()
 }
 
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control in the loop: which requests go on to the router, which wait, and which are rejected.
+//! Admission control in the event loop: admitted requests are submitted to the router, others are queued or rejected.
 
 use super::request_table::ProxiedRequest;
 use super::Proxy;
@@ -8,16 +8,17 @@
 use meadowrill_routing::interface::{Event, Micros, Request};
 use slog::debug;
 
-/// Admission control, and how it tells tenants and clients apart.
+/// The admission controller, and the rules that identify the tenant and the client of a request.
 pub(super) struct Admission {
     pub(super) controller: AdmissionController,
     pub(super) identities: IdentityResolver,
-    /// An empty buffer for the controller's events.
+    /// Reusable buffer for the controller's events; empty between calls.
     pub(super) events: Vec<AdmissionEvent>,
 }
 
 impl Proxy {
-    /// Submits an admitted request: to the ledger first, where it has an effect and there is one, else to the router.
+    /// Submits an admitted request: to the ledger first if it has a side effect and there is a ledger, otherwise to the
+    /// router.
     pub(super) fn submit_request(&mut self, id: u32, now: Micros) {
         if self.fleet.shares_state() {
             self.record_request(id, now);
@@ -28,7 +29,7 @@
         self.queue_for_router(id);
     }
 
-    /// Queues the arrival of a request for the router.
+    /// Queues the arrival of a request as an event for the router.
     pub(super) fn queue_for_router(&mut self, id: u32) {
         let Some(ProxiedRequest {
             message,
@@ -50,8 +51,8 @@
         }));
     }
 
-    /// Rejects a request that admission control did not let in. No attempt was made, so it is harmless to send again
-    /// whatever its class.
+    /// Rejects a request that admission control did not admit. No attempt was made, so the client may safely resend the
+    /// request, whatever its class.
     pub(super) fn reject_by_admission(&mut self, id: u32, rejection: Rejection, now: Micros) {
         if let Some(request) = self.requests.get(id) {
             debug!(self.log, "request rejected by admission control"; "request" => request.message.request_id.as_str(),
@@ -62,7 +63,7 @@
         self.reject_request(id, rejection.retry_after, now);
     }
 
-    /// Carries out what admission control has decided on queued requests.
+    /// Applies the decisions of admission control on queued requests.
     pub(super) fn poll_admission(&mut self, now: Micros) {
         let mut events = std::mem::take(&mut self.admission.events);
         self.admission.controller.poll(now, &mut events);
--- a/crates/proxy/src/proxy/attempts.rs
+++ b/crates/proxy/src/proxy/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts go out: a request for an endpoint is worded, written or queued behind its connection, and given deadlines.
+//! Starts attempts: encodes the request for the endpoint, writes it or holds it until the connection is established,
+//! and sets its deadlines.
 
 use super::request_table::{AttemptHandle, ProxiedRequest};
 use super::timers::Timer;
@@ -13,11 +14,11 @@
 /// Connections to endpoints, and the attempts on them.
 pub(super) struct Upstream {
     pub(super) connections: EndpointConnections,
-    /// Connections whose responses stay with the kernel until buffers have room again.
+    /// Connections that are not read until the buffers have room again. Their responses stay in the kernel.
     pub(super) paused_reads: BTreeSet<Key>,
-    /// Serial number of the last attempt.
+    /// Serial number of the most recent attempt.
     last_serial: u64,
-    /// Empty buffers: ends of attempts, attempts whose connection is up, the bytes of a request.
+    /// Reusable buffers: ended attempts, attempts whose connection has been established, and the bytes of a request.
     pub(super) ended: Vec<EndedAttempt>,
     pub(super) connected: Vec<AttemptRef>,
     request_bytes: Vec<u8>,
@@ -37,7 +38,7 @@
 }
 
 impl Proxy {
-    /// Starts the next attempt of a request. One that cannot go out ends at once, as never sent.
+    /// Starts the next attempt of a request. An attempt that cannot be sent ends immediately as not started.
     pub(super) fn start_attempt(
         &mut self,
         id: u32,
@@ -62,14 +63,14 @@
             started_at: now,
             serial: upstream.last_serial,
         };
-        let left = request.deadline - now;
+        let remaining = request.deadline - now;
         let timeout = if timeout == 0 {
-            left
+            remaining
         } else {
-            timeout.min(left)
+            timeout.min(remaining)
         };
-        let may_go = request.awaits_response && timeout > 0;
-        let address = self.endpoints.address(endpoint).filter(|_| may_go);
+        let can_start = request.awaits_response && timeout > 0;
+        let address = self.endpoints.address(endpoint).filter(|_| can_start);
         let Some(address) = address else {
             request.attempts.push(None);
             let error = AttemptError {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Writes an attempt whose connection has come up.
+    /// Writes an attempt whose connection has been established.
     pub(super) fn write_attempt(&mut self, id: u32, attempt: u8) {
         let Some(handle) = self.requests.attempt(id, attempt) else {
             return;
@@ -114,9 +115,9 @@
         self.log_written(id, handle);
     }
 
-    /// Tells when an attempt went out, unless it waits for its connection or has failed.
+    /// Logs that an attempt was written, unless it still waits for its connection or has failed.
     fn log_written(&self, id: u32, attempt: AttemptHandle) {
-        // One line for each attempt: nothing is worded for a log that does not show it.
+        // There is one line for each attempt, so nothing is formatted unless the log level shows it.
         if !self.config.log_level.shows(Level::Debug) {
             return;
         }
@@ -148,8 +149,8 @@
             .fail_attempt(connection, serial, cause, &self.poll);
     }
 
-    /// The connection of an attempt has taken too long to come up, unless it is up.
-    pub(super) fn connect_timed_out(&mut self, attempt: AttemptHandle) {
+    /// Fails an attempt whose connection has not been established within the connect timeout.
+    pub(super) fn handle_connect_timeout(&mut self, attempt: AttemptHandle) {
         let connections = &self.upstream.connections;
         if connections.is_connecting(attempt.connection, attempt.serial) {
             self.fail_attempt(attempt, Cause::TimedOut);
@@ -157,7 +158,7 @@
     }
 }
 
-/// The request that an endpoint gets. `parent` is the id of the source, where that is another endpoint.
+/// The request to send to an endpoint. `parent` is the id of the source if the source is another endpoint.
 fn upstream_request<'a>(
     request: &'a ProxiedRequest,
     host: &'a str,
@@ -166,7 +167,7 @@
     timeout: Micros,
 ) -> http::Request<'a> {
     let message = &request.message;
-    // Rounded down, as the limit guards against copies from before a purge; but 0 would lift it.
+    // Rounded down, because the limit excludes copies from before a purge. Not below 1 ms, because 0 means no limit.
     let max_age_ms = fill
         .filter(|fill| fill.max_age > 0)
         .map_or(0, |fill| (fill.max_age / 1000).max(1));
--- a/crates/proxy/src/proxy/availability.rs
+++ b/crates/proxy/src/proxy/availability.rs
@@ -1,23 +1,24 @@
-//! Availability of the proxy, as far as it sees: an outage is when requests come and no endpoint accepts any of them. It
-//! is reported, by the readiness answer, a log line at each end and a metric; nothing is decided by it.
+//! Availability as this proxy observes it. During an outage requests arrive and no endpoint accepts any of them. An
+//! outage is reported by the readiness answer, by a log line at its start and its end, and by a metric. No decision
+//! depends on it.
 //!
-//! Invariants: refusals are counted from the last request that an endpoint accepted, and anew after a pause; an outage
-//! begins once, and ends with the first request that an endpoint accepts.
+//! Invariants: refusals are counted from the last request that an endpoint accepted, and the count restarts after a
+//! pause; an outage begins once, and ends with the first request that an endpoint accepts.
 
 use super::Proxy;
 use meadowrill_routing::interface::Micros;
 use slog::{info, warn};
 
-/// Requests are refused for so long with none accepted by any endpoint, before that is an outage: longer than a restart
-/// of endpoints, a network partition or a lost zone lasts.
+/// Minimum duration of refusals without any accepted request before they count as an outage. It is longer than a
+/// restart of endpoints, a network partition or the loss of a zone.
 const OUTAGE_AFTER: Micros = 10_000_000;
-/// And so many requests: the few of a proxy with little traffic prove nothing.
+/// Minimum number of refused requests in an outage: the few requests of a proxy with little traffic prove nothing.
 const MIN_REFUSALS: u32 = 20;
-/// A pause between requests after which their refusals are counted anew; in an outage, after which the proxy answers
-/// that it is ready, as only further requests can show whether it is over.
+/// Pause between requests after which the count of refusals restarts. During an outage the proxy reports that it is
+/// ready after this pause, because only further requests can show whether the outage is over.
 const QUIET_PERIOD: Micros = 5_000_000;
 
-/// Requests that were refused since an endpoint last accepted one.
+/// Requests that were refused since an endpoint last accepted a request.
 #[derive(Clone, Copy, Debug)]
 struct Refusals {
     since: Micros,
@@ -25,14 +26,14 @@
     count: u32,
 }
 
-/// An outage that has begun: since when requests have been refused, and how many were.
+/// An outage that has begun: the time of the first refused request, and the number of refused requests.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Outage {
     since: Micros,
     refused: u32,
 }
 
-/// What the proxy has seen of its own service.
+/// Tracks refused requests, and the current outage if there is one.
 #[derive(Debug, Default)]
 pub(crate) struct Availability {
     refusals: Option<Refusals>,
@@ -40,7 +41,7 @@
 }
 
 impl Availability {
-    /// A request was refused or failed.
+    /// Records that a request was rejected or failed.
     fn record_refusal(&mut self, now: Micros) {
         let in_outage = self.outage_since.is_some();
         let continued = self
@@ -58,24 +59,24 @@
         });
     }
 
-    /// An endpoint accepted a request, or one was served without any. Returns since when there was an outage that ends by
-    /// it.
+    /// Records that an endpoint accepted a request, or that a request was served without an endpoint. Returns the start
+    /// of the outage that this ends, if there was one.
     fn record_service(&mut self) -> Option<Micros> {
         self.refusals = None;
         self.outage_since.take()
     }
 
-    /// Whether an outage begins now. `has_pending` tells whether an endpoint has accepted a request since then that it
-    /// has not answered yet.
+    /// Returns the outage that begins now, if one does. `has_pending` returns whether an endpoint has accepted a
+    /// request since the given time and has not answered it yet.
     fn begin_outage(
         &mut self,
         now: Micros,
         has_pending: impl FnOnce(Micros) -> bool,
     ) -> Option<Outage> {
         let Refusals { since, last, count } = self.refusals?;
-        let lasting =
+        let is_sustained =
             now >= since + OUTAGE_AFTER && now < last + QUIET_PERIOD && count >= MIN_REFUSALS;
-        if self.outage_since.is_some() || !lasting || has_pending(since) {
+        if self.outage_since.is_some() || !is_sustained || has_pending(since) {
             return None;
         }
         self.outage_since = Some(since);
@@ -85,28 +86,28 @@
         })
     }
 
-    /// Whether the proxy answers that it is ready: always but in an outage while requests still come.
+    /// Whether the proxy reports that it is ready: always, except during an outage while requests still arrive.
     fn is_ready(&self, now: Micros) -> bool {
-        let requests_come = self
+        let requests_arrive = self
             .refusals
             .is_some_and(|refusals| now < refusals.last + QUIET_PERIOD);
-        self.outage_since.is_none() || !requests_come
+        self.outage_since.is_none() || !requests_arrive
     }
 
-    /// Since when there has been an outage, if there is one.
+    /// Start of the current outage, if there is one.
     pub(crate) fn outage_since(&self) -> Option<Micros> {
         self.outage_since
     }
 }
 
 impl Proxy {
-    /// A valid request was rejected or has failed.
+    /// Records that a valid request was rejected or failed.
     pub(super) fn record_refusal(&mut self, now: Micros) {
         self.availability.record_refusal(now);
         self.downstream.clients.available = self.availability.is_ready(now);
     }
 
-    /// An endpoint accepted a request, or one was served without any.
+    /// Records that an endpoint accepted a request, or that a request was served without an endpoint.
     pub(super) fn record_service(&mut self, now: Micros) {
         if let Some(since) = self.availability.record_service() {
             self.downstream.clients.available = true;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Looks for the begin of an outage; part of housekeeping.
+    /// Checks whether an outage begins; part of housekeeping.
     pub(super) fn check_availability(&mut self, now: Micros) {
         let connections = &self.upstream.connections;
         let outage = self
--- a/crates/proxy/src/proxy/availability/tests.rs
+++ b/crates/proxy/src/proxy/availability/tests.rs
@@ -2,8 +2,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Requests are refused, one `every` so often, from `from` on. Returns the moment of the outage, if one begins within
-/// `span`.
+/// Refuses a request at each interval of `every`, starting at `from`. Returns the time at which an outage begins, if
+/// one begins within `span`.
 fn refuse_requests(
     availability: &mut Availability,
     from: Micros,
@@ -30,7 +30,7 @@
     assert_eq!(begun, OUTAGE_AFTER);
     assert_eq!(availability.outage_since(), Some(0));
     assert!(!availability.is_ready(begun));
-    // It begins once.
+    // The same outage does not begin a second time.
     assert_eq!(
         refuse_requests(&mut availability, begun, 2 * OUTAGE_AFTER, SECOND / 10),
         None
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn short_interruptions_are_no_outage_however_often_they_come() {
+fn short_interruptions_are_not_an_outage_however_frequent() {
     let mut availability = Availability::default();
     for phase in 0..20 {
         assert_eq!(
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn few_refusals_or_such_with_long_pauses_are_no_outage() {
+fn few_refusals_or_refusals_with_long_pauses_are_not_an_outage() {
     let mut availability = Availability::default();
     assert_eq!(
         refuse_requests(&mut availability, 0, 4 * OUTAGE_AFTER, QUIET_PERIOD),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_request_accepted_and_not_answered_yet_holds_an_outage_off() {
+fn no_outage_begins_while_an_accepted_request_is_unanswered() {
     let mut availability = Availability::default();
     for at in 0..2 * MIN_REFUSALS {
         availability.record_refusal(Micros::from(at) * SECOND);
@@ -95,13 +95,13 @@
 }
 
 #[test]
-fn in_an_outage_a_pause_reports_ready_until_the_next_refusal() {
+fn a_pause_during_an_outage_reports_ready_until_the_next_refusal() {
     let mut availability = Availability::default();
     let begun =
         refuse_requests(&mut availability, 0, 2 * OUTAGE_AFTER, SECOND / 10).expect("an outage");
     assert!(!availability.is_ready(begun + QUIET_PERIOD - 1));
     assert!(availability.is_ready(begun + QUIET_PERIOD));
-    // The outage lasts all the while: it is neither reported again nor begun anew.
+    // The outage continues throughout: it is not reported again and does not begin again.
     let next_request = begun + 3 * QUIET_PERIOD;
     availability.record_refusal(next_request);
     assert!(!availability.is_ready(next_request));
--- a/crates/proxy/src/proxy/client_requests.rs
+++ b/crates/proxy/src/proxy/client_requests.rs
@@ -1,6 +1,6 @@
-//! What clients do: a request arrives, its client ends its side, or leaves.
+//! Handles client events: a request arrives, or its client half-closes the connection or disconnects.
 
-use super::request_table::{AttemptHandle, LedgerWait, ProxiedRequest};
+use super::request_table::{AttemptHandle, ClaimState, ProxiedRequest};
 use super::response::Response;
 use super::Proxy;
 use crate::frame;
@@ -14,7 +14,7 @@
 use std::fmt;
 use std::net::IpAddr;
 
-/// What rounding may add to the time limit that a client names, in milliseconds.
+/// Tolerance for rounding of the time limit that a client requests, in milliseconds.
 const DEADLINE_ROUNDING_MS: f64 = 1.0;
 
 /// Why a request is invalid.
@@ -30,16 +30,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             InvalidRequest::UnknownClass => "unknown class",
-            InvalidRequest::DeadlineTooLong => "deadline too long for its class",
-            InvalidRequest::MissingIdempotencyKey => "no idempotency key",
-            InvalidRequest::IdInUse => "id in use for another request",
+            InvalidRequest::DeadlineTooLong => "deadline exceeds the maximum of the class",
+            InvalidRequest::MissingIdempotencyKey => "missing idempotency key",
+            InvalidRequest::IdInUse => "id is in use for another request",
         })
     }
 }
 
 impl std::error::Error for InvalidRequest {}
 
-/// Where a request came in.
+/// The connection and stream on which a request arrived.
 #[derive(Clone, Copy)]
 struct Origin {
     client: u64,
@@ -48,17 +48,17 @@
 }
 
 impl Proxy {
-    /// Handles what clients have done since the last call.
+    /// Handles the client events since the last call.
     pub(super) fn handle_client_events(&mut self, now: Micros) {
         let mut events = std::mem::take(&mut self.downstream.events);
         self.downstream.clients.take_events(&mut events);
         for event in events.drain(..) {
             match event {
                 ClientEvent::BadFrame { client, error } => {
-                    debug!(self.log, "bad frame"; "client" => client, "reason" => %error);
+                    debug!(self.log, "client sent an invalid frame"; "client" => client, "reason" => %error);
                 }
-                ClientEvent::Cancelled { id } => self.client_left(id, now),
-                ClientEvent::HalfClosed { id } => self.client_half_closed(id, now),
+                ClientEvent::Cancelled { id } => self.handle_client_cancellation(id, now),
+                ClientEvent::HalfClosed { id } => self.handle_client_half_close(id, now),
                 ClientEvent::RequestReceived {
                     id,
                     client,
@@ -78,7 +78,7 @@
         self.downstream.events = events;
     }
 
-    /// A request was read: it enters the table and, if it is valid, admission control.
+    /// Adds a received request to the table and, if it is valid, submits it to admission control.
     fn receive_request(
         &mut self,
         id: u32,
@@ -106,7 +106,7 @@
         };
         self.requests.insert(id, request, class.is_ok());
         if let Err(reason) = class {
-            debug!(self.log, "invalid request"; "client" => origin.client, "reason" => %reason);
+            debug!(self.log, "client sent an invalid request"; "client" => origin.client, "reason" => %reason);
             self.respond(id, &Response::Failed, now);
             self.downstream
                 .clients
@@ -134,8 +134,9 @@
         }
     }
 
-    /// The class of a request that the settings allow. Endpoints answer others with an error, which would count against
-    /// them, and what is far out of range would stay in the router's estimates.
+    /// Returns the index of the request's class if the settings allow the request. Endpoints would answer any other
+    /// request with an error, which would count against them, and a value far out of range would stay in the router's
+    /// estimates.
     fn validate(&self, message: &frame::Request) -> Result<usize, InvalidRequest> {
         let classes = &self.config.classes;
         let index = classes.iter().position(|class| class.name == message.class);
@@ -149,31 +150,32 @@
         }
         let same_id = self.requests.by_client_id(message.id);
         match same_id.filter(|request| request.awaits_response) {
-            Some(request) if !is_repeat(&request.message, message) => Err(InvalidRequest::IdInUse),
+            Some(request) if !is_retry(&request.message, message) => Err(InvalidRequest::IdInUse),
             _ => Ok(index),
         }
     }
 
-    /// Nobody waits any more: the request is given up. The router is told if it knows of it.
-    fn client_left(&mut self, id: u32, now: Micros) {
+    /// Abandons a request whose client no longer waits for the response. The router is notified if it knows the
+    /// request.
+    fn handle_client_cancellation(&mut self, id: u32, now: Micros) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         request.awaits_response = false;
         let ticket = request.ticket.take();
         let was_queued = ticket.is_some_and(|ticket| self.admission.controller.cancel(now, ticket));
-        let claim_pending = request.claim == LedgerWait::Pending;
+        let claim_pending = request.claim == ClaimState::Pending;
         if !was_queued && !claim_pending {
             self.routing.queue(Event::ClientLeft { id });
         }
         self.end_claim(id, None, now);
         self.cancel_unwritten_attempts(id);
-        self.requests.note_maybe_finished(id);
+        self.requests.mark_maybe_finished(id);
     }
 
-    /// A client has ended its side. What has not gone out yet never will: the router is told, and what it does not know
-    /// of is rejected here.
-    fn client_half_closed(&mut self, id: u32, now: Micros) {
+    /// Handles a client that has closed its sending side. Attempts that are not written yet will not be written. The
+    /// router is notified; a request that it does not know yet is rejected here.
+    fn handle_client_half_close(&mut self, id: u32, now: Micros) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -183,7 +185,7 @@
         request.counts_for_availability = false;
         let ticket = request.ticket.as_ref();
         let queued = ticket.is_some_and(|ticket| self.admission.controller.is_waiting(ticket));
-        if queued || request.claim == LedgerWait::Pending {
+        if queued || request.claim == ClaimState::Pending {
             if let Some(ticket) = request.ticket.take() {
                 self.admission.controller.cancel(now, ticket);
             }
@@ -193,7 +195,7 @@
         self.cancel_unwritten_attempts(id);
     }
 
-    /// Ends the attempts of a request that wait for their connection: they were not written.
+    /// Cancels the attempts of a request that still wait for their connection. Nothing of them has been written.
     fn cancel_unwritten_attempts(&mut self, id: u32) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Removes a request that has its response once no attempt is in flight, and keeps its buffer for another.
+    /// Removes a request that no longer waits for a response and has no attempt in flight, and recycles its buffer.
     pub(super) fn remove_if_finished(&mut self, id: u32) {
         if let Some(request) = self.requests.remove_finished(id) {
             self.downstream.clients.recycle(request.message);
@@ -217,12 +219,12 @@
     }
 }
 
-/// Whether a request with the id of another asks for the same.
-fn is_repeat(first: &frame::Request, second: &frame::Request) -> bool {
+/// Whether a request with the same id as another is for the same object, part and class.
+fn is_retry(first: &frame::Request, second: &frame::Request) -> bool {
     (first.object, first.part, &first.class) == (second.object, second.part, &second.class)
 }
 
-/// A request as it enters the table; without a class it is invalid.
+/// Creates the table entry of a request. A request without a class is invalid.
 fn new_request(
     origin: Origin,
     message: Box<frame::Request>,
@@ -241,7 +243,7 @@
         ticket: None,
         completion: Completion::default(),
         attempts: SmallVec::new(),
-        claim: LedgerWait::None,
+        claim: ClaimState::None,
         ended_attempt_may_have_run: false,
         sources: SmallVec::new(),
     }
--- a/crates/proxy/src/proxy/downstream.rs
+++ b/crates/proxy/src/proxy/downstream.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: where they are accepted, and what came on them.
+//! Client connections: the listener that accepts them, and their events.
 
 use super::Proxy;
 use crate::net::clients::{ClientEvent, Clients};
@@ -12,16 +12,16 @@
 /// The listener and the connections of clients.
 pub(super) struct Downstream {
     pub(super) clients: Clients,
-    /// None once the proxy takes no more connections.
+    /// `None` once the proxy accepts no more connections.
     pub(super) listener: Option<(TcpListener, RegistrationToken)>,
-    /// Connections may be waiting to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
-    /// An empty buffer for what clients have done.
+    /// Reusable buffer for client events; empty between calls.
     pub(super) events: Vec<ClientEvent>,
 }
 
 impl Proxy {
-    /// Accepts the connections that wait, as far as the ceiling on clients allows.
+    /// Accepts waiting connections up to the limit on client connections.
     pub(super) fn accept_clients(&mut self, now: Micros) {
         let downstream = &mut self.downstream;
         while downstream.accept_pending && downstream.clients.make_room(now, &mut self.poll) {
@@ -36,14 +36,14 @@
                             .clients
                             .accept(stream, from.ip(), now, &mut self.poll);
                     if let Err(e) = accepted {
-                        warn!(self.log, "client connection dropped"; "error" => %e);
+                        warn!(self.log, "client connection could not be set up"; "error" => %e);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
                     downstream.accept_pending = false;
                     if e.kind() != io::ErrorKind::WouldBlock {
-                        warn!(self.log, "accept failed"; "error" => %e);
+                        warn!(self.log, "client connection could not be accepted"; "error" => %e);
                     }
                 }
             }
--- a/crates/proxy/src/proxy/effect_claims.rs
+++ b/crates/proxy/src/proxy/effect_claims.rs
@@ -1,10 +1,10 @@
-//! Claims of requests with an effect, at the ledger that the proxies share: such a request runs at one proxy at a time.
+//! Claims at the shared ledger for requests with a side effect: such a request runs at one proxy at a time.
 //!
-//! A claim is made when the request is admitted (`LedgerWait::Pending`). The ledger grants it, answers with the result
-//! of an earlier run, fails or rejects the request. A granted claim ends with the request's response, or when its client
-//! leaves, and the ledger is told whether an attempt may have run.
+//! A request is claimed when it is admitted (`ClaimState::Pending`). The ledger grants the claim, replays the result of
+//! an earlier run, fails the request or rejects it. A granted claim ends with the response to the request, or when its
+//! client disconnects. The ledger is then notified whether an attempt may have run.
 
-use super::request_table::LedgerWait;
+use super::request_table::ClaimState;
 use super::response::Response;
 use super::Proxy;
 use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
@@ -12,7 +12,7 @@
 use slog::debug;
 
 impl Proxy {
-    /// Claims the effect of a request; true where it has to wait for the ledger's decision.
+    /// Claims the side effect of a request. Returns true if the request has to wait for the ledger's decision.
     pub(super) fn claim_effect(&mut self, id: u32, now: Micros) -> bool {
         let Some(request) = self.requests.get_mut(id) else {
             return false;
@@ -38,12 +38,12 @@
         if claimed != Some(true) {
             return false;
         }
-        request.claim = LedgerWait::Pending;
+        request.claim = ClaimState::Pending;
         self.with_fleet(now, |peers, poll| peers.dispatch(now, poll));
         true
     }
 
-    /// The ledger has decided on a claim.
+    /// Applies the ledger's decision on a claim.
     pub(super) fn apply_claim_decision(&mut self, decision: Decision, now: Micros) {
         let id = match &decision {
             Decision::Admit { token, .. }
@@ -57,14 +57,14 @@
         };
         debug!(self.log, "ledger decided on a claim"; "request" => request.message.request_id.as_str(),
             "decision" => ?decision);
-        request.claim = LedgerWait::None;
+        request.claim = ClaimState::None;
         match decision {
             Decision::Admit {
                 send_until,
                 earlier_may_have_run,
                 ..
             } => {
-                request.claim = LedgerWait::Granted {
+                request.claim = ClaimState::Granted {
                     earlier_may_have_run,
                 };
                 request.deadline = request.deadline.min(send_until);
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Ends the claim of a request that is answered, or whose client has left. `result` is what a successful attempt
-    /// brought: whether the client's own copy is current, and the body.
+    /// Ends the claim of a request that is answered, or whose client has disconnected. `result` is the result of a
+    /// successful attempt: whether the client's own copy is current, and the body.
     pub(super) fn end_claim(&mut self, id: u32, result: Option<(bool, Vec<u8>)>, now: Micros) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let claim = std::mem::replace(&mut request.claim, LedgerWait::None);
+        let claim = std::mem::replace(&mut request.claim, ClaimState::None);
         let token = u64::from(id);
         let outcome = match (result, request.may_have_run()) {
             (Some((current, body)), _) => RequestOutcome::Ran { current, body },
@@ -99,11 +99,11 @@
             return;
         };
         match claim {
-            LedgerWait::None => return,
-            LedgerWait::Pending => {
+            ClaimState::None => return,
+            ClaimState::Pending => {
                 peers.with_replica(|replica, actions| replica.cancel_request(now, token, actions));
             }
-            LedgerWait::Granted { .. } => {
+            ClaimState::Granted { .. } => {
                 peers.with_replica(|replica, actions| {
                     replica.finish_request(now, token, outcome, actions)
                 });
--- a/crates/proxy/src/proxy/endpoint_list.rs
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! What discovery tells: the list of endpoints, and invalidations.
+//! Applies updates of the discovery service: the endpoint list and invalidations.
 
 use super::Proxy;
 use crate::net::discovery::{
@@ -12,12 +12,12 @@
 /// The connection to the discovery service.
 pub(super) struct Discovery {
     pub(super) client: DiscoveryClient,
-    /// Since when the service may have kept something back, as the router knows it; none while it is up to date.
+    /// Start of the discovery lag as last reported to the router; `None` while discovery is up to date.
     pub(super) lag_since: Option<Micros>,
 }
 
 impl Proxy {
-    /// Takes in the list that the configuration holds, before the first request.
+    /// Applies the endpoint list of the configuration, before the first request.
     pub(super) fn apply_initial_list(&mut self, now: Micros) {
         let initial = std::mem::take(&mut self.config.initial_list);
         for entry in initial["entries"].as_array().into_iter().flatten() {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes one step with the discovery service, and applies what it told.
+    /// Runs one step of the discovery client and applies its notices.
     pub(super) fn with_discovery(
         &mut self,
         now: Micros,
@@ -41,13 +41,14 @@
         }
         self.update_discovery_lag();
         if any {
-            // What is new to the other proxies goes to them at once.
+            // Changes are sent to the other proxies immediately.
             self.with_fleet(now, |_, _| {});
         }
     }
 
-    /// Tells the router of a lag, behind the updates: until they are applied what may have been kept back holds. Where
-    /// invalidations come from relays, the lease on their subscription stands for them.
+    /// Notifies the router of a changed lag. The event is queued behind the updates, so that a lag holds until the
+    /// updates that end it are applied. If invalidations come from relays, the lease of that subscription is used
+    /// instead.
     fn update_discovery_lag(&mut self) {
         let lag = self.discovery.client.lag_since();
         let since = lag.filter(|_| !self.fleet.subscribes());
@@ -59,7 +60,7 @@
     fn apply_notice(&mut self, notice: Notice, now: Micros) {
         match notice {
             Notice::Event(event) => log_event(&self.log, &event),
-            Notice::Missed(missed) => self.bound_missed_invalidations(missed),
+            Notice::Missed(missed) => self.handle_missed_events(missed),
             Notice::Update(Update::Invalidation {
                 object,
                 group,
@@ -81,16 +82,17 @@
         }
     }
 
-    /// Any object may have been invalidated by what was missed. Where invalidations come from relays, none was missed.
-    fn bound_missed_invalidations(&mut self, missed: MissedEvents) {
-        warn!(self.log, "events of the discovery service missed, copies from before are not served"; "reason" => %missed);
+    /// Handles missed discovery events: any object may have been invalidated by them. If invalidations come from
+    /// relays, none was missed.
+    fn handle_missed_events(&mut self, missed: MissedEvents) {
+        warn!(self.log, "events of the discovery service were missed; older copies are not served"; "reason" => %missed);
         self.metrics.count_missed_events();
         if !self.fleet.subscribes() {
             self.routing.queue(Event::InvalidationsMissed);
         }
     }
 
-    /// The list has changed, or was told as a whole.
+    /// Applies changes of the endpoint list, or a complete list.
     fn update_endpoints(&mut self, complete: bool, records: Vec<EndpointRecord>, now: Micros) {
         info!(self.log, "endpoint list updated"; "complete" => complete, "endpoints" => records.len());
         let records: Vec<EndpointRecord> = records
@@ -109,11 +111,11 @@
         };
         self.routing.queue(Event::EndpointsUpdated(update));
         for id in &ids {
-            self.adopt_shared_endpoint(id);
+            self.apply_shared_endpoint_estimate(id);
         }
     }
 
-    /// Notes the address of an endpoint, and words its entry for the router.
+    /// Stores the address of an endpoint and builds its entry for the router.
     pub(super) fn update_endpoint(&mut self, record: EndpointRecord) -> EndpointEntry {
         let endpoint = self.endpoints.get_or_insert(&record.id);
         if let Some(address) = record.address {
@@ -124,7 +126,7 @@
         }
         let stable = stable_id(&record.id);
         let address = self.endpoints.address(endpoint);
-        // The router's lines name endpoints by their stable ids; here they can be looked up.
+        // The router's log lines contain only the stable id of an endpoint; this line maps it to the id.
         info!(self.log, "endpoint updated"; "status" => ?record.status,
             "address" => address.map(|address| address.host.as_str()), "id" => &record.id, "type" => &record.machine_kind,
             "zone" => &record.zone, "stable_id" => format!("{stable:012x}"));
@@ -141,7 +143,7 @@
     }
 }
 
-/// The index of a name among those of the settings; for any other the highest, which none of them has.
+/// The index of a name in the settings. An unknown name gets the highest index, which no name in the settings has.
 fn name_index(names: &[String], name: &str) -> u8 {
     let index = names.iter().position(|known| known == name);
     index
--- a/crates/proxy/src/proxy/endpoints.rs
+++ b/crates/proxy/src/proxy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery has listed: the index by which the router knows each, its id and its address.
+//! Directory of the endpoints that discovery has listed: the index that the router uses, the id and the address.
 
 use compact_str::CompactString;
 use meadowrill_routing::host::EndpointIndices;
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Where an endpoint is reached.
+/// The address of an endpoint.
 pub(super) struct EndpointAddress {
     pub(super) socket: SocketAddr,
-    /// The same as requests carry it in their head.
+    /// The address as text, for the head of requests.
     pub(super) host: CompactString,
 }
 
-/// Endpoints by index. An index lives from when its endpoint is first listed until the router releases it.
+/// Endpoints by index. An index is valid from the first listing of its endpoint until the router releases it.
 #[derive(Default)]
 pub(super) struct EndpointDirectory {
     indices: EndpointIndices<String>,
@@ -21,7 +21,7 @@
 }
 
 impl EndpointDirectory {
-    /// The index of an endpoint; a new one where it has none.
+    /// Returns the index of an endpoint, and assigns one if it has none.
     pub(super) fn get_or_insert(&mut self, id: &String) -> EndpointIndex {
         self.indices.get_or_insert(id)
     }
@@ -44,7 +44,7 @@
         self.addresses.get(&endpoint)
     }
 
-    /// Forgets an endpoint and frees its index.
+    /// Removes an endpoint and frees its index.
     pub(super) fn release(&mut self, endpoint: EndpointIndex) {
         self.addresses.remove(&endpoint);
         self.indices.release(endpoint);
--- a/crates/proxy/src/proxy/event_loop.rs
+++ b/crates/proxy/src/proxy/event_loop.rs
@@ -1,13 +1,13 @@
 //! The event loop. One round:
 //!
-//! 1. wait until a socket is ready or a timer is due;
-//! 2. read what is ready, in the order of [`Key`]: invalidations and the endpoint list first, so that no request that is
-//!    read after one is served by what stood before; then responses of endpoints, so that no timeout overtakes one that
-//!    is there; then clients;
-//! 3. fire the timers that are due, and accept connections;
-//! 4. hand the events of the round to the router, and carry out its actions (`routing`).
+//! 1. Wait until a socket is ready or a timer is due.
+//! 2. Read what is ready, in the order of [`Key`]. Invalidations and the endpoint list are first, so that no request
+//!    that is read after them is served by outdated state. Responses of endpoints are next, so that no timeout
+//!    overtakes a response that has arrived. Clients follow.
+//! 3. Fire the timers that are due, and accept connections.
+//! 4. Pass the events of the round to the router, and carry out its actions (`routing`).
 //!
-//! A panic ends what was being handled, its connection or its request; the loop goes on.
+//! A panic ends only the connection or request that was being handled; the loop continues.
 
 use super::timers::Timer;
 use super::{Proxy, HOUSEKEEPING_INTERVAL};
@@ -23,15 +23,16 @@
 use std::io;
 use std::time::Duration;
 
-/// Syscalls to the kernel that the library's poller needs in a round: time, re-arming, the wait, its note, re-arming that.
-const LIBRARY_CALLS: u64 = 5;
+/// System calls of calloop's poller in one dispatch: set its timer, re-arm the timer, wait, read its notifier, re-arm
+/// the notifier.
+const CALLOOP_DISPATCH_SYSCALLS: u64 = 5;
 
 impl Proxy {
     /// Runs until a shutdown is complete.
     ///
     /// # Errors
     ///
-    /// Returns the fault of a wait that cannot be repeated.
+    /// Returns the error of a wait that cannot be retried.
     pub(crate) fn run(&mut self, events: &mut EventLoop<'static, ReadyEvents>) -> io::Result<()> {
         let mut ready = Vec::new();
         while !self.is_finished() {
@@ -41,10 +42,10 @@
             self.dispatch_events(now);
         }
         if let Some(writer) = self.write_snapshot(self.clock.now()) {
-            // A panic there was logged by its hook.
+            // A panic of the writer thread was logged by the panic hook.
             let _ = writer.join();
         }
-        info!(self.log, "ended");
+        info!(self.log, "proxy stopped");
         Ok(())
     }
 
@@ -58,13 +59,13 @@
         let admission = self.admission.controller.next_deadline();
         let next = [timer, admission].into_iter().flatten().min();
         let next = next.map_or(HOUSEKEEPING_INTERVAL, |at| at - self.clock.now());
-        let pause = if self.has_work() {
+        let pause = if self.has_pending_work() {
             0
         } else {
             next.max(0) as u64
         };
         if self.poll.wait(Duration::from_micros(pause), ready)? {
-            increment(&self.poll.syscalls.waits, LIBRARY_CALLS);
+            increment(&self.poll.syscalls.waits, CALLOOP_DISPATCH_SYSCALLS);
             events
                 .dispatch(Some(Duration::ZERO), ready)
                 .map_err(io::Error::other)?;
@@ -72,22 +73,22 @@
         Ok(())
     }
 
-    /// Whether something is left over from the last round.
-    fn has_work(&self) -> bool {
+    /// Whether work from the last round is pending.
+    fn has_pending_work(&self) -> bool {
         self.routing.has_events()
             || self.requests.any_maybe_finished()
             || self.downstream.clients.has_unread()
             || self.fleet.has_input()
     }
 
-    /// Handles all that is ready, and the timers that are due.
+    /// Handles all ready event sources and all due timers.
     pub(super) fn handle_ready(&mut self, ready: &mut ReadyEvents, now: Micros) {
-        self.add_leftovers(ready);
+        self.add_deferred_reads(ready);
         ready.sort_unstable_by_key(|(key, _)| *key);
         for (key, readiness) in ready.drain(..) {
             if let Err(panic) = catch_panic(|| self.handle_source(key, readiness, now)) {
-                error!(self.log, "panic at a connection"; "key" => ?key, "text" => %panic);
-                self.drop_source(key, now);
+                error!(self.log, "panic while handling an event source"; "key" => ?key, "text" => %panic);
+                self.disconnect_source(key, now);
             }
         }
         let rest = catch_panic(|| {
@@ -98,12 +99,12 @@
             self.poll_admission(now);
         });
         if let Err(panic) = rest {
-            error!(self.log, "panic in a round"; "text" => %panic);
+            error!(self.log, "panic in an event loop round"; "text" => %panic);
         }
     }
 
-    /// Adds what was left unread in the last round.
-    fn add_leftovers(&mut self, ready: &mut ReadyEvents) {
+    /// Adds the connections that were not fully read in the last round.
+    fn add_deferred_reads(&mut self, ready: &mut ReadyEvents) {
         if self.has_buffer_room() {
             let resumed = std::mem::take(&mut self.upstream.paused_reads);
             ready.extend(resumed.into_iter().map(|key| (key, Readiness::EMPTY)));
@@ -142,12 +143,13 @@
                     operators.accept(&mut self.poll);
                 }
             }
-            Key::Operator(number) => self.answer_operator(number, now),
+            Key::Operator(number) => self.handle_operator(number, now),
             Key::Discovery(_) => self.with_discovery(now, |client, poll, notices| {
                 client.handle_ready(key, ready, now, poll, notices);
             }),
             Key::Endpoint(number) => self.read_endpoint(number, ready, now),
-            // Each is dealt with before the next is read: together they could hold more than there is.
+            // The requests of each client are handled before the next client is read: unhandled requests of all clients
+            // together could exceed the buffer limit.
             Key::Client(number) => {
                 let clients = &mut self.downstream.clients;
                 clients.handle_ready(number, ready, now, &mut self.poll);
@@ -156,8 +158,8 @@
         }
     }
 
-    /// An endpoint's connection is ready. Without room its response stays with the kernel until others have left:
-    /// memory is bounded, while requests go on being written and timeouts go on.
+    /// Handles an endpoint connection that is ready. Without buffer room its response stays in the kernel until other
+    /// responses have been sent. This bounds memory, while requests are still written and timeouts still fire.
     fn read_endpoint(&mut self, number: u64, ready: Readiness, now: Micros) {
         let room = self.has_buffer_room();
         if !room {
@@ -168,8 +170,8 @@
         self.collect_attempt_events(now);
     }
 
-    /// Drops a connection at which there was a panic.
-    fn drop_source(&mut self, key: Key, now: Micros) {
+    /// Closes a connection whose handling panicked.
+    fn disconnect_source(&mut self, key: Key, now: Micros) {
         match key {
             Key::Client(number) => self.downstream.clients.disconnect(number, &self.poll),
             Key::Endpoint(number) => self.upstream.connections.fail_panicked(number, &self.poll),
@@ -183,7 +185,7 @@
                 }
             }
             Key::Stream(number) => self.with_fleet(now, |peers: &mut Peers, poll| {
-                // What was left for it is found by the next comparison.
+                // The next comparison with the peer recovers unsent messages.
                 peers.streams.close(number, poll);
             }),
             Key::Listener
@@ -201,7 +203,7 @@
             match timer {
                 Timer::Router(timer) => self.routing.queue(Event::TimerFired { timer }),
                 Timer::AttemptTimeout(attempt) => self.fail_attempt(attempt, Cause::TimedOut),
-                Timer::ConnectTimeout(attempt) => self.connect_timed_out(attempt),
+                Timer::ConnectTimeout(attempt) => self.handle_connect_timeout(attempt),
                 Timer::Housekeeping => self.housekeeping(now),
                 Timer::AdmissionReport => {
                     report::admission::log(&self.log, &self.admission.controller.report());
@@ -214,7 +216,7 @@
         self.collect_attempt_events(now);
     }
 
-    /// What is done regularly.
+    /// Runs the periodic tasks.
     fn housekeeping(&mut self, now: Micros) {
         self.downstream.accept_pending = true;
         self.upstream.connections.close_expired(now, &self.poll);
--- a/crates/proxy/src/proxy/membership.rs
+++ b/crates/proxy/src/proxy/membership.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet in the loop: when it is polled, and what is logged of its changes. Nothing of this runs without
-//! `fleet { ... }` in the settings.
+//! Fleet membership in the event loop: the timer of the membership view, and log lines for its changes. It is active
+//! only with `fleet { ... }` in the settings.
 
 use super::timers::Timer;
 use super::Proxy;
@@ -13,13 +13,13 @@
 use meadowrill_routing::interface::Micros;
 use slog::{error, info, warn, Logger};
 
-/// The other proxies of the fleet, and what depends on them.
+/// The exchange with the other proxies of the fleet, and the state that depends on it.
 pub(super) struct Fleet {
-    /// The exchange with them; none without a fleet in the settings.
+    /// `None` without a fleet in the settings.
     pub(super) peers: Option<Peers>,
-    /// When it is to be polled next, as the timer is set.
+    /// The time for which the fleet timer is set.
     pub(super) wake_at: Micros,
-    /// Which copies may be served, as the router knows it; none before the first bound, and without a subscription.
+    /// The freshness bound last passed to the router; `None` before the first bound, and without a subscription.
     pub(super) freshness_bound: Option<FreshnessBound>,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The replica of the shared state, where the settings ask for one.
+    /// The replica of the shared state, if the settings enable it.
     pub(super) fn replica(&self) -> Option<&Replica> {
         self.peers.as_ref()?.replica.as_ref()
     }
@@ -41,7 +41,7 @@
         self.replica().is_some()
     }
 
-    /// The subscription to relays, where the settings name some.
+    /// The subscription to relays, if the settings name relays.
     pub(super) fn subscription(&self) -> Option<&Subscription> {
         self.peers.as_ref()?.subscription.as_ref()
     }
@@ -54,19 +54,19 @@
         self.subscription().is_some()
     }
 
-    /// Whether datagrams wait to be read.
+    /// Whether unread datagrams are waiting.
     pub(super) fn has_input(&self) -> bool {
         self.peers.as_ref().is_some_and(Peers::has_unread_datagrams)
     }
 
-    /// Whether this proxy is no longer, or never was, a member.
+    /// Whether this proxy has left the fleet, or has never been a member.
     pub(super) fn has_left(&self) -> bool {
         self.peers.as_ref().is_none_or(Peers::has_left)
     }
 }
 
 impl Proxy {
-    /// Takes one step with the other proxies, and carries out what comes of it.
+    /// Runs one step of the exchange with the other proxies, carries out its results and sets the fleet timer.
     pub(super) fn with_fleet(&mut self, now: Micros, step: impl FnOnce(&mut Peers, &mut Poll)) {
         let Some(peers) = &mut self.fleet.peers else {
             return;
@@ -76,7 +76,7 @@
             log_change(&self.log, change);
         }
         self.perform_subscription_outputs(now);
-        self.perform_replica_effects(now);
+        self.perform_replica_actions(now);
         let Some(peers) = &self.fleet.peers else {
             return;
         };
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A timer of the fleet fired. One that was set for a moment which is no longer the next is passed over.
+    /// Handles a fleet timer. A timer that was set for a time other than the current wake time is ignored.
     pub(super) fn fleet_timer_fired(&mut self, at: Micros, now: Micros) {
         if at == self.fleet.wake_at {
             self.fleet.wake_at = 0;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Texts and fields are matched by the checks of `crates/fault-injection`.
+/// Logs a change of the membership. Texts and fields are matched by the checks and scripts of `crates/fault-injection`.
 fn log_change(log: &Logger, change: Change) {
     match change {
         Change::MemberChanged {
@@ -112,16 +112,20 @@
             info!(log, "member"; "who" => name, "from" => from, "to" => to.name(), "why" => source.name(), "by" => accuser,
                 "start" => start, "incarnation" => incarnation);
         }
-        Change::BodyReplaced { name } => info!(log, "member says more of itself"; "who" => name),
+        Change::BodyReplaced { name } => {
+            info!(log, "member replaced its published body"; "who" => name)
+        }
         Change::Forgotten { name } => info!(log, "member forgotten"; "who" => name),
-        Change::Refuted { accuser } => warn!(log, "was held to fail, spoke up"; "by" => accuser),
+        Change::Refuted { accuser } => {
+            warn!(log, "refuted a claim that this proxy had failed"; "by" => accuser)
+        }
         Change::ProcessPaused { duration } => warn!(log, "was away"; "us" => duration),
         Change::Joined => info!(log, "joined the fleet"),
         Change::StartAdvanced { start } => {
-            warn!(log, "went past another start of its name"; "start" => start)
+            warn!(log, "adopted a later start than another process of this name"; "start" => start)
         }
         Change::Withdrawn { other_address } => {
-            error!(log, "another front of this name is there and started later: this one leaves the fleet"; "at" => other_address);
+            error!(log, "another front of this name is alive; this proxy leaves the fleet"; "at" => other_address);
         }
         Change::DepartureCompleted { confirmations } => {
             info!(log, "left the fleet"; "confirmed" => confirmations)
--- a/crates/proxy/src/proxy/operators.rs
+++ b/crates/proxy/src/proxy/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are answered on their socket, by the word that they send.
+//! Commands that operators send on the operator socket, and the answers to them.
 
 use super::availability::Availability;
 use super::membership::Fleet;
@@ -12,16 +12,16 @@
 use meadowrill_replication::replica::Replica;
 use meadowrill_routing::interface::Micros;
 
-/// The operators' socket, and what a benchmark's build adds.
+/// The operator socket, and the additional counters of a benchmark build.
 pub(super) struct OperatorInterface {
-    /// None without a socket in the settings.
+    /// `None` without a socket in the settings.
     pub(super) operators: Option<Operators>,
-    /// Further counts of a benchmark's build.
+    /// Returns the additional counters of a benchmark build.
     pub(super) benchmark_counts: Option<fn() -> String>,
 }
 
-/// What answers are made of.
-struct Answers<'a> {
+/// The state from which commands are answered.
+struct CommandContext<'a> {
     admission: &'a AdmissionController,
     metrics: &'a Metrics,
     availability: &'a Availability,
@@ -33,9 +33,9 @@
 }
 
 impl Proxy {
-    /// Reads from an operator's connection, and answers once the word is there.
-    pub(super) fn answer_operator(&mut self, number: u64, now: Micros) {
-        let answers = Answers {
+    /// Reads from an operator's connection, and answers once the command is complete.
+    pub(super) fn handle_operator(&mut self, number: u64, now: Micros) {
+        let context = CommandContext {
             admission: &self.admission.controller,
             metrics: &self.metrics,
             availability: &self.availability,
@@ -46,7 +46,7 @@
             now,
         };
         if let Some(operators) = &mut self.operators.operators {
-            operators.handle_ready(number, &self.poll, |word| answers.answer(word));
+            operators.handle_ready(number, &self.poll, |command| context.answer(command));
         }
     }
 
@@ -59,10 +59,10 @@
     }
 }
 
-impl Answers<'_> {
-    fn answer(&self, word: &str) -> String {
+impl CommandContext<'_> {
+    fn answer(&self, command: &str) -> String {
         let (now, peers) = (self.now, self.fleet.peers.as_ref());
-        match word {
+        match command {
             "turns" => report::admission::table(&self.admission.report()),
             "metrics" => self.metrics.encode(&self.metric_sources(), now),
             "fleet events" => events_report(peers, |events| events.table(now)),
@@ -70,7 +70,7 @@
             "fleet" => fleet_report(peers, |peers| report::fleet::table(peers.view(), now)),
             "fleet json" => fleet_report(peers, |peers| report::fleet::json(peers.view(), now)),
             "counts" => self.counts(),
-            _ => match word.strip_prefix("fleet ") {
+            _ => match command.strip_prefix("fleet ") {
                 Some(part) => replica_report(self.fleet.replica(), part, now),
                 None => "turns, metrics, fleet or counts\n".to_string(),
             },
@@ -87,10 +87,10 @@
     }
 
     fn counts(&self) -> String {
-        let further = self
+        let extra_counters = self
             .benchmark_counts
             .map_or(String::new(), |counts| counts());
-        format!("{}{further}", self.syscalls.report())
+        format!("{}{extra_counters}", self.syscalls.report())
     }
 }
 
@@ -111,7 +111,8 @@
     }
 }
 
-/// A part of the shared state: `state`, `state json`, `entries`, or `ledger` with the key of an effect.
+/// Reports a part of the shared state: `state`, `state json`, `entries`, or `ledger` with an idempotency key and its
+/// class.
 fn replica_report(replica: Option<&Replica>, part: &str, now: Micros) -> String {
     let Some(replica) = replica else {
         return "no fleet { replica { } } in the settings\n".to_string();
--- a/crates/proxy/src/proxy/outcomes.rs
+++ b/crates/proxy/src/proxy/outcomes.rs
@@ -1,4 +1,5 @@
-//! Attempts that have ended: what the router is told of each, and the response that a client gets of the first success.
+//! Handles attempts that have ended: each outcome is reported to the router, and the first success is sent to the
+//! client as the response.
 
 use super::response::Response;
 use super::Proxy;
@@ -10,23 +11,24 @@
 use meadowrill_routing::interface::{AttemptEnd, AttemptOutcome, CacheStatus, Event, Micros};
 use slog::debug;
 
-/// Status of a response that says that the client's own copy is current.
+/// Status of a response that confirms that the client's own copy is current.
 const NOT_MODIFIED: u16 = 304;
 
 impl Proxy {
-    /// Handles attempts that have ended, and those whose connection has come up.
+    /// Handles attempts that have ended, and attempts whose connection has been established.
     pub(super) fn collect_attempt_events(&mut self, now: Micros) {
         let mut ended = std::mem::take(&mut self.upstream.ended);
         self.upstream.connections.take_ended(&mut ended);
         for attempt in ended.drain(..) {
-            self.attempt_ended(&attempt, now);
-            // Only now may the body's place be used again.
+            self.handle_attempt_end(&attempt, now);
+            // The buffer of the body may be reused only from now on.
             self.upstream
                 .connections
                 .release(attempt.connection, now, &self.poll);
         }
         self.upstream.ended = ended;
-        // Decided upon again now that they can be written: the list, purges, a limit or the client may have moved on.
+        // The router has to confirm attempts that can now be written: the endpoint list, purges, a limit or the client
+        // may have changed since its decision.
         let mut connected = std::mem::take(&mut self.upstream.connected);
         self.upstream.connections.take_connected(&mut connected);
         for attempt in connected.drain(..) {
@@ -38,8 +40,8 @@
         self.upstream.connected = connected;
     }
 
-    /// An attempt has ended: its outcome is recorded; the first success of a request is its response.
-    fn attempt_ended(&mut self, ended: &EndedAttempt, now: Micros) {
+    /// Records the outcome of an attempt that has ended. The first success of a request becomes its response.
+    fn handle_attempt_end(&mut self, ended: &EndedAttempt, now: Micros) {
         let id = ended.attempt.request;
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -58,9 +60,9 @@
             Ok(_) => {}
             Err(fault) => self.log_failed(ended, fault, now),
         }
-        let mut end = self.describe_end(ended, outcome, now);
+        let mut end = self.describe_attempt_end(ended, outcome, now);
         if let (Ok(head), AttemptOutcome::Success) = (&ended.result, outcome) {
-            self.respond_with(ended, head, &end, now);
+            self.respond_with_success(ended, head, &end, now);
         }
         if let Some(request) = self.requests.get_mut(id) {
             request.ended_attempt_may_have_run |= outcome.may_have_run();
@@ -76,11 +78,11 @@
             .get(id)
             .is_none_or(|request| !request.awaits_response);
         self.routing.queue(Event::AttemptEnded(end));
-        self.requests.note_maybe_finished(id);
+        self.requests.mark_maybe_finished(id);
     }
 
-    /// What the router is told of the end of an attempt; not yet whether its request is finished.
-    fn describe_end(
+    /// Describes the end of an attempt for the router. Whether its request is finished is set later.
+    fn describe_attempt_end(
         &self,
         ended: &EndedAttempt,
         outcome: AttemptOutcome,
@@ -107,8 +109,8 @@
         end
     }
 
-    /// A success is the response of its request, if the client still waits; the ledger is told the result.
-    fn respond_with(
+    /// Sends a success as the response to its request, if the client still waits, and passes the result to the ledger.
+    fn respond_with_success(
         &mut self,
         ended: &EndedAttempt,
         head: &http::Response,
@@ -119,7 +121,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        // An endpoint that does not tell a cache status counts as one that had it cached.
+        // An endpoint that reports no cache status is assumed to have had the part cached.
         let hit = matches!(end.cache_status, CacheStatus::Hit | CacheStatus::Unknown);
         request.completion = Completion {
             succeeded: true,
@@ -136,7 +138,7 @@
                 .to_vec();
             self.end_claim(id, Some((current, body)), now);
         }
-        if let Some(recipient) = self.end_wait(id, now) {
+        if let Some(recipient) = self.complete_request(id, now) {
             let body = self
                 .upstream
                 .connections
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -1,4 +1,5 @@
-//! Reload: a new configuration takes effect at once where it can change under way, all or nothing.
+//! Reloads the configuration. Settings that can change at run time take effect immediately. A configuration is applied
+//! completely or not at all.
 
 use super::Proxy;
 use crate::frame;
@@ -8,7 +9,7 @@
 use slog::{error, info, warn};
 
 impl Proxy {
-    /// Reads the configuration again. A faulty one changes nothing.
+    /// Reads the configuration again. An invalid configuration changes nothing.
     pub(super) fn reload(&mut self, now: Micros) {
         let new = match self.config.read_again() {
             Ok(new) => new,
@@ -41,8 +42,8 @@
         self.admission.identities = IdentityResolver::new(settings, self.config.seed);
     }
 
-    /// Applies the settings of operators that are kept outside admission control: which fields of a request name tenant
-    /// and client, and when the next report is due.
+    /// Applies the operator settings that are stored outside admission control: the request fields that name the tenant
+    /// and the client, and the time of the next report.
     pub(super) fn apply_operator_settings(&mut self, now: Micros) {
         let AdmissionConfig {
             tenant_field,
--- a/crates/proxy/src/proxy/routing.rs
+++ b/crates/proxy/src/proxy/routing.rs
@@ -1,8 +1,8 @@
-//! The router in the loop: events wait for the end of a round, are handled in one batch, and the actions that come back
-//! are carried out in order.
+//! The router in the event loop: events are queued until the end of a round and handled in one batch, and the resulting
+//! actions are carried out in order.
 //!
-//! Two events are handled at once, ahead of what waits: a purge, which must be in force before it is acknowledged, and
-//! the bound on the age of copies. Their actions are carried out with the next batch.
+//! Two events are handled immediately, ahead of queued events: a purge, which must be in force before it is
+//! acknowledged, and the freshness bound. Their actions are carried out with the next batch.
 
 use super::response::Response;
 use super::timers::Timer;
@@ -15,17 +15,17 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The router, what waits for it, and what it asked for and was not done yet.
+/// The router, the events queued for it, and its actions that have not been carried out yet.
 pub(super) struct RouterQueue {
     router: Router,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// An empty buffer to swap with `events`.
+    /// Empty buffer that is swapped with `events`.
     spare_events: Vec<Event>,
 }
 
 impl RouterQueue {
-    /// `actions` is what the router asked for at its start.
+    /// `actions` are the actions that the router requested when it was created.
     pub(super) fn new(router: Router, actions: Vec<Action>) -> RouterQueue {
         RouterQueue {
             router,
@@ -44,18 +44,22 @@
         !self.events.is_empty()
     }
 
-    /// Handles one event ahead of all that wait.
+    /// Handles one event ahead of all queued events.
     ///
     /// # Errors
     ///
-    /// Returns the panic of the router, if there was one: the event may not be in force.
-    pub(super) fn handle_at_once(&mut self, now: Micros, event: Event) -> Result<(), CaughtPanic> {
+    /// Returns the panic of the router. The event may not be in force then.
+    pub(super) fn handle_immediately(
+        &mut self,
+        now: Micros,
+        event: Event,
+    ) -> Result<(), CaughtPanic> {
         let (router, actions) = (&mut self.router, &mut self.actions);
         catch_panic(|| router.handle_event(now, event, actions))
     }
 
-    /// Hands all events that wait to the router. Calls `failed` for each at which it panicked, with the request that
-    /// the event ends or begins.
+    /// Passes all queued events to the router. Calls `failed` for each event at which the router panicked, with the
+    /// request whose arrival or attempt end the event reports.
     fn handle_all(&mut self, now: Micros, mut failed: impl FnMut(CaughtPanic, Option<u32>)) {
         let spare = std::mem::take(&mut self.spare_events);
         let mut events = std::mem::replace(&mut self.events, spare);
@@ -65,7 +69,7 @@
                 Event::AttemptEnded(end) => Some(end.id),
                 _ => None,
             };
-            if let Err(panic) = self.handle_at_once(now, event) {
+            if let Err(panic) = self.handle_immediately(now, event) {
                 failed(panic, request);
             }
         }
@@ -74,14 +78,14 @@
 }
 
 impl Proxy {
-    /// Ends a round: hands the events to the router, carries out its actions, and deals with what came of them.
+    /// Ends a round: passes the events to the router, carries out its actions and handles their results.
     pub(super) fn dispatch_events(&mut self, now: Micros) {
         self.update_freshness_bound(now);
         let finished = self.requests.take_maybe_finished();
         let mut failed = Vec::new();
         let log = &self.log;
         self.routing.handle_all(now, |panic, request| {
-            error!(log, "panic in the decisions"; "text" => %panic);
+            error!(log, "panic in the router"; "text" => %panic);
             failed.extend(request);
         });
         self.perform_actions(now, &mut failed);
@@ -95,12 +99,12 @@
         }
         self.requests.recycle(finished);
         self.handle_client_events(now);
-        // Capacity that has come free is given on at once.
+        // Capacity that has become free is given to queued requests in the same round.
         self.poll_admission(now);
         self.downstream.clients.flush(now, &self.poll);
     }
 
-    /// Carries out what the router asked for. The requests of actions that panicked are added to `failed`.
+    /// Carries out the actions of the router. The requests of actions that panicked are added to `failed`.
     fn perform_actions(&mut self, now: Micros, failed: &mut Vec<u32>) {
         let mut actions = std::mem::take(&mut self.routing.actions);
         for action in actions.drain(..) {
@@ -111,11 +115,11 @@
                 _ => None,
             };
             if let Err(panic) = catch_panic(|| self.perform_action(action, now)) {
-                error!(self.log, "panic at an action"; "text" => %panic);
+                error!(self.log, "panic while carrying out an action of the router"; "text" => %panic);
                 failed.extend(request);
             }
         }
-        // What was decided at once meanwhile is carried out in the next round.
+        // Actions from events that were handled immediately in the meantime are carried out in the next round.
         actions.append(&mut self.routing.actions);
         self.routing.actions = actions;
     }
@@ -143,11 +147,11 @@
                 self.upstream.connections.close_idle(endpoint, &self.poll);
                 self.endpoints.release(endpoint);
             }
-            Action::Log(event) => self.log_decision(event),
+            Action::Log(event) => self.log_router_event(event),
         }
     }
 
-    /// Rejects a request for which the router has no attempt to make, or none left.
+    /// Rejects a request for which the router can start no attempt, or no further attempt.
     fn reject_by_router(&mut self, id: u32, retry_after: Micros, now: Micros) {
         self.metrics.count_router_rejection();
         if let Some(request) = self.requests.get(id) {
@@ -160,24 +164,24 @@
         self.reject_request(id, retry_after, now);
     }
 
-    /// Words what the router has to say to an operator.
-    fn log_decision(&self, event: LogEvent) {
+    /// Logs an event of the router for operators.
+    fn log_router_event(&self, event: LogEvent) {
         let endpoint = |stable_id: u64| format!("{stable_id:012x}");
         match event {
             LogEvent::EndpointLimitCut { stable_id, limit } => {
-                info!(self.log, "concurrency limit of an endpoint cut"; "stable_id" => endpoint(stable_id), "limit" => limit)
+                info!(self.log, "concurrency limit of an endpoint reduced"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
             LogEvent::ParentLimitCut { stable_id, limit } => {
-                info!(self.log, "concurrency limit of a parent cut"; "stable_id" => endpoint(stable_id), "limit" => limit)
+                info!(self.log, "concurrency limit of a parent reduced"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
             LogEvent::FillLimitCut { limit } => {
-                info!(self.log, "limit on fills cut"; "limit" => limit)
+                info!(self.log, "limit on fills reduced"; "limit" => limit)
             }
             LogEvent::FetchLimitCut { limit } => {
-                info!(self.log, "limit on fetches cut"; "limit" => limit)
+                info!(self.log, "limit on fetches reduced"; "limit" => limit)
             }
             LogEvent::EndpointUnreachable { stable_id } => {
-                info!(self.log, "endpoint unreachable, treated as warming up"; "stable_id" => endpoint(stable_id))
+                info!(self.log, "endpoint is unreachable and treated as warming up"; "stable_id" => endpoint(stable_id))
             }
         }
     }
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -1,5 +1,6 @@
-//! The state that proxies share, in the loop: what others heard of invalidations and endpoints counts as told, and what
-//! they learned is handed to the router. Nothing of this runs without `fleet { replica { ... } }` in the settings.
+//! Shared state in the event loop: invalidations and endpoints that other proxies received are applied as if this proxy
+//! had received them, and estimates of other proxies are passed to the router. It is active only with
+//! `fleet { replica { ... } }` in the settings.
 
 use super::Proxy;
 use crate::net::discovery::EndpointRecord;
@@ -11,8 +12,8 @@
 use slog::{info, warn};
 
 impl Proxy {
-    /// Carries out what the replica asks for.
-    pub(super) fn perform_replica_effects(&mut self, now: Micros) {
+    /// Carries out the actions of the replica.
+    pub(super) fn perform_replica_actions(&mut self, now: Micros) {
         let Some(peers) = &mut self.fleet.peers else {
             return;
         };
@@ -23,8 +24,8 @@
             self.metrics
                 .observe_replication_lag(kind.name(), lag as f64 / 1e6);
         }
-        for effect in peers.take_replica_actions() {
-            match effect {
+        for action in peers.take_replica_actions() {
+            match action {
                 Action::Decision(decision) => self.apply_claim_decision(decision, now),
                 Action::Purge {
                     object,
@@ -41,9 +42,9 @@
                     phase,
                     endpoint,
                 } => self.apply_shared_endpoint(&id, started_at, phase, &endpoint),
-                Action::UseObservations { subject } => self.adopt_observation(&subject),
+                Action::UseObservations { subject } => self.apply_shared_estimate(&subject),
                 Action::Log(event) => self.handle_replica_event(event),
-                // These have gone to other proxies already.
+                // The exchange with the other proxies has already sent these.
                 Action::SendDatagram { .. } | Action::SendStream { .. } => {}
             }
         }
@@ -65,19 +66,19 @@
                     .map(|replica| replica.observed_subjects())
                     .unwrap_or_default();
                 all.iter()
-                    .for_each(|subject| self.adopt_observation(subject));
+                    .for_each(|subject| self.apply_shared_estimate(subject));
             }
             LogEvent::DonorReplaced { former, next } => {
-                warn!(log, "nothing from a donor"; "who" => former, "next" => next);
+                warn!(log, "donor failed or stalled; requesting from the next"; "who" => former, "next" => next);
             }
             LogEvent::VotingStarted { elapsed } => {
-                info!(log, "vouches for effects"; "took_us" => elapsed)
+                info!(log, "started voting on ledger claims"; "took_us" => elapsed)
             }
         }
     }
 
-    /// Hands the router what others have observed of an object or an endpoint.
-    fn adopt_observation(&mut self, subject: &[u8]) {
+    /// Passes the shared estimate of an object or an endpoint to the router.
+    fn apply_shared_estimate(&mut self, subject: &[u8]) {
         let replica = self.fleet.replica();
         let Some(estimate) = replica.and_then(|replica| replica.shared_estimate(subject)) else {
             return;
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Hands the router what others have observed of an endpoint that has just come into the list.
-    pub(super) fn adopt_shared_endpoint(&mut self, id: &str) {
+    /// Passes the shared estimate of an endpoint that has just been listed to the router.
+    pub(super) fn apply_shared_endpoint_estimate(&mut self, id: &str) {
         if self.fleet.shares_state() {
-            self.adopt_observation(&endpoint_subject(id));
+            self.apply_shared_estimate(&endpoint_subject(id));
         }
     }
 
-    /// Another proxy was told by discovery how an endpoint stands: that counts as told here as well.
+    /// Applies the state of an endpoint that another proxy received from discovery, as if this proxy had received it.
     fn apply_shared_endpoint(
         &mut self,
         id: &str,
@@ -118,7 +119,7 @@
         phase: EndpointPhase,
         info: &records::EndpointInfo,
     ) {
-        let status = status_of_phase(phase);
+        let status = phase_to_status(phase);
         let record = EndpointRecord {
             id: id.to_string(),
             address: info.address.parse().ok(),
@@ -137,7 +138,8 @@
         self.routing.queue(Event::EndpointsUpdated(update));
     }
 
-    /// Shares what discovery tells of an endpoint. Returns it with the later status, where others know of one.
+    /// Shares a discovery record of an endpoint with the other proxies. Returns the record with the shared status,
+    /// which is later if another proxy knows a later one.
     pub(super) fn share_endpoint(
         &mut self,
         mut record: EndpointRecord,
@@ -153,18 +155,19 @@
             cell: u32::from(record.cell),
             size: record.weight,
         };
-        let phase = phase_of_status(record.status);
+        let phase = status_to_phase(record.status);
         peers.with_replica(|replica, _| {
             replica.publish_endpoint(now, &record.id, record.started_at, phase, &info);
             let shared = replica.endpoint_phase(&record.id);
             if let Some((_, phase)) = shared.filter(|(start, _)| *start == record.started_at) {
-                record.status = status_of_phase(phase);
+                record.status = phase_to_status(phase);
             }
         });
         record
     }
 
-    /// Shares an invalidation of discovery; but where invalidations come from relays, that is their only way.
+    /// Shares an invalidation of discovery with the other proxies. If invalidations come from relays, they are
+    /// distributed by the relays only.
     pub(super) fn share_purge(
         &mut self,
         object: Option<u64>,
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Records which part an admitted request asks for, and for which tenant.
+    /// Records the requested part and the tenant of an admitted request.
     pub(super) fn record_request(&mut self, id: u32, now: Micros) {
         let (Some(request), Some(peers)) = (self.requests.get(id), &mut self.fleet.peers) else {
             return;
@@ -190,7 +193,7 @@
         });
     }
 
-    /// Records how an attempt ended, for the other proxies.
+    /// Records the end of an attempt for the other proxies.
     pub(super) fn record_attempt_end(&mut self, end: &AttemptEnd) {
         let request = self.requests.get(end.id);
         let source = request.and_then(|r| r.sources.get(usize::from(end.attempt)).copied());
@@ -199,7 +202,7 @@
             return;
         };
         let endpoint = self.endpoints.id(end.endpoint);
-        // Coarser than the router's fault attribution: only a proxy that has just started takes these figures over.
+        // Coarser than the router's fault attribution: only a proxy that has just started adopts these figures.
         let failed = !matches!(
             end.outcome,
             AttemptOutcome::Success | AttemptOutcome::Miss | AttemptOutcome::Cancelled
@@ -212,7 +215,7 @@
     }
 }
 
-fn status_of_phase(phase: EndpointPhase) -> EndpointStatus {
+fn phase_to_status(phase: EndpointPhase) -> EndpointStatus {
     match phase {
         EndpointPhase::Ready => EndpointStatus::Ready,
         EndpointPhase::Draining => EndpointStatus::Draining,
@@ -220,7 +223,7 @@
     }
 }
 
-fn phase_of_status(status: EndpointStatus) -> EndpointPhase {
+fn status_to_phase(status: EndpointStatus) -> EndpointPhase {
     match status {
         EndpointStatus::Ready => EndpointPhase::Ready,
         EndpointStatus::Draining => EndpointPhase::Draining,
--- a/crates/proxy/src/proxy/shutdown.rs
+++ b/crates/proxy/src/proxy/shutdown.rs
@@ -1,10 +1,11 @@
 //! Graceful shutdown, as a state machine:
 //!
 //! 1. *Serving*, until a signal.
-//! 2. *Lingering*: not ready, and the fleet is told that this proxy leaves; connections and requests are still taken.
-//! 3. *Closed*, after [`LINGER`]: no connection and nothing new on one is taken.
-//! 4. *Drained*: the last request is done. Clients have [`LAST_RESPONSES`] to read what was written to them; then, or
-//!    once none is left, the process ends.
+//! 2. *Lingering*: the proxy reports that it is not ready and announces to the fleet that it is leaving. It still
+//!    accepts connections and requests.
+//! 3. *Closed*, after [`LINGER_PERIOD`]: new connections and requests are not accepted.
+//! 4. *Drained*: the last request has finished. Clients have [`FINAL_RESPONSE_TIMEOUT`] to read their responses. The
+//!    process ends after that time, or when the last client connection is closed.
 
 use super::timers::Timer;
 use super::{Proxy, HOUSEKEEPING_INTERVAL};
@@ -12,25 +13,26 @@
 use meadowrill_routing::interface::Micros;
 use slog::info;
 
-/// How long after the signal connections and requests may still come in (the platform says 0.6 s).
-const LINGER: Micros = 700_000;
-/// How long last responses are left to be read by slow clients: connections that drain are left their time.
-const LAST_RESPONSES: Micros = DRAIN_TIMEOUT + HOUSEKEEPING_INTERVAL;
+/// How long after the signal connections and requests are still accepted. The platform specifies 0.6 s.
+const LINGER_PERIOD: Micros = 700_000;
+/// How long slow clients may take to read their last responses: draining connections get their full time.
+const FINAL_RESPONSE_TIMEOUT: Micros = DRAIN_TIMEOUT + HOUSEKEEPING_INTERVAL;
 
-/// How far the shutdown has come.
+/// State of the shutdown.
 #[derive(Default)]
 pub(super) struct Shutdown {
-    /// A signal asked for it.
+    /// Whether a signal has requested the shutdown.
     pub(super) begun: bool,
-    /// When the last request was done with, once nothing new is taken.
+    /// When the last request finished, once no new requests are accepted.
     drained_at: Option<Micros>,
 }
 
 impl Proxy {
-    /// A signal asks the process to end. Further signals change nothing.
+    /// Begins the shutdown on a signal. Further signals have no effect.
     ///
-    /// The fleet is told at once, while this proxy still serves: others probe it no more, and may take over a claim that
-    /// it has open at the ledger where a client sends the request again. Endpoints drop repeats of a key within its window.
+    /// The fleet is notified immediately, while this proxy still serves. Other proxies stop probing it, and may take
+    /// over a claim that it still holds at the ledger if a client resends the request. Endpoints drop repeats of an
+    /// idempotency key within its deduplication window.
     pub(super) fn begin_shutdown(&mut self, now: Micros) {
         if self.shutdown.begun {
             return;
@@ -39,10 +41,10 @@
         self.shutdown.begun = true;
         self.downstream.clients.ready = false;
         self.with_fleet(now, |peers, poll| peers.leave(now, poll));
-        self.timers.set(now + LINGER, Timer::Shutdown);
+        self.timers.set(now + LINGER_PERIOD, Timer::Shutdown);
     }
 
-    /// Takes nothing new from here on. Clients that got as far as the kernel were accepted by it: they are taken in first.
+    /// Stops accepting connections and requests. Connections that the kernel has already accepted are accepted first.
     pub(super) fn stop_accepting(&mut self, now: Micros) {
         self.accept_clients(now);
         if let Some((_, token)) = self.downstream.listener.take() {
@@ -62,9 +64,10 @@
             return false;
         }
         let drained_at = *self.shutdown.drained_at.get_or_insert_with(|| {
-            self.timers.set(now + LAST_RESPONSES, Timer::Shutdown);
+            self.timers
+                .set(now + FINAL_RESPONSE_TIMEOUT, Timer::Shutdown);
             now
         });
-        self.downstream.clients.is_empty() || now >= drained_at + LAST_RESPONSES
+        self.downstream.clients.is_empty() || now >= drained_at + FINAL_RESPONSE_TIMEOUT
     }
 }
--- a/crates/proxy/src/proxy/snapshot.rs
+++ b/crates/proxy/src/proxy/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of the shared state: read once before the first request, written every so often and at the end.
+//! Snapshots of the shared state: read once before the first request, written periodically and at shutdown.
 //!
-//! A snapshot is written aside and moved into place, by a thread of its own: packing and the disk take their time.
-//! Invariant: file and interval are those of the start; a reload changes neither.
+//! A separate thread writes a snapshot to a temporary file and renames it, because encoding and disk writes are slow.
+//! Invariant: file and interval are set at the start; a reload changes neither.
 
 use super::Proxy;
 use crate::clock::MICROS_PER_SECOND;
@@ -14,12 +14,12 @@
 use std::path::{Path, PathBuf};
 use std::thread::{self, JoinHandle};
 
-/// Where and how often snapshots are written.
+/// File and interval of the snapshots.
 pub(super) struct SnapshotSchedule {
-    /// None where the settings named no file at the start.
+    /// `None` if the settings named no file at the start.
     path: Option<PathBuf>,
     interval: Micros,
-    /// When one was written last, or the start.
+    /// When a snapshot was last written, or the start of the process.
     written_at: Micros,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Proxy {
-    /// Restores the shared state from its snapshot; what it holds counts as told.
+    /// Restores the shared state from its snapshot and applies the restored purges and endpoints.
     pub(super) fn restore_snapshot(&mut self, now: Micros) {
         let Some(path) = &self.snapshot.path else {
             return;
@@ -49,7 +49,7 @@
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
             Err(e) if e.kind() == io::ErrorKind::NotFound => {
-                return info!(self.log, "no snapshot yet")
+                return info!(self.log, "no snapshot to restore")
             }
             Err(e) => return warn!(self.log, "snapshot rejected"; "reason" => %e),
         };
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Starts to write a snapshot if one is due; in a shutdown it always is.
+    /// Starts writing a snapshot if one is due; during a shutdown it is always due.
     pub(super) fn write_snapshot(&mut self, now: Micros) -> Option<JoinHandle<()>> {
         let path = self.snapshot.path.clone()?;
         if !self.snapshot.is_due(now) && !self.shutdown.begun {
             return None;
         }
         self.snapshot.written_at = now;
-        let pack = self.fleet.replica()?.snapshot(now);
+        let encode = self.fleet.replica()?.snapshot(now);
         let log = self.log.clone();
         Some(thread::spawn(move || {
-            if let Err(e) = replace_file(&path, pack) {
-                warn!(log, "snapshot not written"; "reason" => %e);
+            if let Err(e) = replace_file(&path, encode) {
+                warn!(log, "snapshot could not be written"; "reason" => %e);
             }
         }))
     }
 }
 
-/// Replaces a file as a whole: a crash leaves the former.
+/// Replaces a file atomically: after a crash the previous file remains.
 fn replace_file(path: &Path, content: impl FnOnce() -> Vec<u8>) -> io::Result<()> {
-    let aside = path.with_extension("aside");
-    let mut file = File::create(&aside)?;
+    let temporary_path = path.with_extension("aside");
+    let mut file = File::create(&temporary_path)?;
     file.write_all(&content())?;
     file.sync_all()?;
-    std::fs::rename(&aside, path)
+    std::fs::rename(&temporary_path, path)
 }
--- a/crates/proxy/src/proxy/timers.rs
+++ b/crates/proxy/src/proxy/timers.rs
@@ -1,7 +1,8 @@
-//! The timers of the event loop: a queue of moments, with what is due at each.
+//! The timers of the event loop: a queue ordered by due time.
 //!
-//! A timer is never taken out when what it was set for is over; it is checked when it is due. Deadlines of attempts
-//! that have ended are dropped once they come first, as each would wake the loop for nothing.
+//! A timer is not removed when its cause no longer exists; it is checked when it is due. Only a replaced report timer
+//! is removed, and deadlines of ended attempts are dropped when they reach the front of the queue, because each would
+//! wake the loop unnecessarily.
 
 use super::request_table::AttemptHandle;
 use crate::net::endpoints::EndpointConnections;
@@ -9,26 +10,26 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is due. Timers of the same moment fire in this order.
+/// The timers. Timers that are due at the same time fire in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the router, by its id.
+    /// A timer of the router, identified by its id.
     Router(u32),
-    /// The time of an attempt is up.
+    /// The timeout of an attempt.
     AttemptTimeout(AttemptHandle),
-    /// The connection of an attempt should be up.
+    /// The timeout for establishing the connection of an attempt.
     ConnectTimeout(AttemptHandle),
-    /// Idle and stalled connections, discovery, availability, snapshots.
+    /// Periodic checks of idle and stalled connections, discovery, availability and snapshots.
     Housekeeping,
     /// The periodic report of admission control for the log.
     AdmissionReport,
-    /// The view of the fleet is to be polled; valid only while this is still its next moment.
+    /// The fleet has to be polled. Valid only while its value is still the next wake time.
     Fleet(Micros),
     /// A step of the graceful shutdown is due.
     Shutdown,
 }
 
-/// Timers that are set.
+/// Timers that have been set.
 #[derive(Default)]
 pub(super) struct Timers {
     queue: BinaryHeap<Reverse<(Micros, Timer)>>,
@@ -39,7 +40,7 @@
         self.queue.push(Reverse((at, timer)));
     }
 
-    /// Replaces the timer of the periodic report; none is set where no moment is given.
+    /// Replaces the timer of the periodic report; with `None` the report has no timer.
     pub(super) fn set_admission_report(&mut self, at: Option<Micros>) {
         self.queue
             .retain(|Reverse((_, timer))| *timer != Timer::AdmissionReport);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The moment of the next timer.
+    /// The due time of the next timer.
     pub(super) fn next_due(&mut self, connections: &EndpointConnections) -> Option<Micros> {
         loop {
             let Reverse((at, timer)) = *self.queue.peek()?;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the first timer that is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let Reverse((at, _)) = self.queue.peek()?;
         if *at > now {
