--- a/crates/proxy/src/buffer.rs
+++ b/crates/proxy/src/buffer.rs
@@ -1,42 +1,42 @@
-//! Bounded buffers, one for each direction of a connection, and the memory that all of them hold.
+//! Bounded buffers, one for each direction of a connection, and the accounting of their memory.
 //!
 //! The content of a buffer is one contiguous slice, so codecs parse it in place and sockets read into it directly.
 //! Invariants: `start <= end <= memory.len()`; the content never exceeds the buffer's limit; [`BufferMemory::bytes`] is
-//! the sum of the memory of all live buffers, whether used or not.
+//! the total memory of all live buffers, including the unused part.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
 use std::rc::Rc;
 
-/// Memory that a buffer does not give back, in bytes. Beyond it unused memory is released, so that idle connections do
-/// not keep what a burst needed.
+/// Memory that a buffer retains while it is idle, in bytes. Unused memory beyond it is released, so that idle
+/// connections do not retain the memory of a burst.
 const MIN_MEMORY: usize = 4096;
-/// Spare allocations of each size class.
-const MAX_SPARE: usize = 4;
-/// From this size on an allocation belongs to the size class of large ones, in bytes.
+/// Spare allocations retained in each size class.
+const MAX_SPARE_ALLOCATIONS: usize = 4;
+/// Smallest size of the size class of large allocations, in bytes.
 const LARGE_MEMORY: usize = 65_536;
 
-/// The most memory that spare allocations hold, of buffers limited to `limit` bytes each.
+/// Upper bound on the memory of spare allocations for buffers limited to `limit` bytes each.
 pub(crate) const fn spare_bytes(limit: usize) -> usize {
-    MAX_SPARE * (limit + MIN_MEMORY)
+    MAX_SPARE_ALLOCATIONS * (limit + MIN_MEMORY)
 }
 
-/// The memory of all buffers of this process: its sum, and spare allocations for reuse.
+/// The memory of all buffers of this process: their total size, and spare allocations for reuse.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BufferMemory {
     bytes: Rc<Cell<usize>>,
-    /// Spare allocations of the least size, and large ones.
+    /// Spare allocations of the minimum size, and large ones.
     spare: Rc<RefCell<[VecDeque<Vec<u8>>; 2]>>,
 }
 
 impl BufferMemory {
-    /// Bytes that all buffers hold now.
+    /// The memory that all buffers hold now, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes.get()
     }
 
-    /// Initialized memory of `size` bytes, or a spare allocation that has at least so many and at most `limit`.
+    /// Initialized memory of `size` bytes, or a spare allocation of at least `size` and at most `limit` bytes.
     fn allocate(&self, size: usize, limit: usize) -> Vec<u8> {
         let spare = &mut self.spare.borrow_mut()[usize::from(size >= LARGE_MEMORY)];
         let fits = |memory: &Vec<u8>| memory.len() >= size && memory.len() <= limit;
@@ -49,18 +49,18 @@
         let spare = &mut self.spare.borrow_mut()[usize::from(memory.len() >= LARGE_MEMORY)];
         if memory.len() == MIN_MEMORY || memory.len() >= LARGE_MEMORY {
             spare.push_front(memory);
-            spare.truncate(MAX_SPARE);
+            spare.truncate(MAX_SPARE_ALLOCATIONS);
         }
     }
 }
 
-/// The buffer has no capacity left for what was to be appended.
+/// The buffer has too little capacity left for the bytes to append.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct BufferFull;
 
-/// Bytes in order of arrival, bounded.
+/// A bounded first-in, first-out byte queue.
 pub(crate) struct BoundedBuffer {
-    /// All of it may be written to; the content is from `start` to `end`.
+    /// Initialized memory. The content is the range from `start` to `end`.
     memory: Vec<u8>,
     start: usize,
     end: usize,
@@ -92,12 +92,12 @@
         self.limit - self.len()
     }
 
-    /// The content.
+    /// The content as one contiguous slice.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.memory[self.start..self.end]
     }
 
-    /// Makes space for `more` bytes behind the content, which may be moved.
+    /// Makes space for `more` bytes after the content. The content may be moved.
     fn reserve(&mut self, more: usize) {
         if self.memory.len() - self.end >= more {
             return;
@@ -105,8 +105,8 @@
         if self.memory.len() - self.len() >= more {
             self.memory.copy_within(self.start..self.end, 0);
         } else {
-            // Doubled, but never past the limit: many buffers that each wait for the end of a longest frame would
-            // together hold twice what the limit allows for.
+            // The size doubles, but never beyond the limit. Otherwise many buffers that each wait for the end of a
+            // frame of maximum length would together hold twice the memory that the limit allows.
             let size = (self.len() + more)
                 .next_power_of_two()
                 .max(MIN_MEMORY)
@@ -116,7 +116,7 @@
         (self.start, self.end) = (0, self.len());
     }
 
-    /// Moves the content to the front of memory of another size. `start` and `end` are the caller's to set.
+    /// Moves the content to the front of new memory of `size` bytes. The caller must update `start` and `end`.
     fn reallocate(&mut self, size: usize) {
         let mut memory = if size == 0 {
             Vec::new()
@@ -130,7 +130,7 @@
             .release(std::mem::replace(&mut self.memory, memory));
     }
 
-    /// Appends all of `bytes`, or nothing.
+    /// Appends all of `bytes`, or nothing if they do not fit.
     pub(crate) fn append(&mut self, bytes: &[u8]) -> Result<(), BufferFull> {
         if bytes.len() > self.remaining() {
             return Err(BufferFull);
@@ -141,8 +141,9 @@
         Ok(())
     }
 
-    /// Appends what `read` delivers into the space behind the content, which is at least one byte, or `expected` where
-    /// more is known to come. Returns how much came and how much space there was.
+    /// Appends the bytes that `read` writes into the space after the content. The space is at least one byte, or
+    /// `expected` bytes if the caller knows that more will arrive, up to the limit. Returns the number of bytes read
+    /// and the size of the space.
     pub(crate) fn read(
         &mut self,
         expected: usize,
@@ -158,7 +159,7 @@
         Ok((n, space))
     }
 
-    /// Drops the first `n` bytes of the content, and gives memory back that is then far too large.
+    /// Removes the first `n` bytes of the content. Releases memory if the buffer is then far larger than its content.
     pub(crate) fn consume(&mut self, n: usize) {
         self.start += n;
         debug_assert!(self.start <= self.end);
--- a/crates/proxy/src/buffer/tests.rs
+++ b/crates/proxy/src/buffer/tests.rs
@@ -71,12 +71,12 @@
     buffers.iter_mut().for_each(BoundedBuffer::clear);
     assert_eq!(
         (memory.bytes(), memory.spare.borrow()[1].len()),
-        (10 * MIN_MEMORY, MAX_SPARE)
+        (10 * MIN_MEMORY, MAX_SPARE_ALLOCATIONS)
     );
     buffers[0].append(&[8; 100_000]).unwrap();
     assert_eq!(
         (memory.bytes(), memory.spare.borrow()[1].len()),
-        (9 * MIN_MEMORY + 131_072, MAX_SPARE - 1)
+        (9 * MIN_MEMORY + 131_072, MAX_SPARE_ALLOCATIONS - 1)
     );
     assert!(buffers[0].bytes().iter().all(|b| *b == 8));
 }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, and its commands but for serving.
+//! The command line, and all sub-commands other than `serve` and `relay`.
 
 use crate::config::Config;
 use crate::error::Error;
@@ -12,10 +12,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a running process may take to answer an operator.
+/// How long a sub-command waits for the answer of a running process.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A traffic router for a two-tier cache. Without a command it serves.
+/// A traffic router for a two-tier cache. Without a sub-command, runs `serve`.
 #[derive(Debug, Parser)]
 #[command(name = "meadowrill", version)]
 pub(crate) struct Cli {
@@ -25,65 +25,71 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Serve, as configured by the file that BALANCER_CONFIG names
+    /// Serve clients, as configured by the file that the environment variable BALANCER_CONFIG names
     Serve {
-        /// Our own settings, in protobuf text format [default: deploy/meadowrill.textproto, if it is there]
+        /// The settings file, in protobuf text format [default: deploy/meadowrill.textproto, if it exists]
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
     },
-    /// Be a relay of numbered events, as the settings file says
+    /// Run a relay or publisher of numbered events, as configured by the settings file
     Relay {
-        /// Our own settings, in protobuf text format, with `fleet { relay { ... } }`
+        /// The settings file, in protobuf text format, with `fleet { relay { ... } }`
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
     },
-    /// Check a configuration (JSON) or a settings file (protobuf text format): exit code 0 if it is good, else 1
+    /// Validate a configuration (JSON) or a settings file (protobuf text format): exit code 0 if it is valid, else 1
     Check { file: PathBuf },
-    /// Ask a running front who holds the door
+    /// Print the admission control report of a running proxy: limits, tenants and their heaviest clients
     Turns {
-        /// Its operators' socket, as in its settings
+        /// The process's operator socket, as in its settings
         socket: PathBuf,
     },
-    /// Ask a running front, or relay, how it sees the fleet
+    /// Print how a running proxy or relay sees the fleet
     Fleet {
-        /// Its operators' socket, as in its settings
+        /// The process's operator socket, as in its settings
         socket: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long, global = true)]
         json: bool,
         #[command(subcommand)]
-        of: Option<FleetPart>,
+        part: Option<FleetPart>,
     },
-    /// Ask a running front, or relay, for its metrics, as scrapers read them
+    /// Print the metrics of a running proxy or relay in the text format for scrapers
     Metrics {
-        /// Its operators' socket, as in its settings
+        /// The process's operator socket, as in its settings
         socket: PathBuf,
     },
-    /// Run a front with stand-ins on loopback: a loud and a quiet tenant, without and with turns
+    /// Run a proxy with test servers on loopback: a heavy and a light tenant, first without and then with admission
+    /// control
     Demo {
-        /// How long each half lasts
+        /// Duration of each half, in seconds
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(2..=300))]
         seconds: u64,
     },
 }
 
-/// What the fronts share, and how events come
+/// The state that proxies replicate, and the distribution of events
 #[derive(Debug, Subcommand)]
 pub(crate) enum FleetPart {
-    /// Events from relays: position, lease, lag; of a relay also who is late, and what is in force everywhere
+    /// Print the distribution of events: position, lease and lag; for a relay also lagging subscribers and the position
+    /// in force everywhere
     Events,
-    /// What is held, by kind: records, bytes, and what is hearsay
+    /// Print the replicated state by record type: records, bytes, and endpoints on which the discovery service
+    /// disagrees
     State,
-    /// Entry by entry, how another front differs
+    /// Print the entries in which another proxy's replicated state differs
     Diff {
-        /// The other's operators' socket
+        /// The operator socket of the other proxy
         other: PathBuf,
     },
-    /// One key's story: the mark that its client tells, and the class
-    Ledger { mark: String, class: String },
+    /// Print the history of one idempotency key of a request class
+    Ledger {
+        idempotency_key: String,
+        class: String,
+    },
 }
 
-/// Runs a command; without one the proxy serves.
+/// Runs a sub-command; without one, the proxy serves.
 pub(crate) fn run(
     command: Option<Command>,
     benchmark_counts: Option<fn() -> String>,
@@ -94,11 +100,11 @@
         Some(Command::Relay { settings }) => relay::start(&settings),
         Some(Command::Check { file }) => {
             let kind = check(&file)?;
-            println!("{}: good {kind}", file.display());
+            println!("{}: valid {kind}", file.display());
             Ok(())
         }
         Some(Command::Turns { socket }) => print_answer(&socket, "turns"),
-        Some(Command::Fleet { socket, json, of }) => fleet(&socket, json, of),
+        Some(Command::Fleet { socket, json, part }) => fleet(&socket, json, part),
         Some(Command::Metrics { socket }) => print_answer(&socket, "metrics"),
         Some(Command::Demo { seconds }) => demo::run(seconds).map_err(Error::Demo),
     }
@@ -112,9 +118,10 @@
         Some(FleetPart::Events) => print_answer(socket, "fleet events"),
         Some(FleetPart::State) if json => print_answer(socket, "fleet state json"),
         Some(FleetPart::State) => print_answer(socket, "fleet state"),
-        Some(FleetPart::Ledger { mark, class }) => {
-            print_answer(socket, &format!("fleet ledger {mark} {class}"))
-        }
+        Some(FleetPart::Ledger {
+            idempotency_key,
+            class,
+        }) => print_answer(socket, &format!("fleet ledger {idempotency_key} {class}")),
         Some(FleetPart::Diff { other }) => {
             let here = query(socket, "fleet entries")?;
             let there = query(&other, "fleet entries")?;
@@ -124,40 +131,40 @@
     }
 }
 
-fn print_answer(socket: &Path, word: &str) -> Result<(), Error> {
-    print!("{}", query(socket, word)?);
+fn print_answer(socket: &Path, command: &str) -> Result<(), Error> {
+    print!("{}", query(socket, command)?);
     Ok(())
 }
 
-/// Sends one word to the operators' socket of a running process. Returns the answer.
-fn query(socket: &Path, word: &str) -> Result<String, Error> {
-    exchange(socket, word).map_err(|error| Error::Path {
+/// Sends one command to the operator socket of a running process. Returns the answer.
+fn query(socket: &Path, command: &str) -> Result<String, Error> {
+    exchange(socket, command).map_err(|error| Error::Path {
         path: socket.to_path_buf(),
         error,
     })
 }
 
-fn exchange(socket: &Path, word: &str) -> io::Result<String> {
+fn exchange(socket: &Path, command: &str) -> io::Result<String> {
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    stream.write_all(format!("{word}\n").as_bytes())?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
     stream.shutdown(Shutdown::Write)?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// The entries of a replica by kind and name.
-fn entries(text: &str) -> BTreeMap<(&str, &str), &str> {
+/// The entries of a replica by record type and name.
+fn parse_entries(text: &str) -> BTreeMap<(&str, &str), &str> {
     let lines = text.lines().map(|line| line.splitn(3, ' '));
     lines
         .filter_map(|mut words| Some(((words.next()?, words.next()?), words.next()?)))
         .collect()
 }
 
-/// The entries that one of two replicas has and the other has not, or has otherwise.
+/// Lists the entries that only one of two replicas has, or that differ between them.
 fn diff(here: &str, there: &str) -> String {
-    let (here, there) = (entries(here), entries(there));
+    let (here, there) = (parse_entries(here), parse_entries(there));
     let mut text = String::new();
     for (name, value) in &here {
         match there.get(name) {
@@ -174,7 +181,7 @@
     text + &format!("{} here, {} there\n", here.len(), there.len())
 }
 
-/// Checks a file. Returns what kind of file it is.
+/// Validates a file. Returns the kind of the file.
 fn check(file: &Path) -> Result<&'static str, Error> {
     let text = std::fs::read_to_string(file).map_err(|error| Error::Path {
         path: file.to_path_buf(),
@@ -184,17 +191,17 @@
     if text.trim_start().starts_with('{') {
         match Config::read(&text, check_environment) {
             Ok(_) => Ok("configuration"),
-            Err(error) => Err(Error::FaultyConfig { file, error }),
+            Err(error) => Err(Error::InvalidConfig { file, error }),
         }
     } else {
         match meadowrill_settings::read(&text) {
             Ok(_) => Ok("settings"),
-            Err(error) => Err(Error::FaultySettings { file, error }),
+            Err(error) => Err(Error::InvalidSettings { file, error }),
         }
     }
 }
 
-/// The platform gives name and address in the environment; any will do for a check.
+/// Substitutes the name and the address that the platform sets in the environment; a check accepts any values.
 fn check_environment(name: &str) -> Option<String> {
     match name {
         "BALANCER_NAME" => Some("front".to_string()),
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -6,15 +6,16 @@
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A span, or a time, in seconds: the unit of metrics and settings.
+/// Converts a duration or a time to seconds, the unit of metrics and settings.
 pub(crate) fn seconds(micros: Micros) -> f64 {
     micros as f64 / MICROS_PER_SECOND as f64
 }
 
-/// Unix time at the start, moved on by the monotonic clock: a step of the system's time must not shift deadlines.
+/// Unix time that advances with the monotonic clock from the process's start, so that a step of the system clock does
+/// not shift deadlines.
 pub(crate) struct Clock {
-    started_at: Micros,
-    started: Instant,
+    unix_time_at_start: Micros,
+    start_instant: Instant,
 }
 
 impl Clock {
@@ -23,18 +24,18 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started_at: since_epoch.as_micros() as Micros,
-            started: Instant::now(),
+            unix_time_at_start: since_epoch.as_micros() as Micros,
+            start_instant: Instant::now(),
         }
     }
 
     pub(crate) fn now(&self) -> Micros {
-        self.started_at + self.started.elapsed().as_micros() as Micros
+        self.unix_time_at_start + self.start_instant.elapsed().as_micros() as Micros
     }
 
-    /// As if the program had been stopped for so long.
+    /// Advances the clock by `span`, as if the process had been stopped for that time.
     #[cfg(test)]
     pub(crate) fn skip(&mut self, span: Micros) {
-        self.started_at += span;
+        self.unix_time_at_start += span;
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,28 +1,28 @@
-//! The one place where the platform's configuration is read, checked and given defaults; a faulty key is named by its
-//! whole path. The settings of operators come from a file of their own (`meadowrill_settings`).
+//! Reads and validates the platform's configuration and sets its defaults; no other module does so. An error names the
+//! full path of the invalid key. The settings of operators come from a separate file (`meadowrill_settings`).
 //!
 //! | key | unit, default | effect |
 //! | --- | --- | --- |
 //! | `name` | text; `BALANCER_NAME`, else `front` | the name of this proxy in the log and the fleet |
 //! | `listen` | address; `BALANCER_LISTEN` | where clients connect |
 //! | `journal` | address, required | the discovery service |
-//! | `seed` | 64 bits in hex, required | seed of random choices |
-//! | `log` | `error`, `warning`, `info` or `debug`; `info` | level of the log |
+//! | `seed` | 64-bit hexadecimal number, required | seed of random choices |
+//! | `log` | `error`, `warning`, `info` or `debug`; `info` | log level |
 //! | `known` | object with `entries`, required | the endpoint list as of `pos` |
-//! | `limits.memory_mb` | megabytes, 192 | two fifths of it are for buffers |
-//! | `limits.sockets` | count, 1024 | descriptors, shared out between clients and endpoints |
-//! | `flow_bytes_per_s` | bytes per second; as `specifics.flow_kb_per_s` | with that, what a byte counts as |
-//! | `settings` | object, required | handed to the router; the keys below are read here as well |
-//! | `settings.classes` | list, required | see `class` |
-//! | `settings.zones`, `settings.host_types` | names, none | names in the endpoint list, by index |
+//! | `limits.memory_mb` | megabytes, 192 | memory limit; buffers may use two fifths of it |
+//! | `limits.sockets` | count, 1024 | file descriptors, divided between clients and endpoints |
+//! | `flow_bytes_per_s` | bytes per second; as `flow_kb_per_s` | flow on the sockets, to convert bytes to kilobytes |
+//! | `settings` | object, required | passed to the router; this module also reads the keys below |
+//! | `settings.classes` | list, required | request classes, see module `class` |
+//! | `settings.zones`, `settings.host_types` | names, none | names used in the endpoint list, by index |
 //! | `settings.feedback.fields` | names, none | fields of load reports, by index |
 //! | `settings.specifics.flow_kb_per_s` | kilobytes per second, 1 | see `flow_bytes_per_s` |
-//! | `settings.limits.connect_timeout_s` | seconds, 0.4 | when a connection to an endpoint has failed |
-//! | `settings.limits.conn_idle_s` | seconds, 15 | how long endpoints keep an idle connection |
-//! | `settings.limits.max_open` | count, 20,000 | requests at one time |
-//! | `settings.limits.retry_after` | true or false, false | whether clients may be told to stay away |
-//! | `settings.limits.max_retry_after_s` | seconds, 0 | for how long at most |
-//! | `settings.limits.send_cap` | count; the router's default, 4 | attempts of a request; checked here, used by the router |
+//! | `settings.limits.connect_timeout_s` | seconds, 0.4 | timeout for connecting to an endpoint |
+//! | `settings.limits.conn_idle_s` | seconds, 15 | how long endpoints keep an idle connection open |
+//! | `settings.limits.max_open` | count, 20,000 | maximum number of concurrent requests |
+//! | `settings.limits.retry_after` | true or false, false | whether responses may contain a retry delay |
+//! | `settings.limits.max_retry_after_s` | seconds, 0 | maximum retry delay |
+//! | `settings.limits.send_cap` | count; the router's default, 4 | attempts of a request; validated here |
 
 mod class;
 mod error;
@@ -45,25 +45,25 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The least memory and descriptors that the platform gives a proxy.
+/// The minimum memory and descriptors that the platform grants a proxy.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.4;
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
 const DEFAULT_MAX_REQUESTS: f64 = 20_000.0;
-/// The name of a proxy that is given none.
+/// The name of a proxy if neither the configuration nor the environment sets one.
 const DEFAULT_NAME: &str = "front";
-/// The settings of operators, where no other file is named; it may be missing.
+/// The settings file of operators if the command line names none. This file may be missing.
 const DEFAULT_OPERATOR_PATH: &str = "deploy/meadowrill.textproto";
 /// Descriptors that belong to no connection: standard streams, listener, poller, signals, discovery, log.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Of the connections of clients one in so many may drain beside those that are served.
+/// Client connections that may be served for each one that may drain at the same time.
 const CLIENTS_PER_DRAINING: usize = 8;
-/// Fraction of the memory that buffers may fill; the rest is for the router's estimates, the allocator's slack and what
-/// a round moves.
+/// Fraction of the memory that buffers may use. The rest is for the router's estimates, the allocator's overhead and
+/// the data that one round of the event loop moves.
 const BUFFER_FRACTION: f64 = 0.4;
-/// Keys that take effect at a start only.
-const FIXED_KEYS: [&str; 7] = [
+/// Keys whose changes take effect only at the next start.
+const RESTART_REQUIRED_KEYS: [&str; 7] = [
     "name",
     "listen",
     "seed",
@@ -77,53 +77,53 @@
 #[derive(Debug)]
 pub(crate) struct Config {
     path: PathBuf,
-    /// Where the settings of operators were named to be.
+    /// The path of the operators' settings file from the command line.
     operator_path: Option<PathBuf>,
     /// The settings of operators.
     pub(crate) operator: operator::Settings,
-    /// As it was read, to find what a later one changes.
+    /// The JSON as it was read. A reload compares it with the new JSON to find changed keys.
     json: Value,
     /// Name of this proxy.
     pub(crate) name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub(crate) listen: SocketAddr,
     /// Address of the discovery service.
     pub(crate) discovery: SocketAddr,
     /// Seed of random choices.
     pub(crate) seed: u64,
-    /// What the router is given.
+    /// The settings for the router.
     pub(crate) routing: Settings,
-    /// The endpoint list as it was when the configuration was written, with its position.
+    /// The endpoint list when the configuration was written, with its position.
     pub(crate) initial_list: Value,
     pub(crate) log_level: LogLevel,
-    /// Names in the order of the settings: their index is what the router knows.
+    /// Request classes in the order of the settings. The router refers to classes, zones, types and fields by index.
     pub(crate) classes: Vec<ClassConfig>,
     pub(crate) zones: Vec<String>,
     pub(crate) endpoint_types: Vec<String>,
     pub(crate) load_report_fields: Vec<String>,
-    /// How many of the settings' kilobytes a byte on the sockets stands for.
+    /// Kilobytes in the settings' unit that one byte on the sockets corresponds to.
     pub(crate) kilobytes_per_byte: f64,
-    /// When a connection to an endpoint has failed.
+    /// Timeout for connecting to an endpoint.
     pub(crate) connect_timeout: Micros,
-    /// How long endpoints keep an idle connection.
+    /// How long endpoints keep an idle connection open.
     pub(crate) idle_timeout: Micros,
-    /// The longest that a client waits.
+    /// The longest deadline of all request classes.
     pub(crate) longest_deadline: Micros,
-    /// The longest that a client may be told to stay away; 0 where it may be told nothing.
+    /// The maximum retry delay in a response, or 0 if responses must not contain one.
     pub(crate) max_retry_after: Micros,
-    /// Connections of clients that are served.
+    /// Maximum number of client connections that are served.
     pub(crate) max_client_connections: usize,
-    /// Connections of clients that drain.
+    /// Maximum number of client connections that drain.
     pub(crate) max_draining_connections: usize,
-    /// Connections to endpoints.
+    /// Maximum number of connections to endpoints.
     pub(crate) max_endpoint_connections: usize,
-    /// Requests at one time.
+    /// Maximum number of concurrent requests.
     pub(crate) max_requests: usize,
-    /// Bytes in buffers.
+    /// Maximum memory of all buffers, in bytes.
     pub(crate) max_buffer_bytes: usize,
 }
 
-/// How descriptors are shared out.
+/// The division of the descriptors between kinds of connections.
 struct ConnectionLimits {
     clients: usize,
     draining: usize,
@@ -131,8 +131,8 @@
 }
 
 impl ConnectionLimits {
-    /// Clients get two fifths of what is not reserved: they hold a third of the descriptors at most (the platform), and a
-    /// little more lets them cross a close.
+    /// Clients get two fifths of the descriptors that are not reserved. On the platform, clients hold at most a third
+    /// of all descriptors; the surplus admits new connections while the close of old ones is not yet processed.
     fn new(descriptors: usize) -> ConnectionLimits {
         let clients = (descriptors - RESERVED_DESCRIPTORS) * 2 / 5;
         let draining = (clients / CLIENTS_PER_DRAINING).max(1);
@@ -145,7 +145,7 @@
 }
 
 impl Config {
-    /// Reads the configuration, and the settings of operators.
+    /// Reads the configuration and the settings of operators.
     pub(crate) fn load(
         path: PathBuf,
         operator_path: Option<PathBuf>,
@@ -161,30 +161,31 @@
         };
         let name_fits = (1..=MAX_TEXT_BYTES).contains(&config.name.len());
         if config.operator.events.is_some() && !name_fits {
-            let problem = format!("has to be of 1 to {MAX_TEXT_BYTES} bytes with fleet.events");
+            let problem =
+                format!("must be 1 to {MAX_TEXT_BYTES} bytes long if fleet.events is set");
             return Err(ConfigError::new("name", problem));
         }
         Ok(config)
     }
 
-    /// The files as they stand now, checked as at the start.
+    /// Reads and validates the files again, as at the start.
     pub(crate) fn read_again(&self) -> Result<Config, ConfigError> {
         Config::load(self.path.clone(), self.operator_path.clone())
     }
 
-    /// Takes over what may change while the proxy runs. Returns the keys of what else has changed. `known` stays that of
-    /// the start: discovery told what came after.
+    /// Applies the changes that may take effect while the proxy runs. Returns the other changed keys. `known` keeps its
+    /// value from the start, because the discovery service has delivered all later changes of the endpoint list.
     pub(crate) fn replace(&mut self, new: Config) -> Vec<&'static str> {
         self.discovery = new.discovery;
         self.log_level.copy_from(&new.log_level);
-        let mut later = fixed_operator_keys(&self.operator, &new.operator);
+        let mut restart_required = restart_required_operator_keys(&self.operator, &new.operator);
         self.operator = new.operator;
         let changed = |key: &&'static str| self.json.get(key) != new.json.get(key);
-        later.extend(FIXED_KEYS.into_iter().filter(changed));
-        later
+        restart_required.extend(RESTART_REQUIRED_KEYS.into_iter().filter(changed));
+        restart_required
     }
 
-    /// Reads the text of the configuration; name and address from the environment where it names none.
+    /// Parses the configuration. The name and the address come from the environment if the text does not contain them.
     pub(crate) fn read(
         text: &str,
         env: impl Fn(&str) -> Option<String>,
@@ -199,18 +200,18 @@
         let descriptors = limits.get("sockets").number(DEFAULT_DESCRIPTORS, 64.0)? as usize;
         let settings = root.get("settings");
         if !settings.required()?.is_object() {
-            return Err(settings.fault("is not an object"));
+            return Err(settings.error("must be an object"));
         }
         let classes = read_classes(&settings.get("classes"))?;
         let mut pairs = Vec::new();
         flatten(settings.required()?, "", &mut pairs);
-        let bounds = settings.get("limits");
-        bounds.get("send_cap").number(1.0, 1.0)?;
+        let request_limits = settings.get("limits");
+        request_limits.get("send_cap").number(1.0, 1.0)?;
         let connections = ConnectionLimits::new(descriptors);
         let kilobytes_per_byte = read_kilobytes_per_byte(&root, &settings)?;
         let initial_list = read_initial_list(&root.get("known"))?;
         let log_level = read_log_level(&root.get("log"))?;
-        let max_retry_after = read_max_retry_after(&bounds)?;
+        let max_retry_after = read_max_retry_after(&request_limits)?;
         Ok(Config {
             path: PathBuf::new(),
             operator_path: None,
@@ -230,19 +231,21 @@
             load_report_fields: settings.get("feedback").get("fields").names(None)?,
             kilobytes_per_byte,
             connect_timeout: host::micros(
-                bounds
+                request_limits
                     .get("connect_timeout_s")
                     .number(DEFAULT_CONNECT_TIMEOUT_S, 0.001)?,
             ),
             idle_timeout: host::micros(
-                bounds
+                request_limits
                     .get("conn_idle_s")
                     .number(DEFAULT_IDLE_TIMEOUT_S, 0.0)?,
             ),
             max_client_connections: connections.clients,
             max_draining_connections: connections.draining,
             max_endpoint_connections: connections.endpoints,
-            max_requests: bounds.get("max_open").number(DEFAULT_MAX_REQUESTS, 1.0)? as usize,
+            max_requests: request_limits
+                .get("max_open")
+                .number(DEFAULT_MAX_REQUESTS, 1.0)? as usize,
             max_buffer_bytes: (memory * BUFFER_FRACTION) as usize
                 - buffer::spare_bytes(frame::MAX_FRAME),
             json,
@@ -254,7 +257,7 @@
     match (listen.value, env) {
         (None, Some(text)) => text
             .parse()
-            .map_err(|_| ConfigError::new("BALANCER_LISTEN", "is not an address with a port")),
+            .map_err(|_| ConfigError::new("BALANCER_LISTEN", "is not an IP address with a port")),
         _ => listen.address(),
     }
 }
@@ -268,10 +271,11 @@
 }
 
 fn read_seed(seed: &Node) -> Result<u64, ConfigError> {
-    u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.fault("is not a hex number of 64 bits"))
+    u64::from_str_radix(seed.text()?, 16)
+        .map_err(|_| seed.error("is not a 64-bit hexadecimal number"))
 }
 
-/// The settings name a flow in kilobytes, the platform the same in bytes on the sockets.
+/// The settings specify a flow in kilobytes; the platform specifies the same flow in bytes on the sockets.
 fn read_kilobytes_per_byte(root: &Node, settings: &Node) -> Result<f64, ConfigError> {
     let specifics = settings.get("specifics");
     let kb_per_s = specifics.get("flow_kb_per_s").number(1.0, 0.0)?;
@@ -285,7 +289,7 @@
     if list["entries"].is_array() {
         Ok(list.clone())
     } else {
-        Err(known.get("entries").fault("is not a list"))
+        Err(known.get("entries").error("must be a list"))
     }
 }
 
@@ -294,13 +298,13 @@
         return Ok(Level::Info);
     };
     let level = value.as_str().and_then(|text| text.parse().ok());
-    level.ok_or_else(|| log.fault("is no level: error, warning, info or debug"))
+    level.ok_or_else(|| log.error("is not a log level: expected error, warning, info or debug"))
 }
 
-fn read_max_retry_after(bounds: &Node) -> Result<Micros, ConfigError> {
-    let seconds = bounds.get("max_retry_after_s").number(0.0, 0.0)?;
-    let advises = bounds.get("retry_after").is_true();
-    Ok(if advises { host::micros(seconds) } else { 0 })
+fn read_max_retry_after(request_limits: &Node) -> Result<Micros, ConfigError> {
+    let seconds = request_limits.get("max_retry_after_s").number(0.0, 0.0)?;
+    let is_enabled = request_limits.get("retry_after").is_true();
+    Ok(if is_enabled { host::micros(seconds) } else { 0 })
 }
 
 fn longest_deadline(classes: &[ClassConfig]) -> Micros {
@@ -308,8 +312,11 @@
     host::micros(deadlines.fold(0.0, f64::max) / 1e3)
 }
 
-/// The keys of the operators' settings that differ, and take effect at a start only.
-fn fixed_operator_keys(old: &operator::Settings, new: &operator::Settings) -> Vec<&'static str> {
+/// The changed keys of the operators' settings that take effect only at the next start.
+fn restart_required_operator_keys(
+    old: &operator::Settings,
+    new: &operator::Settings,
+) -> Vec<&'static str> {
     let mut keys = Vec::new();
     if old.log != new.log {
         keys.push("log.form");
@@ -329,7 +336,7 @@
     keys
 }
 
-/// The settings of operators: a file that is named must be there.
+/// Reads the settings of operators. A file named on the command line must exist; the default file may be missing.
 fn read_default_settings(path: Option<&Path>) -> Result<operator::Settings, ConfigError> {
     let default = Path::new(DEFAULT_OPERATOR_PATH);
     match path {
@@ -339,7 +346,7 @@
     }
 }
 
-/// The settings of operators in this file.
+/// Reads the settings of operators from `path`.
 pub(crate) fn read_settings(path: &Path) -> Result<operator::Settings, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| ConfigError::new("settings file", format!("{}: {e}", path.display())))?;
--- a/crates/proxy/src/config/class.rs
+++ b/crates/proxy/src/config/class.rs
@@ -2,14 +2,14 @@
 //!
 //! | key | unit, default | effect |
 //! | --- | --- | --- |
-//! | `name` | text, required | requests name their class by it |
-//! | `deadline_s` | seconds, 10 | the longest time limit that a request may name |
-//! | `repeat` | `safe`, `keyed` or `unsafe`; none | `keyed`: an idempotency key is required; all but `safe`: it has an effect |
-//! | `group` | `all` or other; none | `all`: the origin drops repeats whichever cache they come by |
-//! | `key_ttl_s` | seconds, 0 | how long it does |
+//! | `name` | text, required | name of the class in requests |
+//! | `deadline_s` | seconds, 10 | the longest timeout that a request may specify |
+//! | `repeat` | `safe`, `keyed` or `unsafe`; none | `keyed`, `unsafe`: side effects; `keyed`: needs idempotency key |
+//! | `group` | `all` or other; none | `all`: the origin drops repeats of a key through any cache (only with `keyed`) |
+//! | `key_ttl_s` | seconds, 0 | how long the origin drops repeats of a key |
 //! | `worth` | weight, 1 | priority at admission control |
 //! | `goal_time_s` | seconds, 1 | latency objective |
-//! | `aim_stretch` | factor, 0 | how far the objective is stretched for large requests |
+//! | `aim_stretch` | factor, 0 | how much the objective is extended for large requests |
 
 use super::node::Node;
 use super::ConfigError;
@@ -17,22 +17,22 @@
 use meadowrill_routing::host;
 use meadowrill_routing::interface::Micros;
 
-/// Time limit of a class that names none, in seconds.
+/// The default of `deadline_s`, in seconds.
 const DEFAULT_DEADLINE_S: f64 = 10.0;
 
-/// What bounds the requests of a class.
+/// The configuration of a request class.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ClassConfig {
     pub(crate) name: String,
-    /// The longest time limit that a request may name, in milliseconds.
+    /// The longest timeout that a request may specify, in milliseconds.
     pub(crate) deadline_ms: f64,
-    /// What admission control needs to know of it.
+    /// The class's parameters for admission control.
     pub(crate) admission: RequestClass,
-    /// Its requests carry an idempotency key.
+    /// Whether requests of the class must have an idempotency key.
     pub(crate) requires_idempotency_key: bool,
-    /// To run one twice is not the same as once.
+    /// Whether requests have side effects, so that running one twice differs from running it once.
     pub(crate) has_effect: bool,
-    /// How long the origin drops repeats of a key, whichever cache they come by; 0 where it does not.
+    /// How long the origin drops repeats of a key through any cache, or 0 if it does not drop them.
     pub(crate) deduplication_window: Micros,
 }
 
@@ -44,11 +44,11 @@
     Unsafe,
 }
 
-/// Reads all classes, in the order of the settings: their index is what the router knows.
+/// Reads all classes in the order of the settings. The router refers to a class by its index.
 pub(super) fn read_classes(classes: &Node) -> Result<Vec<ClassConfig>, ConfigError> {
     let names = classes.names(Some("name"))?;
     if names.is_empty() {
-        return Err(classes.fault("names no class"));
+        return Err(classes.error("must contain at least one class"));
     }
     let read = |(index, name)| read_class(&classes.item(index), name);
     names.into_iter().enumerate().map(read).collect()
@@ -58,9 +58,9 @@
     let deadline_ms = class.get("deadline_s").number(DEFAULT_DEADLINE_S, 0.001)? * 1e3;
     let repeat = read_repeat(&class.get("repeat"))?;
     let keyed = repeat == Some(Repeat::Keyed);
-    let everywhere = class.get("group").value.is_some_and(|group| group == "all");
+    let across_caches = class.get("group").value.is_some_and(|group| group == "all");
     let key_ttl_s = class.get("key_ttl_s").number(0.0, 0.0)?;
-    let deduplicates = keyed && everywhere;
+    let deduplicates = keyed && across_caches;
     Ok(ClassConfig {
         name,
         deadline_ms,
@@ -79,7 +79,7 @@
     })
 }
 
-/// What is set and not understood is no reason to guess: an effect might come twice.
+/// An unknown value is an error, because a wrong guess could run a side effect twice.
 fn read_repeat(repeat: &Node) -> Result<Option<Repeat>, ConfigError> {
     let Some(value) = repeat.value else {
         return Ok(None);
@@ -88,6 +88,6 @@
         Some("safe") => Ok(Some(Repeat::Safe)),
         Some("keyed") => Ok(Some(Repeat::Keyed)),
         Some("unsafe") => Ok(Some(Repeat::Unsafe)),
-        _ => Err(repeat.fault("is neither safe, keyed nor unsafe")),
+        _ => Err(repeat.error("must be safe, keyed or unsafe")),
     }
 }
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,8 +1,8 @@
-//! Faults of configuration and settings.
+//! Errors in the configuration and in the settings.
 
 use std::fmt;
 
-/// A faulty key, by its whole path, and what is wrong with it.
+/// An invalid key with its full path, and the problem with its value.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ConfigError {
     pub(crate) key: String,
--- a/crates/proxy/src/config/level.rs
+++ b/crates/proxy/src/config/level.rs
@@ -1,10 +1,10 @@
-//! The level of the log.
+//! The log level.
 
 use slog::Level;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// The level of the log, which may change while the log's own thread reads it. Clones share it.
+/// The log level. It may change while the logging thread reads it. Clones share one level.
 #[derive(Clone, Debug)]
 pub(crate) struct LogLevel(Arc<AtomicUsize>);
 
@@ -13,12 +13,12 @@
         LogLevel(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
-    /// Whether lines of this level are written.
+    /// Whether the log shows lines of this level.
     pub(crate) fn shows(&self, level: Level) -> bool {
         level.as_usize() <= self.0.load(Relaxed)
     }
 
-    /// Takes over the level of another.
+    /// Sets the level to that of `other`.
     pub(super) fn copy_from(&self, other: &LogLevel) {
         self.0.store(other.0.load(Relaxed), Relaxed);
     }
--- a/crates/proxy/src/config/node.rs
+++ b/crates/proxy/src/config/node.rs
@@ -1,10 +1,10 @@
-//! Typed access to a part of the configuration. A fault names the whole path of its key.
+//! Typed access to a part of the configuration. Errors name the full path of the key.
 
 use super::ConfigError;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A part of the configuration with its path; without a value where the key is missing.
+/// A part of the configuration with its path. The value is `None` if the key is missing.
 pub(super) struct Node<'a> {
     pub(super) value: Option<&'a Value>,
     pub(super) path: String,
@@ -33,53 +33,58 @@
         }
     }
 
-    pub(super) fn fault(&self, problem: impl Into<String>) -> ConfigError {
+    pub(super) fn error(&self, problem: impl Into<String>) -> ConfigError {
         ConfigError::new(&self.path, problem)
     }
 
-    /// The value, which has to be there.
+    /// The value, or an error if the key is missing.
     pub(super) fn required(&self) -> Result<&'a Value, ConfigError> {
-        self.value.ok_or_else(|| self.fault("is missing"))
+        self.value.ok_or_else(|| self.error("is missing"))
     }
 
     pub(super) fn text(&self) -> Result<&'a str, ConfigError> {
         let text = self.required()?.as_str();
-        text.ok_or_else(|| self.fault("is not a text"))
+        text.ok_or_else(|| self.error("must be a string"))
     }
 
     pub(super) fn address(&self) -> Result<SocketAddr, ConfigError> {
         let text = self.text()?;
         text.parse()
-            .map_err(|_| self.fault(format!("{text:?} is not an address with a port")))
+            .map_err(|_| self.error(format!("{text:?} is not an IP address with a port")))
     }
 
-    /// A number of at least `least`; `default` where the key is missing.
-    pub(super) fn number(&self, default: f64, least: f64) -> Result<f64, ConfigError> {
+    /// A number of at min `min`, or `default` if the key is missing.
+    pub(super) fn number(&self, default: f64, min: f64) -> Result<f64, ConfigError> {
         let Some(value) = self.value else {
             return Ok(default);
         };
         let number = value
             .as_f64()
-            .ok_or_else(|| self.fault("is not a number"))?;
-        if number >= least {
+            .ok_or_else(|| self.error("must be a number"))?;
+        if number >= min {
             Ok(number)
         } else {
-            Err(self.fault(format!("{number} is below {least}")))
+            Err(self.error(format!("{number} is less than the minimum of {min}")))
         }
     }
 
-    /// A list of names, or of objects with their name at `field`; empty where the key is missing.
+    /// A list of names, or of objects with a name in `field`. The list is empty if the key is missing.
     pub(super) fn names(&self, field: Option<&str>) -> Result<Vec<String>, ConfigError> {
         let Some(value) = self.value else {
             return Ok(Vec::new());
         };
         let items = value
             .as_array()
-            .ok_or_else(|| self.fault("is not a list"))?;
+            .ok_or_else(|| self.error("must be a list"))?;
         let name = |(index, item): (usize, &Value)| {
             let name = field.map_or(Some(item), |field| item.get(field));
             let name = name.and_then(Value::as_str).map(str::to_string);
-            name.ok_or_else(|| ConfigError::new(format!("{}.{index}", self.path), "has no name"))
+            name.ok_or_else(|| {
+                ConfigError::new(
+                    format!("{}.{index}", self.path),
+                    "name is missing or is not a string",
+                )
+            })
         };
         items.iter().enumerate().map(name).collect()
     }
@@ -89,8 +94,8 @@
     }
 }
 
-/// Flattens nested settings to names and values, as the router reads them: lists of objects by count and index, lists of
-/// values joined by commas.
+/// Flattens nested settings to names and values for the router. Lists of objects become a count and indexed names, and
+/// lists of values are joined by commas.
 pub(super) fn flatten(value: &Value, path: &str, pairs: &mut Vec<(String, String)>) {
     match value {
         Value::Object(fields) => {
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends without success, as it tells on standard error.
+//! The errors that end the program with a failure, as printed on standard error.
 
 use crate::config::ConfigError;
 use meadowrill_settings::Faulty as SettingsError;
@@ -10,27 +10,27 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum Error {
-    /// The environment names no configuration.
+    /// The environment variable `BALANCER_CONFIG` is not set.
     NotConfigured,
-    /// The configuration or the settings are faulty.
+    /// The configuration or the settings are invalid.
     Config(ConfigError),
-    /// The event loop cannot be made.
+    /// The event loop cannot be created.
     EventLoop(io::Error),
     /// Signals cannot be received.
     Signals(io::Error),
-    /// The address for clients cannot be listened on.
+    /// The proxy cannot listen on the address for clients.
     Listen {
         address: SocketAddr,
         error: io::Error,
     },
     /// The event loop, or a socket that it needs, failed.
     Io(io::Error),
-    /// A file, or a socket of operators, cannot be read.
+    /// A file cannot be read, or an operator socket cannot be queried.
     Path { path: PathBuf, error: io::Error },
-    /// A configuration that was to be checked is faulty.
-    FaultyConfig { file: PathBuf, error: ConfigError },
-    /// A settings file that was to be checked is faulty.
-    FaultySettings { file: PathBuf, error: SettingsError },
+    /// The configuration passed to `check` is invalid.
+    InvalidConfig { file: PathBuf, error: ConfigError },
+    /// The settings file passed to `check` is invalid.
+    InvalidSettings { file: PathBuf, error: SettingsError },
     /// The demonstration failed.
     Demo(String),
 }
@@ -38,15 +38,15 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::NotConfigured => f.write_str("BALANCER_CONFIG: is not set"),
+            Error::NotConfigured => f.write_str("environment variable BALANCER_CONFIG is not set"),
             Error::Config(error) => error.fmt(f),
-            Error::EventLoop(error) => write!(f, "poller: {error}"),
-            Error::Signals(error) => write!(f, "signals: {error}"),
-            Error::Listen { address, error } => write!(f, "listen {address}: {error}"),
+            Error::EventLoop(error) => write!(f, "cannot create the event loop: {error}"),
+            Error::Signals(error) => write!(f, "cannot receive signals: {error}"),
+            Error::Listen { address, error } => write!(f, "cannot listen on {address}: {error}"),
             Error::Io(error) => error.fmt(f),
             Error::Path { path, error } => write!(f, "{}: {error}", path.display()),
-            Error::FaultyConfig { file, error } => write!(f, "{}: {error}", file.display()),
-            Error::FaultySettings { file, error } => write!(f, "{}: {error}", file.display()),
+            Error::InvalidConfig { file, error } => write!(f, "{}: {error}", file.display()),
+            Error::InvalidSettings { file, error } => write!(f, "{}: {error}", file.display()),
             Error::Demo(problem) => f.write_str(problem),
         }
     }
--- a/crates/proxy/src/frame.rs
+++ b/crates/proxy/src/frame.rs
@@ -1,9 +1,9 @@
-//! The binary frames between clients and this proxy: bytes to frames and back, no I/O.
+//! The codec of the binary frames between clients and this proxy. It does no I/O.
 //!
-//! A frame is the length of what follows (`u32`), its type (`u8`), its stream (`u32`) and a payload; numbers are
-//! little-endian. A payload is an optional code (`u8`), an optional list of fields (a count, then names and values, each
-//! behind its length), and a body up to the end of the frame. The wire's names of fields stand in this module and in
-//! `request`, and nowhere past them.
+//! A frame consists of the length of the rest (`u32`), its type (`u8`), its stream (`u32`) and a payload. Numbers are
+//! little-endian. A payload consists of an optional code (`u8`), an optional list of fields (a count, then names and
+//! values, each prefixed with its length), and a body up to the end of the frame. Only this module and `request` use
+//! the field names of the wire format.
 
 mod request;
 
@@ -12,19 +12,19 @@
 use smallvec::SmallVec;
 use std::fmt;
 
-/// Bytes of the type and the length, type and stream before a payload.
-pub(crate) const HEAD: usize = 9;
-/// The longest frame with its length field, in bytes.
+/// Length of a frame's length, type and stream before the payload, in bytes.
+pub(crate) const HEAD_LENGTH: usize = 9;
+/// The longest frame, including its length field, in bytes.
 pub(crate) const MAX_FRAME: usize = 262_148;
-/// The longest frame that a client may send, in bytes: the largest body, and fields. A frame that announces more is
-/// refused at once, or unfinished frames of many clients would fill the memory.
+/// The longest frame that a client may send, in bytes: the largest body, and fields. A frame that announces a greater
+/// length is rejected at once. Otherwise unfinished frames of many clients would fill the memory.
 pub(crate) const MAX_CLIENT_FRAME: usize = 65_536;
-/// What the length field of a client's frame may say.
+/// Valid values of the length field in a client's frame.
 const CLIENT_LENGTH: std::ops::RangeInclusive<usize> = 5..=MAX_CLIENT_FRAME - 4;
 
-/// Frame type: a client's request.
+/// Frame type: a request from a client.
 pub(crate) const REQUEST: u8 = 65;
-/// Frame type: the response to a request, or a fault of the connection on stream 0.
+/// Frame type: the response to a request, or on stream 0 an error of the connection.
 pub(crate) const RESPONSE: u8 = 66;
 /// Frame type: a client no longer waits for a response.
 pub(crate) const CANCEL: u8 = 67;
@@ -32,43 +32,44 @@
 pub(crate) const READINESS_QUERY: u8 = 80;
 /// Frame type: whether this proxy is ready.
 pub(crate) const READINESS: u8 = 81;
-/// Frame type: no new request is taken on this connection.
+/// Frame type: this proxy accepts no new requests on the connection.
 pub(crate) const GOING_AWAY: u8 = 90;
 
-/// Response code: served.
+/// Response code: the request succeeded.
 pub(crate) const SUCCESS: u8 = 0;
-/// Response code: rejected; it never ran, and is harmless to send again.
+/// Response code: the request was rejected. It never ran, so a retry is safe.
 pub(crate) const REJECTED: u8 = 11;
-/// Response code: failed; it may have run.
+/// Response code: the request failed. It may have run.
 pub(crate) const FAILED: u8 = 5;
 /// Readiness code: ready.
 pub(crate) const READY: u8 = 0;
 /// Readiness code: not ready.
 pub(crate) const NOT_READY: u8 = 1;
 
-/// A field with its value.
+/// The name and the value of a field.
 pub(crate) type Field<'a> = (&'a str, &'a str);
 /// Response field: the client's copy is still current, and no body follows.
 pub(crate) const NOT_MODIFIED: Field<'static> = ("current", "1");
-/// Response field: how long the client should stay away, in milliseconds (Retry-After).
+/// Response field: how long the client should wait before a retry, in milliseconds (Retry-After).
 pub(crate) const RETRY_AFTER_MS: &str = "later";
-/// Readiness field: whether the shared state had been received when this proxy became ready.
+/// Readiness field: this proxy had received the replicated state when it became ready.
 pub(crate) const CAUGHT_UP: Field<'static> = ("caught_up", "1");
-/// Readiness field: as [`CAUGHT_UP`], but it had not.
+/// Readiness field: this proxy had not received the replicated state when it became ready.
 pub(crate) const NOT_CAUGHT_UP: Field<'static> = ("caught_up", "0");
 
-/// Why bytes of a client are no frame, or a frame no request. The client is at fault; a retry would fail alike.
+/// Why bytes from a client are not a valid frame, or a frame is not a valid request. The client is at fault, and a
+/// retry of the same bytes would also fail.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FrameError {
-    /// The length field is out of bounds: no further frame can be found on the connection.
+    /// The length field is out of bounds, so the next frame on the connection cannot be located.
     LengthOutOfBounds(usize),
-    /// The payload ends within its fields.
+    /// The payload ends within its fields, or the text of a field is not UTF-8.
     Truncated,
     /// A required field is missing.
     MissingField(&'static str),
-    /// A field, or the head, holds a value that is not allowed.
+    /// A field, the head or the body has an invalid value.
     UnreadableField(&'static str),
-    /// A frame was begun and not completed in time.
+    /// The client did not complete a frame in time.
     Incomplete,
 }
 
@@ -94,7 +95,7 @@
     pub payload: &'a [u8],
 }
 
-/// The frame at the front of a client's bytes, once it is complete.
+/// Parses the frame at the start of a client's bytes. Returns `None` until the frame is complete.
 pub(crate) fn parse_frame(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
@@ -114,10 +115,10 @@
     }))
 }
 
-/// Fields in the order of the wire; few frames have more than these.
+/// Fields in wire order. Few frames have more fields than the inline capacity.
 pub(crate) type Fields<'a> = SmallVec<[Field<'a>; 12]>;
 
-/// The fields of a payload, and the body behind them.
+/// Parses the fields of a payload. Returns the fields and the body after them.
 pub(crate) fn parse_fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), FrameError> {
     let (count, mut rest) = payload.split_first().ok_or(FrameError::Truncated)?;
     let mut fields = Fields::new();
@@ -139,10 +140,10 @@
     std::str::from_utf8(text).map_err(|_| FrameError::Truncated)
 }
 
-/// What comes before a body: short, so it needs no allocation.
+/// The part of a frame before the body. It is short, so it usually needs no allocation.
 pub(crate) type Head = SmallVec<[u8; 64]>;
 
-/// The bytes of a frame up to where a body of `body_length` bytes follows.
+/// Encodes the part of a frame before a body of `body_length` bytes.
 pub(crate) fn encode_head(
     frame_type: u8,
     stream: u32,
--- a/crates/proxy/src/frame/request.rs
+++ b/crates/proxy/src/frame/request.rs
@@ -1,14 +1,14 @@
-//! The payload of a client's request. Each field of the wire is mapped to its term here:
+//! The payload of a client's request. This module maps the fields of the wire format to these terms:
 //!
 //! | wire | term |
 //! | --- | --- |
-//! | `verb` | class: the name of the request class in the settings |
+//! | `verb` | class: name of the request class in the settings |
 //! | `txn` | request id |
 //! | `limit` | timeout, in milliseconds |
 //! | `unique` | idempotency key |
 //! | `item`, `slice`, `set` | object, part, group |
-//! | `seen` | known version: the tag of the copy that the client has |
-//! | `ram` | size of the part in the settings' unit |
+//! | `seen` | known version: tag of the client's copy |
+//! | `ram` | size of the part, in the settings' kilobytes |
 
 use super::{parse_fields, Fields, FrameError};
 use compact_str::CompactString;
@@ -16,16 +16,16 @@
 
 /// The largest body of a request, in bytes.
 const MAX_BODY: usize = 48_000;
-/// The last group.
+/// The largest group number.
 const MAX_GROUP: u32 = 255;
-/// A part index that no object comes near.
+/// The largest accepted part index, far above that of any real object.
 const MAX_PART: u32 = 1 << 20;
-/// Digits of a 64-bit number in hex.
+/// Digits of a 64-bit hexadecimal number.
 const HEX_DIGITS: usize = 16;
-/// Timeouts from here on are unreadable, in milliseconds.
+/// Timeouts of at least this length are rejected as unreadable, in milliseconds.
 const TIMEOUT_BOUND_MS: f64 = 1e9;
 
-/// What a client asks for; texts are passed on as they came.
+/// A client's request. Texts are forwarded as they were received.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Request {
     /// Name of the request class.
@@ -40,25 +40,25 @@
     pub object: u64,
     pub part: u32,
     pub group: u32,
-    /// Tag of the copy that the client has.
+    /// Tag of the client's copy.
     pub known_version: Option<CompactString>,
-    /// 0 where clients do not send it.
+    /// 0 if the client does not send it.
     pub size_kb: f64,
     pub body: Vec<u8>,
-    /// The tenant, by the field that the settings name for it.
+    /// The value of the tenant field named by the settings.
     pub tenant: Option<CompactString>,
-    /// The client, by the field that the settings name for it.
+    /// The value of the client field named by the settings.
     pub client_id: Option<CompactString>,
 }
 
-/// Names of the fields that identify tenant and client, where the settings name any.
+/// Names of the fields that identify tenant and client, if the settings specify them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IdentityFields {
     pub tenant: Option<String>,
     pub client: Option<String>,
 }
 
-/// Reads the payload of a request.
+/// Parses the payload of a request.
 pub(crate) fn parse_request(
     payload: &[u8],
     identity: &IdentityFields,
@@ -104,14 +104,14 @@
     text.parse().map_err(|_| FrameError::UnreadableField(name))
 }
 
-/// Whether a text may stand in a header or a path as it is.
+/// Whether a text can be used in a header or a path without escaping.
 fn is_graphic(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
 fn timeout(fields: &Fields<'_>) -> Result<f64, FrameError> {
     let text = required(fields, "limit")?;
-    // Nearly always a whole number, which is read quicker.
+    // The timeout is nearly always a whole number, and parsing an integer is faster.
     let timeout_ms = text
         .parse::<u32>()
         .map(f64::from)
@@ -122,7 +122,7 @@
     Ok(timeout_ms)
 }
 
-/// A 64-bit number of 16 hex digits, as text and as number.
+/// A 64-bit number of 16 hexadecimal digits, as text and as number.
 fn hex(fields: &Fields<'_>, name: &'static str) -> Result<(CompactString, u64), FrameError> {
     let text = required(fields, name)?;
     let digit = |b: u8| char::from(b).to_digit(16);
@@ -142,7 +142,7 @@
     }
 }
 
-/// An index up to `max`; 0 where the field is missing.
+/// An index of at most `max`, or 0 if the field is missing.
 fn bounded(fields: &Fields<'_>, name: &'static str, max: u32) -> Result<u32, FrameError> {
     let number: u32 = parse(name, find(fields, name).unwrap_or("0"))?;
     Some(number)
@@ -150,13 +150,13 @@
         .ok_or(FrameError::UnreadableField(name))
 }
 
-/// A size that makes no sense counts as none.
+/// A size that is negative or not finite counts as 0.
 fn size(fields: &Fields<'_>) -> Result<f64, FrameError> {
     let kb: f64 = parse("ram", find(fields, "ram").unwrap_or("0"))?;
     Ok(if kb.is_finite() { kb.max(0.0) } else { 0.0 })
 }
 
-/// A value that could not stand in a header identifies nobody.
+/// Returns `None` for a value that could not be used in a header.
 fn identity_value(fields: &Fields<'_>, name: &Option<String>) -> Option<CompactString> {
     name.as_deref()
         .and_then(|name| find(fields, name))
--- a/crates/proxy/src/frame/tests.rs
+++ b/crates/proxy/src/frame/tests.rs
@@ -24,7 +24,7 @@
     bytes.extend(b"more");
     let got = parse_frame(&bytes).unwrap().unwrap();
     assert_eq!(
-        (got.frame_type, got.stream, HEAD + got.payload.len()),
+        (got.frame_type, got.stream, HEAD_LENGTH + got.payload.len()),
         (REQUEST, 7, bytes.len() - 4)
     );
     let request = parse_request(got.payload, &IdentityFields::default()).unwrap();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn unusable_fields_are_named() {
+fn errors_name_the_invalid_field() {
     let error = |fields: &[(&str, &str)]| {
         parse_request(
             parse_frame(&frame(fields)).unwrap().unwrap().payload,
@@ -75,9 +75,9 @@
         );
     }
     let complete = frame(&FIELDS);
-    for cut in HEAD..complete.len() {
+    for cut in HEAD_LENGTH..complete.len() {
         assert_eq!(
-            parse_request(&complete[HEAD..cut], &IdentityFields::default()),
+            parse_request(&complete[HEAD_LENGTH..cut], &IdentityFields::default()),
             Err(FrameError::Truncated)
         );
     }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,6 +1,6 @@
-//! The HTTP/1.1 spoken with caches, parents and the origin: requests to bytes and bytes to responses, no I/O.
+//! The HTTP/1.1 codec for caches, parents and the origin: it encodes requests and parses responses. It does no I/O.
 //!
-//! The wire's names of headers and modes stand in `request` and `response` and nowhere past them.
+//! Only `request` and `response` use the header and mode names of the wire format.
 
 mod request;
 mod response;
@@ -12,7 +12,7 @@
 pub(crate) const MAX_HEAD: usize = 16_384;
 /// The longest body of a response, in bytes.
 pub(crate) const MAX_BODY: usize = 240_000;
-/// Interim responses that may come before the one that counts.
+/// Maximum number of interim responses before the final one.
 pub(crate) const MAX_INTERIM: u32 = 8;
 
 #[cfg(test)]
--- a/crates/proxy/src/http/request.rs
+++ b/crates/proxy/src/http/request.rs
@@ -1,4 +1,4 @@
-//! The request of one attempt. Each header of the wire is mapped to its term here:
+//! The request of one attempt. This module maps these terms to the headers of the wire format:
 //!
 //! | wire | term |
 //! | --- | --- |
@@ -6,12 +6,12 @@
 //! | `X-Wait-Ms` | timeout: how long this proxy waits for the response |
 //! | `Upstream` | source of a fill |
 //! | `Retain` | retention rank of a fill |
-//! | `Oldest-Ms` | greatest age of a copy that will do |
-//! | `Modes: ride` | join a fill that is under way |
-//! | `Modes: have-only` | the source gives only what it has cached |
+//! | `Oldest-Ms` | maximum age of an acceptable copy |
+//! | `Modes: ride` | join a fill in progress |
+//! | `Modes: have-only` | the source answers only from its cache |
 //! | `Modes: update` | revalidate a stale copy in the background |
 
-/// A request; one field or header each.
+/// A request to an endpoint.
 pub(crate) struct Request<'a> {
     pub host: &'a str,
     pub class: &'a str,
@@ -20,22 +20,23 @@
     pub request_id: &'a str,
     pub timeout_ms: i64,
     pub idempotency_key: Option<&'a str>,
-    /// Where to fill from.
+    /// The source of a fill.
     pub source: Option<&'a str>,
-    /// 0 for none.
+    /// Retention rank of a fill, or 0 for none.
     pub retention: u8,
-    /// 0 for the freshness lifetime of the class.
+    /// Maximum age of an acceptable copy, or 0 for the freshness lifetime of the class.
     pub max_age_ms: i64,
     pub join_fill: bool,
     pub cached_only: bool,
     pub revalidate: bool,
-    /// Tag of the copy that the client has.
+    /// Tag of the client's copy.
     pub known_version: Option<&'a str>,
     pub body: &'a [u8],
 }
 
 impl Request<'_> {
-    /// Appends the request, piece by piece: the formatting machinery would show in the cost of a hit.
+    /// Appends the request to `out`. It is written in pieces, because formatting macros would add noticeable cost to a
+    /// cache hit.
     pub(crate) fn write(&self, out: &mut Vec<u8>) {
         let mut digits = [
             itoa::Buffer::new(),
@@ -48,7 +49,7 @@
                 .iter()
                 .for_each(|piece| out.extend_from_slice(piece.as_bytes()))
         };
-        // Endpoints answer any method but this one with 400, also where a body comes along.
+        // Endpoints answer every method but GET with 400, even if the request has a body.
         put(&["GET /data/", self.class, "/", self.object_id, "/"]);
         put(&[part.format(self.part), " HTTP/1.1\r\n"]);
         put(&["Host: ", self.host, "\r\nX-Req: ", self.request_id]);
@@ -72,12 +73,12 @@
             (self.cached_only, "have-only"),
             (self.revalidate, "update"),
         ];
-        let mut before = "Modes: ";
+        let mut separator = "Modes: ";
         for (_, mode) in modes.into_iter().filter(|m| m.0) {
-            put(&[before, mode]);
-            before = "+";
+            put(&[separator, mode]);
+            separator = "+";
         }
-        if before == "+" {
+        if separator == "+" {
             put(&["\r\n"]);
         }
         if !self.body.is_empty() {
--- a/crates/proxy/src/http/response.rs
+++ b/crates/proxy/src/http/response.rs
@@ -1,11 +1,11 @@
-//! The head of an endpoint's response. Each header of the wire is mapped to its term here:
+//! The head of an endpoint's response. This module maps the headers of the wire format to these terms:
 //!
 //! | wire | term |
 //! | --- | --- |
-//! | `X-Not-Run` | the request never ran |
+//! | `X-Not-Run` | not run: the request never ran |
 //! | `X-Cache` | cache status |
 //! | `Version` | tag of the copy |
-//! | `Source-Ms` | time to the first byte of the source of a fill |
+//! | `Source-Ms` | time to the first byte from the source of a fill |
 //! | `X-Load` | load report |
 
 use super::{MAX_BODY, MAX_HEAD};
@@ -13,14 +13,14 @@
 use smallvec::SmallVec;
 use std::fmt;
 
-/// Headers that a response may have.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 32;
-/// Status of a response that changes the protocol: final, and never requested.
+/// Status of a response that switches the protocol. It is a final response, and this proxy never requests it.
 const SWITCHING_PROTOCOLS: u16 = 101;
-/// Status of a response that says that the client's copy is current.
+/// Status of a response without a body because the client's copy is current.
 const NOT_MODIFIED: u16 = 304;
 
-/// Values of `X-Cache` in the platform's order.
+/// Values of `X-Cache`, in the platform's order.
 const CACHE_STATUSES: [&str; 10] = [
     "TCP_HIT",
     "TCP_MISS",
@@ -34,42 +34,42 @@
     "ROOT_FAIL",
 ];
 
-/// Named values that an endpoint reports of its load.
+/// Named values of an endpoint's load.
 pub(crate) type LoadReport = SmallVec<[(CompactString, f64); 4]>;
 
 /// The head of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Response {
     pub status: u16,
-    /// The endpoint says that the request never ran.
+    /// Whether the endpoint reports that the request never ran.
     pub not_run: bool,
-    /// Place of the cache status in the platform's order, from 1; 0 for none.
+    /// Position of the cache status in the platform's order, counted from 1, or 0 if there is no known status.
     pub cache_status: usize,
-    /// Time that the endpoint waited for the first byte of its source.
+    /// Time that the endpoint waited for the first byte from its source, in milliseconds.
     pub first_byte_ms: Option<f64>,
-    /// Tag of the copy, as it came.
+    /// Tag of the copy, as received.
     pub version: Option<CompactString>,
     pub load_report: LoadReport,
     /// Length of the head, in bytes.
     pub head_length: usize,
     /// Length of the body, in bytes.
     pub body_length: usize,
-    /// The endpoint closes the connection behind it.
+    /// Whether the endpoint closes the connection after the response.
     pub closes: bool,
 }
 
 impl Response {
-    /// Whether another response will come behind it.
+    /// Whether this is an interim response, which another response follows.
     pub(crate) fn is_interim(&self) -> bool {
         (100..200).contains(&self.status) && self.status != SWITCHING_PROTOCOLS
     }
 
-    /// Bytes of head and body.
+    /// Length of head and body, in bytes.
     pub(crate) fn length(&self) -> usize {
         self.head_length + self.body_length
     }
 
-    /// Whether it names the copy with this tag, quoted or bare.
+    /// Whether the response is for the copy with this tag. Quotes and a `W/` prefix are ignored.
     pub(crate) fn has_version(&self, tag: &str) -> bool {
         let bare = |text: &str| text.trim_start_matches("W/").trim_matches('"').to_owned();
         self.version
@@ -78,15 +78,15 @@
     }
 }
 
-/// Why a response cannot be used. The endpoint is at fault, and the request may have run.
+/// Why a response is invalid. The endpoint is at fault, and the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseError {
     MalformedHead,
     Oversized,
-    /// No length that is understood here, so that the end of the body is unknown.
+    /// The length is missing or in an unsupported form, so the end of the body is unknown.
     MissingLength,
     InvalidLength,
-    /// More interim responses than any endpoint has reason to send.
+    /// The endpoint sent more interim responses than are allowed.
     TooManyInterim,
 }
 
@@ -96,7 +96,7 @@
             ResponseError::MalformedHead => "malformed head",
             ResponseError::Oversized => "oversized head or body",
             ResponseError::MissingLength => "no length",
-            ResponseError::TooManyInterim => "interim answers without end",
+            ResponseError::TooManyInterim => "too many interim responses",
             ResponseError::InvalidLength => "contradicting or unreadable length",
         })
     }
@@ -104,7 +104,7 @@
 
 impl std::error::Error for ResponseError {}
 
-/// The head of the response at the front of `bytes`, once it is complete.
+/// Parses the head of the response at the start of `bytes`. Returns `None` until the head is complete.
 pub(crate) fn parse_response(bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -129,7 +129,7 @@
     for header in parsed.headers.iter() {
         read_header(&mut response, &mut length, header)?;
     }
-    // A response of "not modified" has no body, whatever length it says; nor has an interim one.
+    // A "not modified" response and an interim response have no body, whatever their `Content-Length`.
     let bodiless = response.status == NOT_MODIFIED || response.is_interim();
     response.body_length = if bodiless {
         0
@@ -157,13 +157,13 @@
             return Err(ResponseError::InvalidLength);
         }
     } else if is("Transfer-Encoding") {
-        // Not spoken here; its chunk marks would be passed on as bytes of the object.
+        // Transfer codings are not supported: chunk headers would be forwarded as bytes of the object.
         return Err(ResponseError::MissingLength);
     } else if is("X-Not-Run") {
         response.not_run = text == "1";
     } else if is("X-Cache") {
-        let place = CACHE_STATUSES.iter().position(|name| *name == text);
-        response.cache_status = place.map_or(0, |at| at + 1);
+        let position = CACHE_STATUSES.iter().position(|name| *name == text);
+        response.cache_status = position.map_or(0, |at| at + 1);
     } else if is("Version") {
         response.version = Some(CompactString::new(text));
     } else if is("Source-Ms") {
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-/// Digits alone: a sign would be read by one peer and not by another.
+/// Accepts only digits, because some peers accept a sign and others do not.
 fn parse_length(text: &str) -> Result<usize, ResponseError> {
     let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     text.parse()
@@ -188,7 +188,7 @@
         .ok_or(ResponseError::InvalidLength)
 }
 
-/// Pairs of `name:value` between semicolons; those that cannot be read are left out.
+/// Parses pairs of `name:value` separated by semicolons. Unreadable pairs are skipped.
 fn parse_load_report(text: &str) -> LoadReport {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
     let read = |(name, value): (&str, &str)| {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,15 +1,15 @@
-//! The router on sockets: the program `meadowrill`. It is configured by the file that `BALANCER_CONFIG` names, and by the
-//! settings of operators beside it.
+//! The program `meadowrill`: a traffic router with its network I/O. The file named by the environment variable
+//! `BALANCER_CONFIG` and an optional settings file for operators configure it.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `cli` | the command line and its commands |
-//! | `config` | the configuration: keys, defaults, checks |
-//! | `proxy` | the event loop round the router, and what becomes of a request |
+//! | `cli` | the command line and its sub-commands |
+//! | `config` | the configuration: keys, defaults and validation |
+//! | `proxy` | the event loop around the router, and request handling |
 //! | `net` | connections and datagrams |
-//! | `frame`, `http` | the wire to clients and to endpoints |
-//! | `relay` | the command that hands on events |
-//! | `report` | tables, metrics and log lines for operators |
+//! | `frame`, `http` | the wire protocols to clients and to endpoints |
+//! | `relay` | the sub-command that forwards events to subscribers |
+//! | `report` | tables, JSON, metrics and log lines for operators |
 
 mod buffer;
 mod cli;
@@ -38,11 +38,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Connections that may wait to be accepted; the kernel cuts it to what the machine allows.
+/// Connections that may wait to be accepted. The kernel reduces this number to the host's maximum.
 const LISTEN_BACKLOG: i32 = 4096;
 
-/// Runs the program by its command line. `benchmark_counts` adds what a benchmark's build counts, for operators who ask
-/// for it.
+/// Parses the command line and runs the program. `benchmark_counts` returns the counters of a benchmark build, which
+/// operators can query.
 pub fn main(benchmark_counts: Option<fn() -> String>) -> ExitCode {
     match cli::run(Cli::parse().command, benchmark_counts) {
         Ok(()) => ExitCode::SUCCESS,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads the configuration and serves until a signal ends it.
+/// Reads the configuration and serves until a signal stops the process.
 fn serve(settings: Option<PathBuf>, counts: Option<fn() -> String>) -> Result<(), Error> {
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| Error::NotConfigured)?;
     let config = Config::load(path.into(), settings)?;
@@ -72,14 +72,14 @@
     let ended = proxy::Proxy::new(config, listener, &events, log.clone(), counts)
         .and_then(|mut proxy| proxy.run(&mut events))
         .map_err(|e| {
-            crit!(log, "ended"; "error" => %e);
+            crit!(log, "proxy failed"; "error" => %e);
             Error::Io(e)
         });
     logging.end();
     ended
 }
 
-/// Opens the listener for clients, with a longer queue than the library's.
+/// Opens the listener for clients. Its accept queue is longer than the standard library's default.
 fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
     let failed = |error: io::Error| Error::Listen { address, error };
     let listener = TcpListener::bind(address).map_err(failed)?;
@@ -87,8 +87,8 @@
     Ok(listener)
 }
 
-/// Makes the event loop, which receives signals as well. To be called before the log's thread starts, so that it leaves
-/// signals to the loop.
+/// Creates the event loop, which also receives signals. This function must be called before the logging thread starts,
+/// so that the thread leaves signals to the event loop.
 fn event_loop() -> Result<EventLoop<'static, net::ReadyEvents>, Error> {
     let events =
         EventLoop::try_new().map_err(|e| Error::EventLoop(io::Error::other(e.to_string())))?;
@@ -114,7 +114,8 @@
     Ok(events)
 }
 
-/// Has panics logged with their place; the usual report would wait for whoever reads standard error.
+/// Installs a hook that logs panics with their location. The default hook would block while nobody reads standard
+/// error.
 fn log_panics(log: &Logger) {
     let log = log.clone();
     std::panic::set_hook(Box::new(
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,4 @@
-//! The program's log. Logging never waits for a reader of the log: a thread of its own writes the lines.
+//! The program's log. A dedicated thread writes the lines, so logging never blocks on a slow reader of the log.
 
 use crate::config::LogLevel;
 use meadowrill_settings::Form;
@@ -6,28 +6,28 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Lines that may wait to be written; further ones are dropped and counted.
+/// Lines that may wait to be written. Further lines are dropped and counted.
 const QUEUE_LENGTH: usize = 1024;
-/// How long the end of the process waits for the last lines to be written.
+/// How long the process waits at its end for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The log of one process. [`Log::end`] writes its last lines.
+/// The log of one process. [`Log::end`] flushes it.
 pub(crate) struct Log {
     pub(crate) logger: Logger,
     guard: slog_async::AsyncGuard,
 }
 
 impl Log {
-    /// Starts the log on standard error. The fields of `process` stand in each line.
+    /// Starts the log on standard error. Each line carries the fields of `process`.
     pub(crate) fn start<T>(form: Form, level: LogLevel, process: OwnedKV<T>) -> Log
     where
         T: SendSyncRefUnwindSafeKV + 'static,
     {
-        // A log that cannot be written is no reason to end.
+        // Write errors are ignored: a log that cannot be written must not end the process.
         let (drain, guard) = match form {
             Form::Text => {
                 let plain = slog_term::PlainDecorator::new(std::io::stderr());
-                queued(
+                async_drain(
                     slog_term::FullFormat::new(plain)
                         .use_utc_timestamp()
                         .build()
@@ -35,7 +35,7 @@
                 )
             }
             Form::Json => {
-                queued(Mutex::new(slog_json::Json::default(std::io::stderr())).ignore_res())
+                async_drain(Mutex::new(slog_json::Json::default(std::io::stderr())).ignore_res())
             }
         };
         let drain = Filter::new(drain, move |line| level.shows(line.level())).ignore_res();
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Waits for the last lines to be written, but not for a reader of the log that has stopped reading.
+    /// Waits up to [`FLUSH_TIMEOUT`] for the last lines to be written. A reader that has stopped reading does not block
+    /// it.
     pub(crate) fn end(self) {
         let Log { logger, guard } = self;
         let (done, written) = std::sync::mpsc::channel();
@@ -58,8 +59,8 @@
     }
 }
 
-/// Has a thread of its own write the lines.
-fn queued<D>(lines: D) -> (slog_async::Async, slog_async::AsyncGuard)
+/// Starts a thread that writes the lines to the drain, and a bounded queue in front of it.
+fn async_drain<D>(lines: D) -> (slog_async::Async, slog_async::AsyncGuard)
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see the library beside it.
+//! The entry point of the program `meadowrill`. The library crate holds the implementation.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/net/clients/receiving.rs
+++ b/crates/proxy/src/net/clients/receiving.rs
@@ -148,7 +148,7 @@
                 error: FrameError::UnreadableField("type"),
             },
         };
-        Ok(Some((parsed, frame::HEAD + payload.len())))
+        Ok(Some((parsed, frame::HEAD_LENGTH + payload.len())))
     }
 
     fn parse_request_frame(
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,8 @@
-//! `meadowrill relay`: a process that passes numbered events on, or publishes those of the discovery service, over one
-//! datagram socket. It serves no clients.
+//! `meadowrill relay`: a process that forwards numbered events, or publishes the events of the discovery service, over
+//! one datagram socket. It serves no clients.
 //!
-//! What it does is decided in `meadowrill_event_distribution`; this module carries datagrams, time and updates of the
-//! discovery service to it, and carries its outputs out.
+//! The protocol logic is in `meadowrill_event_distribution`. This module passes datagrams, the time and updates of the
+//! discovery service to it, and executes its outputs.
 
 mod feed;
 mod progress;
@@ -19,7 +19,7 @@
 use crate::net::discovery::{log_event, DiscoveryClient, Notice, Update};
 use crate::net::operators::Operators;
 use crate::net::{Key, Poll, ReadyEvents};
-use crate::report::{self, distribution::FeedReport};
+use crate::report::{self, distribution::RelayReport};
 use calloop::EventLoop;
 use meadowrill_event_distribution::event::{Event, Purge, PurgeKey};
 use meadowrill_event_distribution::output::Output;
@@ -31,18 +31,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Interval of housekeeping: the discovery service, and how far `done` has come.
+/// Interval at which the discovery client is maintained and the progress of `done` is updated.
 const TICK_INTERVAL: Micros = 250_000;
-/// Bytes of datagrams that the kernel is asked to hold in each direction; it gives what the host allows.
+/// Requested size of the kernel's socket buffer in each direction, in bytes. The kernel grants what the host allows.
 const SOCKET_BUFFER: usize = 4 << 20;
 
-/// Runs a relay until a signal to end.
+/// Runs a relay or publisher until a signal stops it.
 pub(crate) fn start(path: &Path) -> Result<(), Error> {
     let settings = RelaySettings::load(path)?;
     let mut events = crate::event_loop()?;
     let level = LogLevel::new(slog::Level::Info);
     let logging = Log::start(
-        settings.own.log,
+        settings.file.log,
         level,
         o!("relay" => settings.name().to_string()),
     );
@@ -51,7 +51,7 @@
     let ended =
         Relay::new(settings, &events, log.clone()).and_then(|mut relay| relay.run(&mut events));
     let ended = ended.map_err(|e| {
-        crit!(log, "ended"; "error" => %e);
+        crit!(log, "relay failed"; "error" => %e);
         Error::Io(e)
     });
     logging.end();
@@ -66,13 +66,13 @@
     datagrams: Datagrams,
     feed: Feed,
     outputs: Vec<Output>,
-    /// Of a publisher: where its events come from.
+    /// Set for a publisher: the source of its events.
     discovery: Option<DiscoveryClient>,
     operators: Option<Operators>,
     tick_at: Micros,
     report_at: Option<Micros>,
     progress: Progress,
-    ending: bool,
+    shutting_down: bool,
 }
 
 impl Relay {
@@ -88,7 +88,7 @@
         enlarge_buffers(&socket);
         let datagrams = Datagrams::new(socket, &poll)?;
         let operators = settings
-            .own
+            .file
             .socket
             .as_ref()
             .map(|path| Operators::listen(Path::new(path), &poll));
@@ -116,15 +116,15 @@
             tick_at: now,
             report_at: settings.report_every().map(|every| now + every),
             progress: Progress::new(now),
-            ending: false,
+            shutting_down: false,
             settings,
         })
     }
 
     fn run(&mut self, events: &mut EventLoop<'static, ReadyEvents>) -> io::Result<()> {
         let mut ready_events = ReadyEvents::new();
-        while !self.ending {
-            if self.poll.wait(self.pause(), &mut ready_events)? {
+        while !self.shutting_down {
+            if self.poll.wait(self.poll_timeout(), &mut ready_events)? {
                 events
                     .dispatch(Some(Duration::ZERO), &mut ready_events)
                     .map_err(io::Error::other)?;
@@ -137,24 +137,24 @@
                 self.handle_ready(key, ready, now);
             }
             self.tick(now);
-            self.carry_out();
+            self.process_outputs();
         }
         info!(self.log, "ended");
         Ok(())
     }
 
-    fn pause(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         if self.datagrams.has_unread() {
             return Duration::ZERO;
         }
-        let next = self
+        let next_wake = self
             .report_at
             .iter()
             .fold(self.feed.next_wake().min(self.tick_at), |next, at| {
                 next.min(*at)
             });
-        let pause = next - self.clock.now();
-        Duration::from_micros(pause.max(0) as u64)
+        let remaining = next_wake - self.clock.now();
+        Duration::from_micros(remaining.max(0) as u64)
     }
 
     fn handle_ready(&mut self, key: Key, ready: calloop::Readiness, now: Micros) {
@@ -176,9 +176,9 @@
             Key::Report => self.report(now).log(&self.log),
             Key::Signal => {
                 info!(self.log, "shutting down");
-                self.ending = true;
+                self.shutting_down = true;
             }
-            // There are none of these here.
+            // A relay registers no sources with these keys.
             Key::Endpoint(_)
             | Key::Client(_)
             | Key::Listener
@@ -206,7 +206,7 @@
         }
     }
 
-    /// One step with the discovery service, and what it brought.
+    /// Runs one step of the discovery client, and processes the notices that it returns.
     fn with_discovery(
         &mut self,
         now: Micros,
@@ -225,7 +225,7 @@
                     group,
                     issued_at,
                 }) => {
-                    // Of both, the object is meant.
+                    // If the invalidation has both an object and a group, it applies to the object.
                     let key = object.map_or(PurgeKey::Group(group), PurgeKey::Object);
                     let purge = Purge {
                         key,
@@ -233,7 +233,7 @@
                     };
                     self.feed.publish(now, Event::Purge(purge));
                 }
-                // Proxies have the endpoint list from the discovery service itself.
+                // Proxies receive the endpoint list from the discovery service directly.
                 Notice::Update(Update::Endpoints { .. }) => {}
                 Notice::Event(event) => log_event(&self.log, &event),
                 Notice::Missed(missed) => {
@@ -246,7 +246,7 @@
         self.feed.set_lag(lag_since);
     }
 
-    fn carry_out(&mut self) {
+    fn process_outputs(&mut self) {
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => self.datagrams.send(to, &bytes),
@@ -258,12 +258,12 @@
         }
     }
 
-    fn report(&self, now: Micros) -> FeedReport {
+    fn report(&self, now: Micros) -> RelayReport {
         let status = self.feed.status(now);
         let done_age = self
             .progress
             .stalled_for(now, status.in_force, self.feed.published());
-        FeedReport {
+        RelayReport {
             name: self.settings.name().to_string(),
             upstream: self.feed.upstream(now),
             done_age,
@@ -280,13 +280,13 @@
 
     fn metrics(&self, now: Micros) -> String {
         let report = self.report(now);
-        let mut registry = Registry::with_prefix(report::distribution::PREFIX);
+        let mut registry = Registry::with_prefix(report::distribution::METRIC_PREFIX);
         if report.status.in_force.is_some() {
             let help = "Time from when an event was told until it was in force everywhere";
             registry.register("in_force_seconds", help, self.progress.durations());
         }
         registry.register_collector(Box::new(report.metrics()));
-        report::encoded(&[registry])
+        report::encode_registries(&[registry])
     }
 
     fn answer_operator(&mut self, number: u64, now: Micros) {
@@ -303,16 +303,16 @@
         self.operators = Some(operators);
     }
 
-    /// Checks the settings file as it is now; a change takes effect at the next start.
+    /// Reads and validates the settings file again. Changes take effect only at the next start.
     fn reload(&mut self) {
         match self.settings.read_again() {
-            Err(faulty) => {
-                error!(self.log, "new settings rejected, keeping the current ones"; "key" => &faulty.key,
-                "reason" => &faulty.problem)
+            Err(error) => {
+                error!(self.log, "new settings rejected, keeping the current ones"; "key" => &error.key,
+                "reason" => &error.problem)
             }
-            Ok(fresh) => {
+            Ok(new_settings) => {
                 info!(self.log, "settings reloaded");
-                for key in self.settings.changed_keys(&fresh) {
+                for key in self.settings.changed_keys(&new_settings) {
                     warn!(self.log, "takes effect at the next start only"; "key" => key);
                 }
             }
@@ -320,7 +320,7 @@
     }
 }
 
-/// Asks for larger socket buffers; a host that allows less is no reason to end.
+/// Requests larger socket buffers. A host that allows less is not an error.
 fn enlarge_buffers(socket: &UdpSocket) {
     let _ = rustix::net::sockopt::set_socket_recv_buffer_size(socket, SOCKET_BUFFER);
     let _ = rustix::net::sockopt::set_socket_send_buffer_size(socket, SOCKET_BUFFER);
--- a/crates/proxy/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -1,4 +1,4 @@
-//! What serves subscribers: a relay, or a publisher.
+//! The component that serves subscribers: a relay or a publisher.
 
 use super::settings::RelaySettings;
 use meadowrill_event_distribution::event::{Event, LogPosition};
@@ -17,20 +17,32 @@
 
 impl Feed {
     pub(super) fn new(settings: &RelaySettings, now: Micros) -> Feed {
-        let (plan, relay) = (settings.events.clone(), settings.relay.plan.clone());
-        let me = Identity {
+        let (distribution, relay) = (settings.events.clone(), settings.relay.plan.clone());
+        let identity = Identity {
             name: settings.name().to_string(),
             incarnation: now.max(0) as u64,
             address: settings.fleet.advertise,
-            region: settings.own.region.clone(),
+            region: settings.file.region.clone(),
             zone: settings.fleet.zone.clone(),
         };
-        // Relays that start at one moment must not draw the same backoffs.
+        // The name is part of the seed, so that relays that start at the same time do not choose the same backoffs.
         let seed = now as u64 ^ stable_id(settings.name());
         if settings.relay.publish.is_some() {
-            Feed::Publisher(Box::new(Publisher::new(plan, relay, me, now, seed)))
+            Feed::Publisher(Box::new(Publisher::new(
+                distribution,
+                relay,
+                identity,
+                now,
+                seed,
+            )))
         } else {
-            Feed::Relay(Box::new(Relay::new(plan, relay, me, now, seed)))
+            Feed::Relay(Box::new(Relay::new(
+                distribution,
+                relay,
+                identity,
+                now,
+                seed,
+            )))
         }
     }
 
@@ -62,7 +74,7 @@
         }
     }
 
-    /// How a relay follows the one above it; none for a publisher.
+    /// The status of a relay's own subscription to its upstream; `None` for a publisher.
     pub(super) fn upstream(&self, now: Micros) -> Option<SubscriberStatus> {
         match self {
             Feed::Relay(relay) => Some(relay.upstream(now)),
@@ -70,7 +82,7 @@
         }
     }
 
-    /// The last event that a publisher has published; none for a relay.
+    /// The position of the last event that a publisher has published; `None` for a relay.
     pub(super) fn published(&self) -> Option<LogPosition> {
         match self {
             Feed::Relay(_) => None,
@@ -84,14 +96,14 @@
         }
     }
 
-    /// Events of the discovery service are missing for good: copies from before now are not to be served.
+    /// Events of the discovery service are permanently missing. Subscribers must refuse copies from before `now`.
     pub(super) fn bound_missed(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         if let Feed::Publisher(publisher) = self {
             publisher.bound_missed(now, outputs);
         }
     }
 
-    /// Since when the discovery service may have held events back.
+    /// Sets the time since which the discovery service may have withheld events, or `None` if it withholds none.
     pub(super) fn set_lag(&mut self, since: Option<Micros>) {
         if let Feed::Publisher(publisher) = self {
             publisher.set_behind_since(since);
--- a/crates/proxy/src/relay/progress.rs
+++ b/crates/proxy/src/relay/progress.rs
@@ -1,24 +1,26 @@
-//! How a publisher's events get into force everywhere: how far `done` has come, and how long each event took.
+//! A publisher's progress: up to which position (`done`) its events are in force everywhere, and how long each event
+//! took.
 
 use crate::clock::seconds;
 use meadowrill_event_distribution::event::LogPosition;
 use meadowrill_routing::interface::Micros;
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 
-/// The state of a publisher's progress.
+/// The progress of a publisher.
 pub(super) struct Progress {
+    /// All events up to this position are in force everywhere.
     done: Option<LogPosition>,
-    /// When it advanced last, or covered all that was published.
+    /// When `done` last advanced or covered covers_all published events.
     advanced_at: Micros,
-    /// Events that were put in force everywhere.
+    /// Number of events that are in force everywhere.
     in_force: u64,
-    /// How long that took, in seconds.
+    /// Time until each event was in force everywhere, in seconds.
     durations: Histogram,
 }
 
 impl Progress {
     pub(super) fn new(now: Micros) -> Progress {
-        // From five milliseconds to some minutes.
+        // From five milliseconds to several minutes.
         let durations = Histogram::new(exponential_buckets(0.005, 2.0, 17));
         Progress {
             done: None,
@@ -28,23 +30,23 @@
         }
     }
 
-    /// Events that were put in force everywhere so far.
+    /// Number of events that are in force everywhere so far.
     pub(super) fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// How long that took.
+    /// Time until each event was in force everywhere.
     pub(super) fn durations(&self) -> Histogram {
         self.durations.clone()
     }
 
-    /// An event has been put in force everywhere.
+    /// Records that an event came into force everywhere after `took`.
     pub(super) fn record_in_force(&mut self, took: Micros) {
         self.in_force += 1;
         self.durations.observe(seconds(took));
     }
 
-    /// Takes note of how far `done` has come.
+    /// Records the current position of `done`.
     pub(super) fn update(
         &mut self,
         now: Micros,
@@ -57,8 +59,8 @@
         }
     }
 
-    /// For how long `done` has not advanced while something published is not in force everywhere; none where nothing is
-    /// published here.
+    /// How long `done` has not advanced while a published event is not in force everywhere. Returns `None` if this
+    /// process is not a publisher.
     pub(super) fn stalled_for(
         &self,
         now: Micros,
@@ -66,8 +68,8 @@
         published: Option<LogPosition>,
     ) -> Option<Micros> {
         let done = done?;
-        let all = Some(done) == published;
-        Some(if all || Some(done) != self.done {
+        let covers_all = Some(done) == published;
+        Some(if covers_all || Some(done) != self.done {
             0
         } else {
             now - self.advanced_at
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -10,8 +10,8 @@
 
 pub(super) struct RelaySettings {
     path: PathBuf,
-    /// All of the file.
-    pub(super) own: Settings,
+    /// All settings in the file.
+    pub(super) file: Settings,
     pub(super) fleet: Fleet,
     pub(super) events: DistributionSettings,
     pub(super) relay: Relay,
@@ -19,21 +19,21 @@
 
 impl RelaySettings {
     pub(super) fn load(path: &Path) -> Result<RelaySettings, ConfigError> {
-        let own = read_settings(path)?;
+        let file = read_settings(path)?;
         let missing = |key: &str| ConfigError {
             key: key.to_string(),
-            problem: format!("{}: is missing, and a relay needs it", path.display()),
+            problem: format!("{}: is missing, but a relay requires it", path.display()),
         };
         Ok(RelaySettings {
             path: path.to_path_buf(),
-            fleet: own.fleet.clone().ok_or_else(|| missing("fleet"))?,
-            events: own.events.clone().ok_or_else(|| missing("fleet.events"))?,
-            relay: own.relay.clone().ok_or_else(|| missing("fleet.relay"))?,
-            own,
+            fleet: file.fleet.clone().ok_or_else(|| missing("fleet"))?,
+            events: file.events.clone().ok_or_else(|| missing("fleet.events"))?,
+            relay: file.relay.clone().ok_or_else(|| missing("fleet.relay"))?,
+            file,
         })
     }
 
-    /// The file as it is now.
+    /// Reads and validates the settings file again.
     pub(super) fn read_again(&self) -> Result<RelaySettings, ConfigError> {
         RelaySettings::load(&self.path)
     }
@@ -42,27 +42,27 @@
         &self.relay.name
     }
 
-    /// Interval of reports in the log.
+    /// Interval of the periodic report in the log.
     pub(super) fn report_every(&self) -> Option<Micros> {
-        self.own
+        self.file
             .report_every
             .map(|seconds| (seconds * MICROS_PER_SECOND as f64) as Micros)
     }
 
-    /// The keys that are different in a later file.
-    pub(super) fn changed_keys(&self, fresh: &RelaySettings) -> Vec<&'static str> {
-        let (own, other) = (&self.own, &fresh.own);
+    /// The keys whose values differ in `new_settings`.
+    pub(super) fn changed_keys(&self, new_settings: &RelaySettings) -> Vec<&'static str> {
+        let (file, other) = (&self.file, &new_settings.file);
         let keys = [
-            ("log.form", own.log != other.log),
-            ("operators.socket", own.socket != other.socket),
+            ("log.form", file.log != other.log),
+            ("operators.socket", file.socket != other.socket),
             (
                 "operators.report_every_s",
-                own.report_every != other.report_every,
+                file.report_every != other.report_every,
             ),
-            ("fleet", self.fleet != fresh.fleet),
-            ("fleet.region", own.region != other.region),
-            ("fleet.events", self.events != fresh.events),
-            ("fleet.relay", self.relay != fresh.relay),
+            ("fleet", self.fleet != new_settings.fleet),
+            ("fleet.region", file.region != other.region),
+            ("fleet.events", self.events != new_settings.events),
+            ("fleet.relay", self.relay != new_settings.relay),
         ];
         keys.into_iter()
             .filter(|(_, differs)| *differs)
--- a/crates/proxy/src/report.rs
+++ b/crates/proxy/src/report.rs
@@ -1,15 +1,15 @@
-//! What operators are told: tables, JSON, lines of the log, and metrics. Their texts and names are read by scripts and
-//! dashboards, and stay as they are.
+//! Reports for operators: tables, JSON, log lines and metrics. Scripts and dashboards read their texts and names, which
+//! must not change.
 //!
 //! | module | subject |
 //! | --- | --- |
 //! | `admission` | admission control |
-//! | `availability` | whether this proxy serves anybody |
+//! | `availability` | whether this proxy serves any requests |
 //! | `fleet` | the membership view |
 //! | `replication` | the replicated state |
 //! | `distribution` | the distribution of events |
 //! | `resources` | buffers, and attempts in flight |
-//! | `collector` | metrics that are read when somebody asks |
+//! | `collector` | metrics that are collected on each scrape |
 
 pub(crate) mod admission;
 pub(crate) mod availability;
@@ -33,17 +33,17 @@
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
 
-/// Half a millisecond to two seconds.
+/// A histogram with buckets from half a millisecond to two seconds.
 fn wait_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0005, 2.0, 13))
 }
 
-/// A millisecond to over a minute.
+/// A histogram with buckets from a millisecond to over a minute.
 fn age_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 17))
 }
 
-/// What metrics are read from when somebody asks.
+/// The sources of the metrics that are collected on each scrape.
 pub(crate) struct MetricSources<'a> {
     pub(crate) admission: &'a AdmissionController,
     pub(crate) availability: &'a Availability,
@@ -51,7 +51,7 @@
     pub(crate) resources: Resources,
 }
 
-/// Histograms and event counts of the proxy; all other metrics are read when somebody asks.
+/// The histograms and event counters of the proxy. All other metrics are collected on each scrape.
 pub(crate) struct Metrics {
     waits: Family<Labels, Histogram>,
     replication_lags: Family<Labels, Histogram>,
@@ -75,36 +75,36 @@
 }
 
 impl Metrics {
-    /// A request waited for admission.
+    /// Records how long a request waited for admission.
     pub(crate) fn observe_wait(&self, tenant: &str, seconds: f64) {
         self.waits
             .get_or_create(&label("tenant", tenant))
             .observe(seconds);
     }
 
-    /// How old a record was when it came from another member of the fleet.
+    /// Records the age of a replicated record when it arrived from another member of the fleet.
     pub(crate) fn observe_replication_lag(&self, kind: &str, seconds: f64) {
         self.replication_lags
             .get_or_create(&label("kind", kind))
             .observe(seconds);
     }
 
-    /// How old an invalidation was when it was put in force.
+    /// Records the age of an invalidation when it came into force.
     pub(crate) fn observe_purge_age(&self, seconds: f64) {
         self.purge_ages.observe(seconds);
     }
 
-    /// The router rejected a request.
+    /// Counts a request that the router rejected.
     pub(crate) fn count_router_rejection(&self) {
         self.router_rejections.inc();
     }
 
-    /// Events of the discovery service were found to be missing for good.
+    /// Counts an occasion on which events of the discovery service turned out to be permanently missing.
     pub(crate) fn count_missed_events(&self) {
         self.missed_events.inc();
     }
 
-    /// In the text format that scrapers read.
+    /// Encodes all metrics in the text format for scrapers.
     pub(crate) fn encode(&self, sources: &MetricSources<'_>, now: Micros) -> String {
         let peers = sources.peers;
         let mut registry = Registry::with_prefix("meadowrill_door");
@@ -114,20 +114,21 @@
             self.waits.clone(),
         );
         registry.register_collector(Box::new(AdmissionCollector(sources.admission.report())));
-        let mut own = Registry::with_prefix("meadowrill_front");
-        own.register_collector(Box::new(AvailabilityCollector::new(sources.availability)));
-        own.register_collector(Box::new(resources::metrics(&sources.resources)));
-        own.register(
+        let mut proxy_registry = Registry::with_prefix("meadowrill_front");
+        proxy_registry
+            .register_collector(Box::new(AvailabilityCollector::new(sources.availability)));
+        proxy_registry.register_collector(Box::new(resources::metrics(&sources.resources)));
+        proxy_registry.register(
             "router_rejections",
             "Requests for which the router had no attempt to make, or none left",
             self.router_rejections.clone(),
         );
-        own.register(
+        proxy_registry.register(
             "discovery_events_missed",
             "Times that events of the discovery service were found to be missing for good",
             self.missed_events.clone(),
         );
-        let mut registries = vec![registry, own];
+        let mut registries = vec![registry, proxy_registry];
         if let Some(peers) = peers {
             let mut registry = Registry::with_prefix("meadowrill_fleet");
             registry.register_collector(Box::new(fleet::metrics(peers)));
@@ -141,18 +142,18 @@
             registries.push(registry);
         }
         if let Some(subscription) = peers.and_then(distribution::SubscriptionReport::new) {
-            let mut registry = Registry::with_prefix(distribution::PREFIX);
+            let mut registry = Registry::with_prefix(distribution::METRIC_PREFIX);
             let help = "How old purges were by their stamps when they were put in force, those of snapshots included";
             registry.register("purge_age_seconds", help, self.purge_ages.clone());
             registry.register_collector(Box::new(subscription.metrics(now)));
             registries.push(registry);
         }
-        encoded(&registries)
+        encode_registries(&registries)
     }
 }
 
-/// All registries as one text, with one end mark.
-pub(crate) fn encoded(registries: &[Registry]) -> String {
+/// Encodes all registries as one text with a single end-of-file marker.
+pub(crate) fn encode_registries(registries: &[Registry]) -> String {
     let (mut text, mut done) = (String::new(), Ok(()));
     for registry in registries {
         text.truncate(text.strip_suffix("# EOF\n").map_or(text.len(), str::len));
--- a/crates/proxy/src/report/admission.rs
+++ b/crates/proxy/src/report/admission.rs
@@ -1,5 +1,5 @@
-//! What operators are told of admission control: a table, lines of the log, and metrics. Names in them are bounded: tenants
-//! are those of the settings, clients the heaviest few of each.
+//! Reports on admission control: a table, log lines and metrics. The number of names in them is bounded: tenants come
+//! from the settings, and only the heaviest few clients of each tenant are named.
 
 use super::collector::{encode_counter, encode_gauge, label, unlabelled, Labels};
 use meadowrill_admission::report::{AdmissionReport, ClientReport, TenantCounters, TenantReport};
@@ -9,10 +9,10 @@
 use slog::{info, Logger};
 use std::fmt::{self, Write};
 
-/// Clients of a tenant that are named.
+/// Maximum number of clients that are named for each tenant.
 const MAX_NAMED_CLIENTS: usize = 4;
 
-/// The counters of admission control, read when somebody asks: nothing is counted twice.
+/// The counters of admission control, collected on each scrape so that no counter is kept twice.
 #[derive(Debug)]
 pub(super) struct AdmissionCollector(pub(super) AdmissionReport);
 
@@ -106,9 +106,9 @@
         }
         let mut rejected = Vec::new();
         for tenant in &self.0.tenants {
-            for (why, count) in RejectReason::ALL.into_iter().zip(tenant.counters.rejected) {
-                let why = label("why", &why.to_string());
-                rejected.push(([tenant_label(&tenant.name), why].concat(), count));
+            for (reason, count) in RejectReason::ALL.into_iter().zip(tenant.counters.rejected) {
+                let reason_label = label("why", &reason.to_string());
+                rejected.push(([tenant_label(&tenant.name), reason_label].concat(), count));
             }
         }
         encode_counter(encoder, "turned_away", "Lookups turned away", &rejected)
@@ -127,7 +127,7 @@
     }
 }
 
-/// Columns of the table.
+/// Column headings of the table.
 const COLUMNS: [&str; 9] = [
     "tenant",
     "weight",
@@ -142,7 +142,7 @@
 const FIRST_COLUMN_WIDTH: usize = 20;
 const COLUMN_WIDTH: usize = 12;
 
-/// Who holds capacity, for an operator to read.
+/// The use of capacity by tenants and clients, as a table.
 pub(crate) fn table(report: &AdmissionReport) -> String {
     let mut text = format!(
         "order {:?}, inside {} of {:.0} ({} overdue), waiting {}, booked {} (kept {}, missed {}, no place {})\n",
@@ -194,7 +194,7 @@
 }
 
 fn push_client(text: &mut String, client: &ClientReport) {
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
         "  {:<18}heard {}, waiting {}, inside {}, booked {}",
@@ -202,7 +202,7 @@
     );
 }
 
-/// The same as lines of the log, one a tenant.
+/// Logs the same report, with one additional line for each tenant.
 pub(crate) fn log(log: &Logger, report: &AdmissionReport) {
     info!(log, "admission control report"; "order" => ?report.discipline, "limit" => report.concurrency_limit.round(),
         "inside" => report.in_flight, "overdue" => report.overdue, "waiting" => report.waiting, "booked" => report.reserved,
@@ -220,7 +220,7 @@
             .filter(|(_, n)| *n > 0);
         info!(log, "admission control report of a tenant"; "name" => &tenant.name, "waiting" => tenant.waiting, "inside" => tenant.in_flight,
             "offered" => tenant.counters.offered, "let_in" => tenant.counters.admitted, "satisfied" => tenant.counters.succeeded,
-            "turned_away" => rejected.map(|(why, n)| format!("{why}:{n}")).collect::<Vec<_>>().join(" "),
+            "turned_away" => rejected.map(|(reason, n)| format!("{reason}:{n}")).collect::<Vec<_>>().join(" "),
             "loudest" => heaviest.collect::<Vec<_>>().join(" "));
     }
 }
--- a/crates/proxy/src/report/availability.rs
+++ b/crates/proxy/src/report/availability.rs
@@ -1,4 +1,4 @@
-//! What operators are told of this proxy's own service: whether it serves nobody, and since when.
+//! Metrics of this proxy's availability: whether it is in an outage, and since when.
 
 use super::collector::flag;
 use crate::clock::seconds;
@@ -9,10 +9,10 @@
 use prometheus_client::metrics::MetricType;
 use std::fmt;
 
-/// The outage as it was at one moment.
+/// The state of the outage at one time.
 #[derive(Debug)]
 pub(super) struct AvailabilityCollector {
-    /// In seconds of Unix time.
+    /// Unix time in seconds at which the current outage began.
     outage_since: Option<f64>,
 }
 
@@ -27,7 +27,7 @@
 
 impl Collector for AvailabilityCollector {
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
-        // Without a list of labels, which the text format would show even where it is empty.
+        // The gauges are encoded without a label set, because the text format would show even an empty one.
         let mut gauge = |name: &str, help: &str, value: f64| {
             let metric = encoder.encode_descriptor(name, help, None, MetricType::Gauge)?;
             ConstGauge::new(value).encode(metric)
--- a/crates/proxy/src/report/collector.rs
+++ b/crates/proxy/src/report/collector.rs
@@ -1,4 +1,4 @@
-//! Metrics that are read when somebody asks, so that nothing is counted twice.
+//! Metrics that are collected on each scrape, so that no counter is kept twice.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
@@ -17,17 +17,17 @@
     vec![(name.to_string(), value.to_string())]
 }
 
-/// The only value of a metric.
+/// The single value of a metric without labels.
 pub(crate) fn unlabelled<T>(value: T) -> Vec<(Labels, T)> {
     vec![(Labels::new(), value)]
 }
 
-/// 1 for true.
+/// 1 for true and 0 for false.
 pub(crate) fn flag(flag: bool) -> f64 {
     f64::from(u8::from(flag))
 }
 
-/// Counters and gauges as they were at one moment.
+/// The values of counters and gauges at one time.
 #[derive(Debug, Default)]
 pub(crate) struct MetricSnapshot {
     pub counters: Vec<Metric<u64>>,
--- a/crates/proxy/src/report/distribution.rs
+++ b/crates/proxy/src/report/distribution.rs
@@ -1,5 +1,5 @@
-//! What operators are told of the distribution of events: by a proxy of its subscription, by a relay of its subscribers. A
-//! table (`table`), the same as JSON (`json`), metrics (`metrics`), and lines of the log (`log`).
+//! Reports on the distribution of events. A proxy reports on its subscription, and a relay on its subscribers. A report
+//! is available as a table (`table`), as JSON (`json`), as metrics (`metrics`), and as log lines (`log`).
 
 mod json;
 mod log;
@@ -8,12 +8,14 @@
 
 pub(crate) use self::log::log_notice;
 
-use self::json::{counters_json, late_json, position_json, subscriber_json};
+use self::json::{counters_json, lagging_json, position_json, subscriber_json};
 use self::metrics::{
-    counter_metrics, feed_gauges, gauge, seconds, subscriber_gauges, unsent_metric,
+    counter_metrics, distributor_gauges, gauge, seconds, subscriber_gauges, unsent_metric,
     upstream_gauges, SUBSCRIBERS, UPSTREAM,
 };
-use self::table::{counter_rows, floor, late_text, milliseconds, position, subscriber_rows, Table};
+use self::table::{
+    counter_rows, floor_text, lagging_text, milliseconds, position_text, subscriber_rows, Table,
+};
 use super::collector::{unlabelled, Metric, MetricSnapshot};
 use crate::net::peers::Peers;
 use meadowrill_event_distribution::counters::Counters;
@@ -22,8 +24,8 @@
 use meadowrill_routing::interface::Micros;
 use serde_json::{json, Value};
 
-/// Prefix of the names of metrics.
-pub(crate) const PREFIX: &str = "meadowrill_events";
+/// Prefix of the metric names.
+pub(crate) const METRIC_PREFIX: &str = "meadowrill_events";
 
 /// The report of a proxy on its subscription.
 pub(crate) struct SubscriptionReport<'a> {
@@ -31,7 +33,7 @@
 }
 
 impl SubscriptionReport<'_> {
-    /// None where nothing is subscribed to.
+    /// Returns `None` if the proxy has no subscription.
     pub(crate) fn new(peers: &Peers) -> Option<SubscriptionReport<'_>> {
         peers
             .subscription
@@ -80,23 +82,23 @@
     }
 }
 
-/// The report of a relay.
-pub(crate) struct FeedReport {
+/// The report of a relay or publisher.
+pub(crate) struct RelayReport {
     pub name: String,
     pub status: DistributorStatus,
-    /// How it follows the one that feeds it; none where it publishes.
+    /// A relay's own subscription to its upstream; `None` for a publisher.
     pub upstream: Option<SubscriberStatus>,
-    /// Where it publishes: for how long `done` has not advanced while something published is not in force everywhere.
+    /// Publisher only: how long `done` has not advanced while a published event is not in force everywhere.
     pub done_age: Option<Micros>,
-    /// Where it publishes: for how long the discovery service may have held events back.
+    /// Publisher only: how long the discovery service may have withheld events.
     pub lag: Option<Micros>,
-    /// Events that were put in force everywhere.
+    /// Number of events that are in force everywhere.
     pub in_force: u64,
-    /// Datagrams that the kernel had no room for.
+    /// Datagrams that the kernel did not accept.
     pub unsent: u64,
 }
 
-impl FeedReport {
+impl RelayReport {
     fn role(&self) -> &'static str {
         if self.upstream.is_some() {
             "relay"
@@ -109,10 +111,10 @@
         let status = &self.status;
         let mut table = Table::default();
         table.row(self.role(), &self.name);
-        table.row("head", &position(Some(status.head)));
-        table.row("acknowledged", &position(Some(status.acknowledged)));
+        table.row("head", &position_text(Some(status.head)));
+        table.row("acknowledged", &position_text(Some(status.acknowledged)));
         if let Some(done) = status.in_force {
-            table.row("done", &position(Some(done)));
+            table.row("done", &position_text(Some(done)));
             table.row("done age", &self.done_age.map_or("-".into(), milliseconds));
             table.row("behind", &self.lag.map_or("-".into(), milliseconds));
         }
@@ -120,12 +122,12 @@
             "subscribers",
             &format!("{}, {} with a lease", status.subscribers, status.leases),
         );
-        for late in &status.lagging {
-            table.row("late", &late_text(late, status.head));
+        for subscriber in &status.lagging {
+            table.row("late", &lagging_text(subscriber, status.head));
         }
         table.row("window", &format!("{} bytes", status.window_bytes));
         table.row("purges", &status.purges.to_string());
-        table.row("floor", &floor(status.purge_floor, now));
+        table.row("floor", &floor_text(status.purge_floor, now));
         counter_rows(&mut table, &status.counters);
         table.row("unsent", &self.unsent.to_string());
         if let Some(upstream) = &self.upstream {
@@ -138,7 +140,7 @@
 
     pub(crate) fn json(&self, now: Micros) -> String {
         let status = &self.status;
-        let late: Vec<Value> = status.lagging.iter().map(late_json).collect();
+        let late: Vec<Value> = status.lagging.iter().map(lagging_json).collect();
         let all = json!({
             "role": self.role(), "name": self.name, "head": position_json(Some(status.head)),
             "acknowledged": position_json(Some(status.acknowledged)), "done": position_json(status.in_force),
@@ -160,7 +162,7 @@
         );
         let mut counters = counter_metrics(&sides);
         counters.push(unsent_metric(self.unsent));
-        let mut gauges = feed_gauges(&self.status);
+        let mut gauges = distributor_gauges(&self.status);
         if let Some(done) = self.status.in_force {
             gauges.extend(self.publisher_gauges(done));
             counters.push((
@@ -196,7 +198,7 @@
     }
 }
 
-/// Counters by their names in tables and JSON.
+/// Counters with their names in tables and JSON.
 fn counts(counters: &Counters) -> [(&'static str, u64); 8] {
     [
         ("events", counters.events),
@@ -210,7 +212,7 @@
     ]
 }
 
-/// Events that the relay has announced and that are not applied.
+/// Number of events that the relay has announced and the subscriber has not applied.
 fn lag(status: &SubscriberStatus) -> u64 {
     let Some(head) = status.relay_head else {
         return 0;
--- a/crates/proxy/src/report/distribution/json.rs
+++ b/crates/proxy/src/report/distribution/json.rs
@@ -1,4 +1,4 @@
-//! Reports as JSON. Its keys are read by scripts, and stay as they are.
+//! Reports as JSON. Scripts read the keys, which must not change.
 
 use super::{counts, lag};
 use meadowrill_event_distribution::counters::{Counters, RejectReason};
@@ -19,7 +19,7 @@
 pub(super) fn counters_json(counters: &Counters) -> Value {
     let rejected = RejectReason::ALL.iter().zip(counters.rejected);
     let rejected: serde_json::Map<String, Value> = rejected
-        .map(|(why, count)| (why.name().to_string(), count.into()))
+        .map(|(reason, count)| (reason.name().to_string(), count.into()))
         .collect();
     let mut all = json!({
         "sent": counters.sent, "sent_bytes": counters.sent_bytes, "received": counters.received,
@@ -31,9 +31,9 @@
     all
 }
 
-pub(super) fn late_json(late: &LaggingSubscriber) -> Value {
-    json!({"name": late.name, "acknowledged": position_json(late.acknowledged),
-        "lease_left_us": late.lease_remaining, "heard_ago_us": late.since_heartbeat})
+pub(super) fn lagging_json(subscriber: &LaggingSubscriber) -> Value {
+    json!({"name": subscriber.name, "acknowledged": position_json(subscriber.acknowledged),
+        "lease_left_us": subscriber.lease_remaining, "heard_ago_us": subscriber.since_heartbeat})
 }
 
 pub(super) fn position_json(at: Option<LogPosition>) -> Value {
--- a/crates/proxy/src/report/distribution/metrics.rs
+++ b/crates/proxy/src/report/distribution/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the distribution of events. Their names and help texts stay as they are.
+//! Metrics of the distribution of events. Their names and help texts must not change.
 
 use super::lag;
 pub(super) use crate::clock::seconds;
@@ -6,7 +6,7 @@
 use meadowrill_event_distribution::counters::{Counters, RejectReason};
 use meadowrill_event_distribution::status::{DistributorStatus, SubscriberStatus};
 
-/// The sides of a member, as labels tell them apart.
+/// Values of the label `side`, which separates a member's subscribers from its upstream.
 pub(super) const SUBSCRIBERS: &str = "subscribers";
 pub(super) const UPSTREAM: &str = "upstream";
 
@@ -22,7 +22,7 @@
     )
 }
 
-/// The counts of both sides of a member: towards its subscribers, and towards the relay that it follows.
+/// The counters of a member's sides: towards its subscribers, and towards the relay that it follows.
 pub(super) fn counter_metrics(sides: &[(&str, &Counters)]) -> Vec<Metric<u64>> {
     let labels = |side: &str| label("side", side);
     let count = |name, help, of: fn(&Counters) -> u64| {
@@ -34,7 +34,7 @@
     let rejected = sides.iter().flat_map(|(side, counters)| {
         let reasons = RejectReason::ALL.iter().zip(counters.rejected);
         reasons
-            .map(|(why, count)| ([labels(side), label("why", why.name())].concat(), count))
+            .map(|(reason, count)| ([labels(side), label("why", reason.name())].concat(), count))
             .collect::<Vec<_>>()
     });
     vec![
@@ -84,7 +84,7 @@
     gauges
 }
 
-pub(super) fn feed_gauges(status: &DistributorStatus) -> Vec<Metric<f64>> {
+pub(super) fn distributor_gauges(status: &DistributorStatus) -> Vec<Metric<f64>> {
     vec![
         gauge(
             "subscribers",
--- a/crates/proxy/src/report/distribution/table.rs
+++ b/crates/proxy/src/report/distribution/table.rs
@@ -1,4 +1,5 @@
-//! The tables of operators: a column of names and one of values. Their texts are read by scripts, and stay as they are.
+//! Tables for operators, with a column of names and a column of values. Scripts read their texts, which must not
+//! change.
 
 use super::{counts, lag};
 use meadowrill_event_distribution::counters::{Counters, RejectReason};
@@ -7,27 +8,27 @@
 use meadowrill_routing::interface::Micros;
 use std::fmt::Write;
 
-/// Width of the first column.
+/// Width of the first column, in characters.
 const NAME_WIDTH: usize = 14;
 
-/// A column of names and one of values.
+/// A table with a column of names and a column of values.
 #[derive(Default)]
 pub(super) struct Table(String);
 
 impl Table {
-    /// The whole text.
+    /// The text of the table.
     pub(super) fn into_text(self) -> String {
         self.0
     }
 
-    /// A line between two parts of the table.
+    /// Adds a heading line between two parts of the table.
     pub(super) fn heading(&mut self, text: &str) {
         self.0.push_str(text);
         self.0.push('\n');
     }
 
     pub(super) fn row(&mut self, name: &str, value: &str) {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(self.0, "{name:<NAME_WIDTH$}{value}");
     }
 }
@@ -40,8 +41,8 @@
             .position
             .map_or("-".into(), |at| at.epoch.0.to_string()),
     );
-    table.row("position", &position(status.relay_head));
-    table.row("watermark", &position(status.position));
+    table.row("position", &position_text(status.relay_head));
+    table.row("watermark", &position_text(status.position));
     table.row("lag", &format!("{} events", lag(status)));
     table.row(
         "lease",
@@ -58,7 +59,7 @@
         },
     );
     table.row("purges", &status.purges.to_string());
-    table.row("floor", &floor(status.purge_floor, now));
+    table.row("floor", &floor_text(status.purge_floor, now));
 }
 
 pub(super) fn counter_rows(table: &mut Table, counters: &Counters) {
@@ -76,7 +77,7 @@
         .zip(counters.rejected)
         .filter(|(_, count)| *count > 0);
     let rejected: Vec<String> = rejected
-        .map(|(why, count)| format!("{} {count}", why.name()))
+        .map(|(reason, count)| format!("{} {count}", reason.name()))
         .collect();
     table.row(
         "rejected",
@@ -89,31 +90,33 @@
     );
 }
 
-pub(super) fn late_text(late: &LaggingSubscriber, head: LogPosition) -> String {
-    let behind = late.acknowledged.filter(|at| at.epoch == head.epoch);
+pub(super) fn lagging_text(subscriber: &LaggingSubscriber, head: LogPosition) -> String {
+    let behind = subscriber.acknowledged.filter(|at| at.epoch == head.epoch);
     let behind = behind.map_or("of another epoch".into(), |at| {
         format!(
             "{} events behind",
             head.position.saturating_sub(at.position)
         )
     });
-    let lease = late.lease_remaining.map_or("no lease".into(), |left| {
-        format!("lease {} left", milliseconds(left))
-    });
+    let lease = subscriber
+        .lease_remaining
+        .map_or("no lease".into(), |left| {
+            format!("lease {} left", milliseconds(left))
+        });
     format!(
         "{}: {behind}, {lease}, heard {} ago",
-        late.name,
-        milliseconds(late.since_heartbeat)
+        subscriber.name,
+        milliseconds(subscriber.since_heartbeat)
     )
 }
 
-pub(super) fn position(at: Option<LogPosition>) -> String {
+pub(super) fn position_text(at: Option<LogPosition>) -> String {
     at.map_or("-".into(), |at| {
         format!("{} of epoch {}", at.position, at.epoch.0)
     })
 }
 
-pub(super) fn floor(floor: Option<Micros>, now: Micros) -> String {
+pub(super) fn floor_text(floor: Option<Micros>, now: Micros) -> String {
     floor.map_or("-".into(), |floor| {
         format!(
             "copies older than {} are refused",
--- a/crates/proxy/src/report/fleet.rs
+++ b/crates/proxy/src/report/fleet.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the membership of the fleet: a table, the same as JSON, and metrics.
+//! Reports on the fleet's membership: a table, the same as JSON, and metrics.
 
 use super::collector::{label, unlabelled, Metric, MetricSnapshot};
 use crate::clock::seconds;
@@ -9,15 +9,15 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// The state of a member, in the words of the operators' page: one known by name only is still joining.
-fn state(member: &Member) -> &'static str {
+/// The state of a member as shown to operators. An alive member of which only the name is known is shown as joining.
+fn state_name(member: &Member) -> &'static str {
     match member.claim.state {
         MemberState::Alive if member.revision == 0 => "joining",
         state => state.name(),
     }
 }
 
-fn own_state(view: &View) -> &'static str {
+fn own_state_name(view: &View) -> &'static str {
     match view.own().0.state {
         _ if view.is_withdrawn() => "gave-way",
         MemberState::Alive if !view.has_joined() => "joining",
@@ -25,7 +25,7 @@
     }
 }
 
-fn by(member: &Member) -> String {
+fn reported_by(member: &Member) -> String {
     match &member.suspicion {
         Some(suspicion) => suspicion
             .accusers
@@ -43,7 +43,7 @@
         format!("{} s", (now - at) / 1_000_000)
     });
     let (own, body) = view.own();
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
         "digest {:016x}  here {}  settled {settled}  own health {}",
@@ -51,13 +51,13 @@
         view.present_count(),
         view.health_score()
     );
-    let head = [
+    let header = [
         "who", "state", "since_s", "by", "rtt_ms", "zone", "weight", "version", "address", "start",
     ];
-    let mut rows = vec![head.map(str::to_string)];
+    let mut rows = vec![header.map(str::to_string)];
     rows.push([
         format!("{} (this)", view.name()),
-        own_state(view).into(),
+        own_state_name(view).into(),
         ((now - own.start as Micros) / 1_000_000).to_string(),
         String::new(),
         String::new(),
@@ -70,9 +70,9 @@
     for (name, member) in view.members() {
         rows.push([
             name.to_string(),
-            state(member).into(),
+            state_name(member).into(),
             ((now - member.state_since) / 1_000_000).to_string(),
-            by(member),
+            reported_by(member),
             member
                 .round_trip
                 .map_or(String::new(), |us| format!("{:.1}", us / 1000.0)),
@@ -83,7 +83,7 @@
             member.claim.start.to_string(),
         ]);
     }
-    let widths: Vec<usize> = (0..head.len())
+    let widths: Vec<usize> = (0..header.len())
         .map(|at| rows.iter().map(|row| row[at].len()).max().unwrap_or(0))
         .collect();
     for row in rows {
@@ -103,7 +103,7 @@
         .members()
         .map(|(name, m)| {
             json!({
-                "name": name, "state": state(m), "since_us": now - m.state_since, "by": by(m),
+                "name": name, "state": state_name(m), "since_us": now - m.state_since, "by": reported_by(m),
                 "round_trip_us": m.round_trip, "zone": m.body.zone, "weight": m.body.weight,
                 "version": m.body.version, "address": m.body.address, "start": m.claim.start,
                 "incarnation": m.claim.incarnation, "rev": m.revision,
@@ -111,7 +111,7 @@
         })
         .collect();
     let all = json!({
-        "name": view.name(), "state": own_state(view), "start": own.start, "incarnation": own.incarnation,
+        "name": view.name(), "state": own_state_name(view), "start": own.start, "incarnation": own.incarnation,
         "zone": body.zone, "version": body.version, "address": body.address,
         "digest": format!("{:016x}", view.digest()), "here": view.present_count(),
         "settled_us": view.settled_since().map(|at| now - at), "health": view.health_score(), "members": members,
@@ -119,7 +119,7 @@
     format!("{all}\n")
 }
 
-/// Counts of the view, and of what carries its messages.
+/// Metrics of the view and of the transport of its messages.
 pub(crate) fn metrics(peers: &Peers) -> MetricSnapshot {
     let mut counters = membership_counters(peers);
     counters.extend(transport_counters(peers));
@@ -163,50 +163,52 @@
     let (counts, streams) = (&peers.view().counters, &peers.streams);
     let dropped = counts.dropped.iter();
     let dropped = dropped
-        .map(|(why, n)| (label("why", why.name()), *n))
+        .map(|(reason, n)| (label("why", reason.name()), *n))
         .collect();
-    let spent = counts.bytes_sent_by_kind.iter();
-    let spent = spent.map(|(what, n)| (label("for", what), *n)).collect();
-    let one = |name, help, count| (name, help, unlabelled(count));
+    let sent_bytes = counts.bytes_sent_by_kind.iter();
+    let sent_bytes = sent_bytes
+        .map(|(what, n)| (label("for", what), *n))
+        .collect();
+    let unlabelled_counter = |name, help, count| (name, help, unlabelled(count));
     vec![
-        one(
+        unlabelled_counter(
             "datagrams_heard",
             "Datagrams heard",
             counts.messages_received,
         ),
-        one("bytes_heard", "Bytes heard", counts.bytes_received),
-        one("datagrams_sent", "Datagrams sent", counts.datagrams_sent),
+        unlabelled_counter("bytes_heard", "Bytes heard", counts.bytes_received),
+        unlabelled_counter("datagrams_sent", "Datagrams sent", counts.datagrams_sent),
         (
             "bytes_sent",
             "Bytes sent, by what they were sent for",
-            spent,
+            sent_bytes,
         ),
-        one(
+        unlabelled_counter(
             "held_back",
             "Parts of an exchange that waited for bytes a second",
             counts.deferred,
         ),
-        one(
+        unlabelled_counter(
             "unsent",
             "Datagrams that the kernel did not take",
             peers.datagrams.unsent,
         ),
-        one(
+        unlabelled_counter(
             "chunks_sent",
             "Parts of an exchange sent over streams",
             counts.chunks_sent,
         ),
-        one(
+        unlabelled_counter(
             "streams_opened",
             "Streams opened to other fronts",
             streams.opened,
         ),
-        one(
+        unlabelled_counter(
             "streams_lost",
             "Streams that ended with something unsent",
             streams.lost,
         ),
-        one(
+        unlabelled_counter(
             "streams_full",
             "Parts and streams for which there was no room",
             streams.full,
@@ -216,7 +218,11 @@
 }
 
 fn gauges(view: &View) -> Vec<Metric<f64>> {
-    let in_state = |name: &str| view.members().filter(|(_, m)| state(m) == name).count() as f64;
+    let in_state = |name: &str| {
+        view.members()
+            .filter(|(_, m)| state_name(m) == name)
+            .count() as f64
+    };
     let states = ["alive", "joining", "suspected", "dead", "left"];
     let settled_since = view.settled_since();
     vec![
--- a/crates/proxy/src/report/replication.rs
+++ b/crates/proxy/src/report/replication.rs
@@ -1,4 +1,5 @@
-//! What operators are told of the replicated state: by kind, record by record, the history of one key, and metrics.
+//! Reports on the replicated state: totals by record type, all entries, the history of one idempotency key, and
+//! metrics.
 
 use super::collector::{flag, label, unlabelled, Labels, Metric, MetricSnapshot};
 use meadowrill_replication::ledger::{key_status, KeyStatus, Ledger};
@@ -12,34 +13,36 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-fn kind(number: u32) -> String {
-    RecordType::from_wire(number)
-        .map_or_else(|| format!("kind {number}"), |kind| kind.name().to_string())
+fn record_type_name(number: u32) -> String {
+    RecordType::from_wire(number).map_or_else(
+        || format!("kind {number}"),
+        |record_type| record_type.name().to_string(),
+    )
 }
 
-/// Phases of an endpoint, by their numbers in its record.
+/// Names of the phases of an endpoint, indexed by their numbers in its record.
 const PHASES: [&str; 3] = ["ready", "draining", "gone"];
 
-/// The records by kind; and where the discovery service and other members differ on an endpoint.
+/// The records by type, and the endpoints on which the discovery service and the replicated record disagree.
 pub(crate) fn summary(replica: &Replica, now: Micros) -> String {
     let mut text = String::new();
     push_totals(&mut text, replica);
-    push_kinds(&mut text, replica, now);
+    push_record_types(&mut text, replica, now);
     push_conflicts(&mut text, replica);
     text
 }
 
 fn push_totals(text: &mut String, replica: &Replica) {
-    let yes = |flag: bool| if flag { "yes" } else { "no" };
-    // Writing to a text cannot fail, here and below.
+    let yes_or_no = |flag: bool| if flag { "yes" } else { "no" };
+    // Writing to a `String` cannot fail, here and below.
     let _ = writeln!(
         text,
         "digest {:016x}  records {}  caught up {}  vouches {}  news waiting {}",
         replica.map().digest(),
         replica.map().len(),
-        yes(replica.caught_up()),
+        yes_or_no(replica.caught_up()),
         if replica.ledger().is_some() {
-            yes(replica.can_vote())
+            yes_or_no(replica.can_vote())
         } else {
             "no ledger"
         },
@@ -47,20 +50,20 @@
     );
 }
 
-fn push_kinds(text: &mut String, replica: &Replica, now: Micros) {
+fn push_record_types(text: &mut String, replica: &Replica, now: Micros) {
     let (map, counts) = (replica.map(), &replica.counts);
     let _ = writeln!(
         text,
         "{:<10}{:>10}{:>12}{:>12}{:>12}{:>12}",
         "kind", "records", "bytes", "oldest_s", "as news", "repaired"
     );
-    for (number, held) in map.sizes().iter().filter(|(_, held)| held.entries > 0) {
-        let until = map
+    for (number, size) in map.sizes().iter().filter(|(_, size)| size.entries > 0) {
+        let expires_at = map
             .iter()
             .filter(|(key, _)| key.record_type == *number)
             .map(|(_, entry)| entry.expires_at)
             .min();
-        let left_seconds = until.map_or(0, |until| (until - now) / 1_000_000);
+        let remaining_seconds = expires_at.map_or(0, |expires_at| (expires_at - now) / 1_000_000);
         let count = |of: &BTreeMap<u32, u64>| of.get(number).copied().unwrap_or(0);
         let (news, repaired) = (
             count(&counts.merged_from_rumors),
@@ -69,10 +72,10 @@
         let _ = writeln!(
             text,
             "{:<10}{:>10}{:>12}{:>12}{news:>12}{repaired:>12}",
-            kind(*number),
-            held.entries,
-            held.bytes,
-            format!("ends {left_seconds}")
+            record_type_name(*number),
+            size.entries,
+            size.bytes,
+            format!("ends {remaining_seconds}")
         );
     }
 }
@@ -82,12 +85,12 @@
         let Some((id, start, phase, _)) = records::decode_endpoint(key, entry) else {
             continue;
         };
-        let listed = replica.reported_phase(&id);
-        if listed != Some((start, phase)) {
-            let listed = listed.map_or("nothing", |(_, phase)| PHASES[phase as usize]);
+        let reported = replica.reported_phase(&id);
+        if reported != Some((start, phase)) {
+            let reported = reported.map_or("nothing", |(_, phase)| PHASES[phase as usize]);
             let _ = writeln!(
                 text,
-                "machine {id}: {} by hearsay, the journal service says {listed}",
+                "machine {id}: {} by hearsay, the journal service says {reported}",
                 PHASES[phase as usize]
             );
         }
@@ -99,10 +102,10 @@
     let kinds: serde_json::Map<String, serde_json::Value> = map
         .sizes()
         .iter()
-        .map(|(number, held)| {
+        .map(|(number, size)| {
             (
-                kind(*number),
-                json!({"records": held.entries, "bytes": held.bytes}),
+                record_type_name(*number),
+                json!({"records": size.entries, "bytes": size.bytes}),
             )
         })
         .collect();
@@ -116,7 +119,7 @@
         + "\n"
 }
 
-/// Entry by entry, for `diff`: kind, name, rank, when it is over, a hash of all of it.
+/// All entries, one a line, for the sub-command `fleet diff`: type, name, rank, expiry and a hash of the record.
 pub(crate) fn entries(replica: &Replica) -> String {
     let mut text = String::new();
     for (key, entry) in replica.map().iter() {
@@ -125,7 +128,7 @@
         let _ = writeln!(
             text,
             "{} {name} {high}.{low} {} {:016x}",
-            kind(key.record_type).replace(' ', "-"),
+            record_type_name(key.record_type).replace(' ', "-"),
             entry.expires_at,
             record_hash(key, entry)
         );
@@ -133,10 +136,10 @@
     text
 }
 
-/// The history of one key: `IDEMPOTENCY-KEY CLASS`, as clients send them.
+/// The history of the claims to one key. `key` has the form `IDEMPOTENCY-KEY CLASS`, as clients send the two values.
 pub(crate) fn key_history(replica: &Replica, key: &str, now: Micros) -> String {
     let mut text = String::new();
-    for (ran, claim) in Ledger::claim_history(replica.map(), key.as_bytes()) {
+    for (state, claim) in Ledger::claim_history(replica.map(), key.as_bytes()) {
         let ago = |at: u64| (now - at as Micros) / 1000;
         let body = claim
             .body
@@ -147,7 +150,7 @@
         let _ = writeln!(
             text,
             "{}: {} (since {}), first {} ms ago, its client's time ended {} ms ago, {body}",
-            ran.name(),
+            state.name(),
             claim.holder,
             claim.incarnation,
             ago(claim.first_sent_at),
@@ -155,17 +158,17 @@
         );
     }
     let prefix = records::claim_prefix(key.as_bytes());
-    let says = match key_status(replica.map(), &prefix, None, replica.voters(), now) {
+    let status = match key_status(replica.map(), &prefix, None, replica.voters(), now) {
         KeyStatus::Unclaimed => "free: it may be asked for",
         KeyStatus::InProgress { .. } => "its outcome is waited for",
         KeyStatus::OutcomeLost { .. } => "it may have run: no more is known",
         KeyStatus::Completed { .. } => "it ran",
     };
-    let _ = writeln!(text, "now: {says}");
+    let _ = writeln!(text, "now: {status}");
     text
 }
 
-/// Counts of the replica and of its ledger.
+/// Metrics of the replica and of its ledger.
 pub(crate) fn metrics(replica: &Replica) -> MetricSnapshot {
     let mut counters = record_counters(replica);
     counters.extend(traffic_counters(replica));
@@ -178,9 +181,9 @@
 
 fn record_counters(replica: &Replica) -> Vec<Metric<u64>> {
     let counts = &replica.counts;
-    let by_kind = |of: &BTreeMap<u32, u64>| {
+    let by_type = |of: &BTreeMap<u32, u64>| {
         of.iter()
-            .map(|(number, n)| (label("kind", &kind(*number)), *n))
+            .map(|(number, n)| (label("kind", &record_type_name(*number)), *n))
             .collect()
     };
     let conflicts = vec![
@@ -191,12 +194,12 @@
         (
             "news",
             "Records taken in as news",
-            by_kind(&counts.merged_from_rumors),
+            by_type(&counts.merged_from_rumors),
         ),
         (
             "repairs",
             "Records found missing by a comparison, or handed over",
-            by_kind(&counts.merged_by_repair),
+            by_type(&counts.merged_by_repair),
         ),
         (
             "differed",
@@ -208,30 +211,30 @@
 
 fn traffic_counters(replica: &Replica) -> Vec<Metric<u64>> {
     let counts = &replica.counts;
-    let spent = counts.sent_bytes_by_type.iter();
-    let spent = spent
+    let sent_bytes = counts.sent_bytes_by_type.iter();
+    let sent_bytes = sent_bytes
         .map(|(what, n)| (label("for", what.name()), *n))
         .collect();
     let dropped = counts.dropped.iter();
     let dropped = dropped
-        .map(|(why, n)| (label("why", why.name()), *n))
+        .map(|(reason, n)| (label("why", reason.name()), *n))
         .collect();
-    let one = |name, help, count| (name, help, unlabelled(count));
+    let unlabelled_counter = |name, help, count| (name, help, unlabelled(count));
     vec![
-        one("messages_sent", "Messages sent", counts.sent),
+        unlabelled_counter("messages_sent", "Messages sent", counts.sent),
         (
             "bytes_sent",
             "Bytes sent, by what they were sent for",
-            spent,
+            sent_bytes,
         ),
-        one("bytes_heard", "Bytes heard", counts.received_bytes),
-        one(
+        unlabelled_counter("bytes_heard", "Bytes heard", counts.received_bytes),
+        unlabelled_counter(
             "held_back",
             "Comparisons that waited for bytes a second",
             counts.comparisons_delayed,
         ),
         ("dropped", "Messages dropped", dropped),
-        one(
+        unlabelled_counter(
             "displaced",
             "Records for which there was no room, or that made room",
             replica.map().displaced,
@@ -256,22 +259,25 @@
     (
         "ledger",
         "Keyed lookups, by what became of them at the ledger",
-        outcomes.map(|(word, n)| (label("word", word), n)).to_vec(),
+        outcomes
+            .map(|(outcome, n)| (label("word", outcome), n))
+            .to_vec(),
     )
 }
 
 fn gauges(replica: &Replica) -> Vec<Metric<f64>> {
-    let by_kind = |of: fn(&StoredSize) -> usize| -> Vec<(Labels, f64)> {
-        let held = replica.map().sizes().iter();
-        held.map(|(number, held)| (label("kind", &kind(*number)), of(held) as f64))
+    let by_type = |of: fn(&StoredSize) -> usize| -> Vec<(Labels, f64)> {
+        let sizes = replica.map().sizes().iter();
+        sizes
+            .map(|(number, size)| (label("kind", &record_type_name(*number)), of(size) as f64))
             .collect()
     };
     vec![
-        ("records", "Records held", by_kind(|held| held.entries)),
+        ("records", "Records held", by_type(|size| size.entries)),
         (
             "record_bytes",
             "Bytes of names and values held",
-            by_kind(|held| held.bytes),
+            by_type(|size| size.bytes),
         ),
         (
             "caught_up",
--- a/crates/proxy/src/report/resources.rs
+++ b/crates/proxy/src/report/resources.rs
@@ -1,13 +1,14 @@
-//! What operators are told of the resources that requests hold: buffers, and attempts in flight.
+//! Metrics of the resources that requests use: buffers and attempts in flight.
 
 use super::collector::{unlabelled, MetricSnapshot};
 
-/// Resources in use at one moment.
+/// The resources in use at one time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Resources {
     /// Memory of all buffers, in bytes.
     pub(crate) buffer_bytes: usize,
-    /// From here on responses are left with the kernel, and requests are rejected shortly before, in bytes.
+    /// Buffer memory in bytes from which responses are left unread in the kernel. Requests are rejected shortly before
+    /// it.
     pub(crate) buffer_limit: usize,
     /// Attempts in flight to all endpoints.
     pub(crate) attempts_in_flight: usize,
--- a/crates/proxy/src/sorted_vec.rs
+++ b/crates/proxy/src/sorted_vec.rs
@@ -1,4 +1,5 @@
-//! A small ordered set in one allocation: with an insert and a removal for each request, a tree would allocate each time.
+//! A small ordered set in a single allocation. Each request inserts and removes a value, and a tree would allocate each
+//! time.
 
 /// Values in ascending order, without duplicates.
 pub(crate) struct SortedVec<T>(Vec<T>);
