--- a/crates/proxy/src/config/level.rs
+++ b/crates/proxy/src/config/level.rs
@@ -13,7 +13,7 @@
         LogLevel(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
-    /// Whether the log shows lines of this level.
+    /// Whether lines of this level are written to the log.
     pub(crate) fn shows(&self, level: Level) -> bool {
         level.as_usize() <= self.0.load(Relaxed)
     }
--- a/crates/proxy/src/config/node.rs
+++ b/crates/proxy/src/config/node.rs
@@ -53,7 +53,7 @@
             .map_err(|_| self.error(format!("{text:?} is not an IP address with a port")))
     }
 
-    /// A number of at min `min`, or `default` if the key is missing.
+    /// A number of at least `min`, or `default` if the key is missing.
     pub(super) fn number(&self, default: f64, min: f64) -> Result<f64, ConfigError> {
         let Some(value) = self.value else {
             return Ok(default);
--- a/crates/proxy/src/relay/progress.rs
+++ b/crates/proxy/src/relay/progress.rs
@@ -10,7 +10,7 @@
 pub(super) struct Progress {
     /// All events up to this position are in force everywhere.
     done: Option<LogPosition>,
-    /// When `done` last advanced or covered covers_all published events.
+    /// When `done` last advanced or covered all published events.
     advanced_at: Micros,
     /// Number of events that are in force everywhere.
     in_force: u64,
