--- a/crates/event-distribution/src/counters.rs
+++ b/crates/event-distribution/src/counters.rs
@@ -1,27 +1,28 @@
-//! What one member counts since its start, and why it drops a datagram.
+//! Counters of one member, and the reasons for which it drops datagrams.
 
 use std::fmt;
 
-/// Why a datagram was dropped.
+/// The reason for which a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// Not of this kind, another version, garbled or truncated.
+    /// The envelope is of another kind or version, corrupt or truncated.
     Envelope,
-    /// From a member of another fleet.
+    /// The sender belongs to another fleet.
     OtherFleet,
-    /// A text or a number is out of bounds.
+    /// A string or a number is out of bounds.
     OutOfBounds,
-    /// From a publisher that another has replaced.
+    /// A newer epoch has replaced the epoch of the message.
     OldEpoch,
-    /// A position that nobody has published yet.
+    /// The reported position is beyond the log of the receiver, or the reported epoch leaves no larger one.
     AheadOfLog,
-    /// A position behind one that the same subscriber has reported.
+    /// The position is behind one that the same subscriber has reported before.
     PositionRegressed,
-    /// From an earlier start of the same name.
+    /// The sender is an earlier incarnation of the same name.
     OldIncarnation,
-    /// No more subscribers are taken.
+    /// The maximum number of subscribers is reached.
     Full,
-    /// An answer to a request that was not made, or a message for another role.
+    /// The message is a duplicate, arrived too early or too late, answers no outstanding request, or is meant for
+    /// another role.
     Unexpected,
 }
 
@@ -39,7 +40,7 @@
         RejectReason::Unexpected,
     ];
 
-    /// As metrics and operators name it.
+    /// Name of the reason in metrics and for operators.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Envelope => "envelope",
@@ -63,50 +64,50 @@
 
 impl std::error::Error for RejectReason {}
 
-/// What one member counted since its start.
+/// Counters of one member since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of those.
+    /// Bytes sent.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
-    /// Bytes of those.
+    /// Bytes received.
     pub received_bytes: u64,
     /// Events applied.
     pub events: u64,
     /// Batches applied, or sent to subscribers.
     pub batches: u64,
-    /// Batches with a gap before them, which made a request to send again.
+    /// Batches that arrived after a gap and caused a resend request.
     pub gaps: u64,
-    /// Requests of subscribers to send again.
+    /// Resend requests of subscribers.
     pub resend_requests: u64,
-    /// Snapshots begun, or sent to their end.
+    /// Snapshot fetches started, or snapshots sent completely.
     pub snapshots: u64,
-    /// Leases that ended and were not renewed.
+    /// Leases that expired without renewal.
     pub expired_leases: u64,
-    /// Times that another relay was chosen.
+    /// Changes to another relay.
     pub relay_changes: u64,
-    /// Answers to subscribers that they should retry later.
+    /// Heartbeats that were answered with a Retry-After.
     pub busy: u64,
     /// Datagrams dropped, by [`RejectReason`].
     pub rejected: [u64; RejectReason::ALL.len()],
 }
 
 impl Counters {
-    /// A datagram was dropped.
+    /// Counts a dropped datagram.
     pub fn reject(&mut self, reason: RejectReason) {
         self.rejected[reason as usize] += 1;
     }
 
-    /// A datagram of so many bytes was sent.
+    /// Counts a sent datagram and its size.
     pub(crate) fn record_sent(&mut self, bytes: usize) {
         self.sent += 1;
         self.sent_bytes += bytes as u64;
     }
 
-    /// A datagram of so many bytes was received.
+    /// Counts a received datagram and its size.
     pub(crate) fn record_received(&mut self, bytes: usize) {
         self.received += 1;
         self.received_bytes += bytes as u64;
--- a/crates/event-distribution/src/distributor.rs
+++ b/crates/event-distribution/src/distributor.rs
@@ -1,9 +1,10 @@
-//! The feeding side of a relay or a publisher: it answers the heartbeats of subscribers with events, snapshots and leases.
+//! The serving side of a relay or a publisher: it answers the heartbeats of subscribers with events, snapshots and
+//! leases.
 //!
 //! Invariants:
-//! - No subscriber that lacks what was reported upstream gets a lease (`lease_table`).
-//! - No lease is granted beyond what [`FeedSource::max_lease`] allows.
-//! - What a subscriber reports beyond the own log is not accepted.
+//! - No subscriber that is behind the position reported upstream gets a lease (`lease_table`).
+//! - No lease is longer than [`FeedSource::max_lease`].
+//! - A reported position beyond the own log is not accepted.
 
 mod admission;
 mod leasing;
@@ -24,17 +25,17 @@
 use std::net::SocketAddr;
 use subscription::Subscription;
 
-/// Datagrams of events that one subscriber gets at once.
+/// Maximum number of batches that one subscriber is sent at once.
 const MAX_BATCHES_AT_ONCE: usize = 16;
-/// A subscriber without a heartbeat for so many lease durations is removed.
-const FORGET_AFTER_LEASES: Micros = 4;
+/// A subscriber is removed after this many lease durations without a heartbeat.
+const SUBSCRIBER_TIMEOUT_LEASES: Micros = 4;
 
-/// What a member can hand on at this moment.
+/// The log from which a member currently serves its subscribers, and the limit on its leases.
 pub(crate) struct FeedSource<'a> {
     pub(crate) log: &'a EventLog,
-    /// The longest lease that may be granted now.
+    /// Maximum duration of a lease that is granted now.
     pub(crate) max_lease: Micros,
-    /// Members between the publisher and this one.
+    /// Distance of this member from the publisher, in hops.
     pub(crate) hops: u32,
 }
 
@@ -66,8 +67,8 @@
         }
     }
 
-    /// A heartbeat of a subscriber has come. Returns the epoch that the subscriber is in, or one that it feeds, where that
-    /// is newer than the one here.
+    /// Handles a heartbeat of a subscriber. Returns the epoch of the subscriber, or of one that the subscriber serves,
+    /// if it is newer than the epoch of this member.
     pub(crate) fn receive_heartbeat(
         &mut self,
         now: Micros,
@@ -91,28 +92,29 @@
         };
         let reported = heartbeat.position.map(LogPosition::from);
         if reported.is_some_and(|at| at.epoch == head.epoch && at.position > head.position) {
-            // It is ahead of a relay that lags; of a publisher nobody is. Its report is not accepted, and it gets no lease.
+            // A subscriber may be ahead of a relay that lags, but never ahead of the publisher. The reported position
+            // is rejected, and no lease is granted.
             self.answer_without_lease(heartbeat, address, head, source.hops, out);
             return Err(RejectReason::AheadOfLog);
         }
-        subscription.renew(now, heartbeat, address)?;
+        subscription.record_heartbeat(now, heartbeat, address)?;
         let (position, acknowledged) = (subscription.position(), subscription.acknowledged());
         self.counters.resend_requests += u64::from(heartbeat.resend);
         if let Some(acknowledged) = acknowledged {
             let holder = LeaseHolder::new(&heartbeat.name, heartbeat.incarnation);
             self.leases.acknowledge(&holder, acknowledged);
         }
-        let fed = Some(Epoch(heartbeat.newer_epoch)).filter(|newer| *newer > head.epoch);
+        let newer_epoch = Some(Epoch(heartbeat.newer_epoch)).filter(|newer| *newer > head.epoch);
         let continues_from = position.filter(|_| !heartbeat.fetching_snapshot);
         match continues_from.map(|position| (position, source.log.next_after(position))) {
-            Some((position, NextInLog::Ahead)) => return Ok(fed.max(Some(position.epoch))),
+            Some((position, NextInLog::Ahead)) => return Ok(newer_epoch.max(Some(position.epoch))),
             None | Some((_, NextInLog::Missing)) => {
                 self.send_snapshot(now, heartbeat, address, source.log, out);
             }
-            // Events and the answer go out with the next flush.
+            // The next flush sends the events and the answer.
             Some(_) => {}
         }
-        Ok(fed)
+        Ok(newer_epoch)
     }
 
     fn answer_without_lease(
@@ -132,22 +134,22 @@
         self.send(to, Body::Batch(batch), out);
     }
 
-    /// Sends what subscribers lack, and the answers to their heartbeats with it.
+    /// Sends the missing events to all subscribers, together with the answers to their heartbeats.
     pub(crate) fn flush(&mut self, now: Micros, source: &FeedSource, out: &mut Vec<Output>) {
         let Some(head) = source.log.position() else {
             return;
         };
-        // Taken out while they are served, as all else of this member is needed for that.
+        // The subscriptions are moved out of `self`, because serving them needs all other fields of this member.
         let mut subscriptions = std::mem::take(&mut self.subscriptions);
         for (name, subscription) in &mut subscriptions {
             if subscription.is_live(now, &self.settings) {
-                self.feed(now, name, subscription, head, source, out);
+                self.serve(now, name, subscription, head, source, out);
             }
         }
         self.subscriptions = subscriptions;
     }
 
-    fn feed(
+    fn serve(
         &mut self,
         now: Micros,
         name: &str,
@@ -177,16 +179,16 @@
         }
     }
 
-    /// Drops leases that are over, and subscribers that have gone.
+    /// Removes expired leases and subscribers that no longer send heartbeats.
     pub(crate) fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         for holder in self.leases.expire(now) {
             self.counters.expired_leases += 1;
             let name = holder.name;
             out.push(Output::Notice(Notice::SubscriberLeaseExpired { name }));
         }
-        let patience = FORGET_AFTER_LEASES * self.settings.lease_duration;
+        let timeout = SUBSCRIBER_TIMEOUT_LEASES * self.settings.lease_duration;
         self.subscriptions
-            .retain(|_, subscription| now < subscription.last_heartbeat_at() + patience);
+            .retain(|_, subscription| now < subscription.last_heartbeat_at() + timeout);
     }
 
     fn send(&mut self, to: SocketAddr, body: Body, out: &mut Vec<Output>) {
@@ -196,7 +198,7 @@
     }
 }
 
-/// No events: shows up to where all has been sent, and brings a grant.
+/// A batch without events, which shows the position up to which all events have been sent, and carries a grant.
 fn empty_batch(head: LogPosition, first: Position, grant: Option<LeaseGrant>) -> Batch {
     Batch {
         epoch: head.epoch.0,
--- a/crates/event-distribution/src/distributor/admission.rs
+++ b/crates/event-distribution/src/distributor/admission.rs
@@ -1,4 +1,4 @@
-//! Which new subscribers are taken: as many in all, and as many a second, as the limits allow.
+//! Admission of new subscribers, limited in number and in rate.
 
 use super::subscription::Subscription;
 use super::Distributor;
@@ -9,12 +9,12 @@
 use meadowrill_membership::hash::stable_hash;
 use std::net::SocketAddr;
 
-/// Retry-After of those that are not served now is spread over this span, by their names.
+/// The Retry-After of rejected subscribers is spread over this range by a hash of their names and request numbers.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 const RETRY_AFTER_SPREAD_MS: u64 = 900;
 
 impl Distributor {
-    /// Takes in a new subscriber, or sends it a Retry-After.
+    /// Admits a new subscriber, or rejects it with a Retry-After.
     pub(super) fn admit(
         &mut self,
         now: Micros,
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// A subscriber cannot be served now; where this member is full, it is to choose another relay.
+    /// Rejects a heartbeat with a Retry-After. If this member is full, the subscriber has to choose another relay.
     pub(super) fn send_busy(
         &mut self,
         heartbeat: &Heartbeat,
--- a/crates/event-distribution/src/distributor/leasing.rs
+++ b/crates/event-distribution/src/distributor/leasing.rs
@@ -1,4 +1,4 @@
-//! Which subscribers get a lease, and what all that hold one have applied.
+//! Granting of leases, and the position that all lease holders have applied.
 
 use super::subscription::Subscription;
 use super::{Distributor, FeedSource};
@@ -9,16 +9,16 @@
 use crate::wire::LeaseGrant;
 
 impl Distributor {
-    /// Everything up to here has been applied by this member and by all lease holders. A subscriber that is behind gets
-    /// no lease from now on. Those that wait for their first lease and do not lag are not put behind by it: otherwise
-    /// none would get one with a log that grows with each batch.
+    /// Returns the position that this member and all lease holders have applied. From now on, a subscriber that is
+    /// behind it gets no lease. Subscribers that wait for their first lease and do not lag are included in the minimum:
+    /// otherwise none of them would get a lease while the log grows with each batch.
     pub(crate) fn report_acknowledged(
         &mut self,
         now: Micros,
         log: &EventLog,
         own: LogPosition,
     ) -> LogPosition {
-        let due = log.reached_by(now - self.settings.max_lag);
+        let due = log.position_at(now - self.settings.max_lag);
         let least = self
             .subscriptions
             .values()
@@ -29,12 +29,13 @@
         self.leases.report(least)
     }
 
-    /// No subscriber behind this position gets a lease from now on.
+    /// From now on, a subscriber that is behind this position gets no lease.
     pub(crate) fn require_for_lease(&mut self, position: LogPosition) {
         self.leases.report(position);
     }
 
-    /// The answer to the last heartbeat: with a lease, if the subscriber has come far enough; none where it was answered.
+    /// The answer to the last heartbeat, with a lease if the subscriber is eligible. `None` if the heartbeat has been
+    /// answered.
     pub(super) fn answer(
         &mut self,
         now: Micros,
@@ -43,18 +44,18 @@
         source: &FeedSource,
     ) -> Option<LeaseGrant> {
         let request = subscription.take_unanswered()?;
-        let span = source.max_lease.min(self.settings.lease_duration);
-        let holds = if span > 0 {
+        let duration = source.max_lease.min(self.settings.lease_duration);
+        let eligible = if duration > 0 {
             self.eligible_position(now, subscription, source.log)
         } else {
             None
         };
-        if let Some(acknowledged) = holds {
+        if let Some(acknowledged) = eligible {
             let holder = LeaseHolder::new(name, subscription.incarnation());
-            let expires_at = now + self.settings.with_drift(span);
+            let expires_at = now + self.settings.with_drift(duration);
             self.leases.grant(holder, acknowledged, expires_at);
         }
-        let lease = if holds.is_some() { span } else { 0 };
+        let lease = if eligible.is_some() { duration } else { 0 };
         Some(LeaseGrant {
             request,
             lease_micros: u32::try_from(lease).unwrap_or(u32::MAX),
@@ -62,7 +63,7 @@
         })
     }
 
-    /// What a subscriber has acknowledged, where that is enough for a lease.
+    /// The position that the subscriber has acknowledged, if it is eligible for a lease.
     fn eligible_position(
         &self,
         now: Micros,
@@ -75,8 +76,8 @@
             log.next_after(position),
             NextInLog::Batch { .. } | NextInLog::UpToDate | NextInLog::EpochStart { .. }
         );
-        let due = log.reached_by(now - self.settings.max_lag);
-        let lags = due.is_some_and(|due| position < due);
-        (is_known && !lags && self.leases.admits(acknowledged)).then_some(acknowledged)
+        let due = log.position_at(now - self.settings.max_lag);
+        let is_lagging = due.is_some_and(|due| position < due);
+        (is_known && !is_lagging && self.leases.admits(acknowledged)).then_some(acknowledged)
     }
 }
--- a/crates/event-distribution/src/distributor/snapshot.rs
+++ b/crates/event-distribution/src/distributor/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots to subscribers that are behind the window: some parts for each request, within a budget of bytes.
+//! Snapshots for subscribers that are behind the window: a few parts per request, limited by a byte rate.
 
 use super::Distributor;
 use crate::event::{Event, PurgeCursor};
@@ -9,11 +9,11 @@
 use crate::wire::{Body, Heartbeat, SnapshotPart, WireCursor};
 use std::net::SocketAddr;
 
-/// Parts that are sent for one request.
+/// Maximum number of parts that are sent per request.
 const MAX_PARTS_AT_ONCE: usize = 16;
 
 impl Distributor {
-    /// Sends some parts of the purges in force, from where the subscriber has come so far.
+    /// Sends the next parts of the purges in force, from the position that the subscriber has reached.
     pub(super) fn send_snapshot(
         &mut self,
         now: Micros,
@@ -41,13 +41,13 @@
             }
         }
         if let Some(subscription) = self.subscriptions.get_mut(&heartbeat.name) {
-            // The parts are the answer.
+            // The parts are the answer to the heartbeat.
             let _ = subscription.take_unanswered();
         }
     }
 }
 
-/// One part, from behind a place on.
+/// Builds the part that follows a position.
 fn snapshot_part(
     log: &EventLog,
     after: Option<PurgeCursor>,
--- a/crates/event-distribution/src/distributor/status.rs
+++ b/crates/event-distribution/src/distributor/status.rs
@@ -1,4 +1,4 @@
-//! The state of the feeding side, for operators.
+//! The state of the serving side, for operators.
 
 use super::subscription::Subscription;
 use super::Distributor;
@@ -8,11 +8,11 @@
 use crate::status::{DistributorStatus, LaggingSubscriber};
 use crate::time::Micros;
 
-/// Lagging subscribers that are named.
+/// Maximum number of lagging subscribers in the status.
 const MAX_LAGGING: usize = 32;
 
 impl Distributor {
-    /// `in_force` is the publisher's alone.
+    /// `in_force` is only set by the publisher.
     pub(crate) fn status(
         &self,
         now: Micros,
@@ -22,7 +22,7 @@
         let head = log.position().unwrap_or_default();
         DistributorStatus {
             head,
-            acknowledged: self.leases.least_acknowledged(head),
+            acknowledged: self.leases.min_acknowledged(head),
             in_force,
             subscribers: self.subscriptions.len(),
             leases: self.leases.len(),
@@ -34,16 +34,18 @@
         }
     }
 
-    /// Those that lag or have no lease, the most recent heartbeat first.
+    /// Subscribers that lag or have no lease, ordered by their last heartbeat, most recent first.
     fn lagging(&self, now: Micros, log: &EventLog) -> Vec<LaggingSubscriber> {
-        let due = log.reached_by(now - self.settings.max_lag);
+        let due = log.position_at(now - self.settings.max_lag);
         let mut lagging: Vec<LaggingSubscriber> = self
             .subscriptions
             .iter()
             .map(|(name, subscription)| self.describe(now, name, subscription))
-            .filter(|one| one.lease_remaining.is_none() || one.acknowledged < due)
+            .filter(|subscriber| {
+                subscriber.lease_remaining.is_none() || subscriber.acknowledged < due
+            })
             .collect();
-        lagging.sort_by_key(|one| one.since_heartbeat);
+        lagging.sort_by_key(|subscriber| subscriber.since_heartbeat);
         lagging.truncate(MAX_LAGGING);
         lagging
     }
--- a/crates/event-distribution/src/distributor/subscription.rs
+++ b/crates/event-distribution/src/distributor/subscription.rs
@@ -1,7 +1,7 @@
-//! What a member knows of one subscriber that it feeds.
+//! The state of one subscriber, as the member that serves it knows it.
 //!
-//! Invariants: request numbers and positions of one incarnation only grow; `sent` is never behind `position` unless the
-//! subscriber requested a resend from there.
+//! Invariants: request numbers and positions of one incarnation only grow; `sent` is never behind `position`, unless
+//! the subscriber requested a resend from there.
 
 use super::empty_batch;
 use crate::counters::RejectReason;
@@ -12,23 +12,23 @@
 use crate::wire::{Batch, Heartbeat};
 use std::net::SocketAddr;
 
-/// Events that may be under way to one subscriber.
+/// Maximum number of events in flight to one subscriber.
 const MAX_UNACKNOWLEDGED: u64 = 8_192;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Subscription {
     incarnation: u64,
     address: SocketAddr,
-    /// Of the last heartbeat.
+    /// Request number of the last heartbeat.
     request: u32,
     last_heartbeat_at: Micros,
-    /// It has applied everything up to here; none while it fetches its first snapshot.
+    /// The subscriber has applied everything up to here. `None` while it fetches its first snapshot.
     position: Option<LogPosition>,
-    /// It, and all that it feeds, have applied everything up to here.
+    /// The subscriber, and all that it serves, have applied everything up to here.
     acknowledged: Option<LogPosition>,
-    /// Up to where events were sent to it.
+    /// The position up to which events were sent to the subscriber.
     sent: Option<LogPosition>,
-    /// The last heartbeat has not been answered since then.
+    /// The last heartbeat has been waiting for an answer since then. `None` if it was answered.
     unanswered_since: Option<Micros>,
 }
 
@@ -66,8 +66,8 @@
         self.acknowledged
     }
 
-    /// Takes what a heartbeat reports, if it is a newer one.
-    pub(super) fn renew(
+    /// Records the contents of a heartbeat that is newer than the last one.
+    pub(super) fn record_heartbeat(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
@@ -80,7 +80,7 @@
             self.restart(heartbeat.incarnation);
         }
         if heartbeat.request <= self.request {
-            // A copy of an earlier one, or overtaken on the way.
+            // A duplicate of an earlier heartbeat, or one that was overtaken in the network.
             return Err(RejectReason::Unexpected);
         }
         let position = heartbeat.position.map(LogPosition::from);
@@ -93,14 +93,14 @@
         self.position = position;
         self.acknowledged = heartbeat.acknowledged.map(LogPosition::from).or(position);
         self.unanswered_since = Some(now);
-        // It may have more than was sent to it: by another relay, or by a snapshot.
+        // The subscriber may have more events than this member sent to it, from another relay or a snapshot.
         if self.sent < position || heartbeat.resend {
             self.sent = position;
         }
         Ok(())
     }
 
-    /// A new process of the same name: it has nothing.
+    /// Resets the state for a new process of the same name, which has no events.
     fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.request = 0;
@@ -109,30 +109,31 @@
         self.sent = None;
     }
 
-    /// Whether it is to be sent events: it has a position, and its lease cannot be over.
+    /// Whether events are sent to the subscriber: it has a position, and its last heartbeat is less than a lease
+    /// duration old, so that its lease may still be valid.
     pub(super) fn is_live(&self, now: Micros, settings: &DistributionSettings) -> bool {
         self.position.is_some() && now < self.last_heartbeat_at + settings.lease_duration
     }
 
-    /// Whether an answer has waited for so long for events to go with.
+    /// Whether an answer has waited this long for events to be sent with it.
     pub(super) fn is_answer_due(&self, now: Micros, delay: Micros) -> bool {
         self.unanswered_since
             .is_some_and(|since| now >= since + delay)
     }
 
-    /// The number of the heartbeat that is to be answered; it counts as answered from now on.
+    /// Returns the number of the unanswered heartbeat, and marks it as answered.
     pub(super) fn take_unanswered(&mut self) -> Option<u32> {
         self.unanswered_since.take().map(|_| self.request)
     }
 
-    /// Up to where events of the current epoch were sent.
+    /// The position in the current epoch up to which events were sent.
     pub(super) fn sent_in(&self, head: LogPosition) -> Position {
         self.sent
             .filter(|sent| sent.epoch == head.epoch)
             .map_or(head.position, |sent| sent.position.min(head.position))
     }
 
-    /// What is to be sent to it next, taken as sent.
+    /// Returns the next batch for the subscriber, and marks it as sent.
     pub(super) fn next_batch(
         &mut self,
         now: Micros,
@@ -173,7 +174,8 @@
     batch: &StoredBatch,
     head: LogPosition,
 ) -> Batch {
-    // Of a former epoch everything stored is announced; a subscriber that reaches its end learns of the next one then.
+    // For a previous epoch, only the stored events are announced. A subscriber that reaches its end learns of the next
+    // epoch then.
     let announced = if epoch == head.epoch {
         head.position
     } else {
@@ -191,7 +193,7 @@
     }
 }
 
-/// No events: shows how a new epoch builds on the former one.
+/// A batch without events, which shows where a new epoch continues the previous one.
 fn epoch_start(epoch: Epoch, continues_from: LogPosition, head: LogPosition) -> Batch {
     let is_current = epoch == head.epoch;
     let position = if is_current { head.position } else { 0 };
--- a/crates/event-distribution/src/event.rs
+++ b/crates/event-distribution/src/event.rs
@@ -1,32 +1,32 @@
-//! Events and their numbers.
+//! Events and their positions in the log.
 //!
-//! The order of [`LogPosition`] is that of the whole log: a later epoch is behind everything of an earlier one.
+//! [`LogPosition`] is ordered like the log: a later epoch follows all positions of an earlier one.
 
 use crate::time::Micros;
 
-/// How many events of an epoch are known: a position of n stands for the events 0 to n - 1.
+/// A number of events of an epoch: position n covers the events 0 to n - 1.
 pub type Position = u64;
 
-/// One run of the publisher. A publisher that restarts numbers from 0 in a larger epoch.
+/// One run of the publisher. A publisher that restarts counts from 0 in a larger epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The largest epoch that is read from the wire: as microseconds, the year 4253. Beyond it there is room to count
-    /// on from any epoch that was read.
+    /// The largest epoch that is accepted from the wire; as microseconds since the Unix epoch, it is in the year 4253.
+    /// Larger numbers remain available to count on from any accepted epoch.
     pub const MAX: Epoch = Epoch(1 << 56);
 }
 
-/// A point in the log of one epoch.
+/// A position in the log of one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition {
     /// The run of the publisher.
     pub epoch: Epoch,
-    /// Events of that run before this point.
+    /// Number of events of that run before this position.
     pub position: Position,
 }
 
-/// What a purge is about.
+/// The copies that a purge invalidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PurgeKey {
     /// All copies of an object.
@@ -35,18 +35,18 @@
     Group(u32),
 }
 
-/// No copy from before `timestamp` may be served any more.
+/// A purge: no copy from before `timestamp` may be served any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Purge {
-    /// What it is about.
+    /// The copies that are invalidated.
     pub key: PurgeKey,
-    /// Set by the service that issued the purge, in microseconds since the Unix epoch. It travels in whole
+    /// Time set by the service that issued the purge, in microseconds since the Unix epoch. It is sent in whole
     /// milliseconds, rounded up.
     pub timestamp: Micros,
 }
 
 impl Purge {
-    /// Its place in the order of a snapshot.
+    /// The position of this purge in the order of a snapshot.
     pub fn cursor(self) -> PurgeCursor {
         PurgeCursor {
             timestamp: self.timestamp,
@@ -55,18 +55,18 @@
     }
 }
 
-/// A place in the order of purges, the same at every member: by timestamp, then by key.
+/// A position in the order of purges, by timestamp and then by key. The order is the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PurgeCursor {
-    /// Of the purge at this place.
+    /// Timestamp of the purge at this position.
     pub timestamp: Micros,
-    /// Of the purge at this place.
+    /// Key of the purge at this position.
     pub key: PurgeKey,
 }
 
-/// What is distributed. Changes of the cache list and versions of the configuration are to follow.
+/// An event that is distributed. Changes of the cache list and configuration versions are planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Copies are invalid.
+    /// Copies become invalid.
     Purge(Purge),
 }
--- a/crates/event-distribution/src/event_codec.rs
+++ b/crates/event-distribution/src/event_codec.rs
@@ -1,5 +1,5 @@
-//! Events as bytes: a number that holds the difference of timestamps in milliseconds and the kind, then 8 bytes of an
-//! object or the number of a group. That makes 9 or 10 bytes for the purge of an object.
+//! Encoding of events: a varint with the kind and the timestamp's difference in milliseconds from the previous event,
+//! followed by the 8 bytes of an object or the varint of a group. The purge of an object takes 9 or 10 bytes.
 
 use crate::counters::RejectReason;
 use crate::event::{Event, Purge, PurgeKey};
@@ -7,14 +7,14 @@
 use crate::timestamp;
 use prost::encoding::{decode_varint, encode_varint};
 
-/// Bytes of events in one datagram, so that the rest of the message fits beside them.
+/// Maximum size of the events in one datagram, in bytes. It leaves room for the rest of the message.
 pub const MAX_EVENT_BYTES: usize = 1000;
-/// Low bits of the first number of an event, which hold its kind.
+/// Number of low bits of an event's first varint that contain its kind.
 const KIND_BITS: u32 = 2;
 const KIND_OBJECT: u64 = 0;
 const KIND_GROUP: u64 = 1;
 
-/// Encodes events one behind the other.
+/// Encodes events one after the other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EventEncoder {
     bytes: Vec<u8>,
@@ -23,21 +23,21 @@
 }
 
 impl EventEncoder {
-    /// Events encoded.
+    /// Number of encoded events.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether no event has been encoded.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// False, and nothing is added, where there is no more room in a datagram.
+    /// Appends an event. Returns false and appends nothing if the datagram has no more room.
     #[must_use]
     pub fn push(&mut self, event: &Event) -> bool {
         let Event::Purge(purge) = *event;
-        let milliseconds = timestamp::to_milliseconds(timestamp::as_sent(purge.timestamp));
+        let milliseconds = timestamp::to_milliseconds(timestamp::round_to_wire(purge.timestamp));
         let difference = zigzag(milliseconds - self.last_milliseconds);
         let length = self.bytes.len();
         self.encode(difference, purge.key);
@@ -63,28 +63,28 @@
         }
     }
 
-    /// The events as bytes.
+    /// The encoded events.
     pub fn finish(self) -> Vec<u8> {
         self.bytes
     }
 }
 
-/// Reads what [`EventEncoder`] wrote.
+/// Decodes events that [`EventEncoder`] encoded.
 ///
 /// # Errors
 ///
-/// [`RejectReason::OutOfBounds`] for an unknown kind, a truncated event or a number out of bounds.
+/// Returns [`RejectReason::OutOfBounds`] for an unknown kind, a truncated event or a number out of bounds.
 pub fn decode_events(bytes: &[u8]) -> Result<Vec<Event>, RejectReason> {
     let mut rest = bytes;
     let mut events = Vec::new();
     let mut milliseconds = 0i64;
     while !rest.is_empty() {
-        let head = varint(&mut rest)?;
+        let header = varint(&mut rest)?;
         milliseconds = milliseconds
-            .checked_add(unzigzag(head >> KIND_BITS))
+            .checked_add(unzigzag(header >> KIND_BITS))
             .filter(|milliseconds| timestamp::is_valid(*milliseconds))
             .ok_or(RejectReason::OutOfBounds)?;
-        let key = decode_key(head & ((1 << KIND_BITS) - 1), &mut rest)?;
+        let key = decode_key(header & ((1 << KIND_BITS) - 1), &mut rest)?;
         events.push(Event::Purge(Purge {
             key,
             timestamp: milliseconds * MILLISECOND,
@@ -96,10 +96,10 @@
 fn decode_key(kind: u64, rest: &mut &[u8]) -> Result<PurgeKey, RejectReason> {
     match kind {
         KIND_OBJECT => {
-            let (object, behind) = rest
+            let (object, remaining) = rest
                 .split_first_chunk::<8>()
                 .ok_or(RejectReason::OutOfBounds)?;
-            *rest = behind;
+            *rest = remaining;
             Ok(PurgeKey::Object(u64::from_le_bytes(*object)))
         }
         KIND_GROUP => {
--- a/crates/event-distribution/src/event_log.rs
+++ b/crates/event-distribution/src/event_log.rs
@@ -1,7 +1,8 @@
-//! The log of numbered events: a window of encoded batches, and the purges in force behind it.
+//! The log of numbered events: a window of encoded batches, and the purges in force.
 //!
-//! Invariants: batches of a segment are contiguous and end at its head; there are [`MAX_SEGMENTS`] segments at most, the
-//! last one being the current epoch; the batches of all segments are of `window_bytes`, within the bound after each append.
+//! Invariants: the batches of a segment are contiguous and end at its head; there are at most [`MAX_SEGMENTS`]
+//! segments, and the last one is the current epoch; `window_bytes` is the size of the batches of all segments and is
+//! within the bound after each append.
 
 use crate::event::{Epoch, Event, LogPosition, Position};
 use crate::event_codec::EventEncoder;
@@ -9,43 +10,44 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Epochs whose batches are stored: the current one, and the former one for subscribers that are still in it.
+/// Number of epochs whose batches are stored: the current one, and the previous one for subscribers that are still in
+/// it.
 const MAX_SEGMENTS: usize = 2;
 
-/// Encoded events in order.
+/// A batch of encoded events in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredBatch {
-    /// The number of the first event.
+    /// Number of the first event.
     pub first: Position,
-    /// Events in it.
+    /// Number of events in the batch.
     pub count: u64,
-    /// When it was published, as far as this member can know; not earlier.
+    /// Estimated time of publication. The estimate is never earlier than the actual time.
     pub published_at: Micros,
-    /// The events.
+    /// The encoded events.
     pub bytes: Vec<u8>,
 }
 
 impl StoredBatch {
-    /// The position behind it.
+    /// The position after the last event.
     pub fn end(&self) -> Position {
         self.first + self.count
     }
 }
 
-/// What is stored of one epoch.
+/// The stored batches of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Segment {
     epoch: Epoch,
-    /// A subscriber that has applied this much of the former epoch may continue with this one.
+    /// A subscriber that has applied the previous epoch up to this position may continue with this epoch.
     continues_from: Option<LogPosition>,
-    /// Events up to here are no longer in the window.
+    /// Events before this position are no longer in the window.
     window_start: Position,
     head: Position,
     batches: VecDeque<StoredBatch>,
 }
 
 impl Segment {
-    /// Its start, for a subscriber that has applied enough of the former epoch.
+    /// The start of this epoch, if the subscriber has applied enough of the previous one.
     fn start_after(&self, from: LogPosition) -> NextInLog<'_> {
         let reached = self
             .continues_from
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The batch that holds the event at a position, while it is in the window.
+    /// The batch with the event at a position, or `None` if the event is not in the window.
     fn batch_at(&self, position: Position) -> Option<&StoredBatch> {
         if !(self.window_start..self.head).contains(&position) {
             return None;
@@ -71,45 +73,45 @@
     }
 }
 
-/// What comes behind a position.
+/// The part of the log that follows a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextInLog<'a> {
-    /// These events; the first ones may be known already.
+    /// A batch of events. The subscriber may already have the first ones.
     Batch {
-        /// Of the events.
+        /// Epoch of the events.
         epoch: Epoch,
-        /// A subscriber that has applied this much of the former epoch may continue with this one.
+        /// A subscriber that has applied the previous epoch up to this position may continue with this epoch.
         continues_from: Option<LogPosition>,
-        /// The events.
+        /// The batch.
         batch: &'a StoredBatch,
     },
-    /// The former epoch ends here: on with the start of this one.
+    /// The previous epoch ends here, and the subscriber continues at the start of the next one.
     EpochStart {
-        /// The one that starts.
+        /// The epoch that starts.
         epoch: Epoch,
-        /// The end of the former one.
+        /// The end of the previous epoch.
         continues_from: LogPosition,
     },
-    /// Nothing yet.
+    /// There are no further events yet.
     UpToDate,
-    /// What comes next is no longer stored, or of an epoch that is not known.
+    /// The following events are no longer stored, or belong to an unknown epoch.
     Missing,
-    /// The position has not been reached here.
+    /// The position is beyond the end of this log.
     Ahead,
 }
 
-/// The window of batches, and the purges in force.
+/// A log of events: the window of batches, and the purges in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EventLog {
     segments: VecDeque<Segment>,
     max_window_bytes: usize,
     window_bytes: usize,
-    /// Purges in force.
+    /// The purges in force.
     pub purges: PurgeSet,
 }
 
 impl EventLog {
-    /// An empty log with a bound on its window.
+    /// Creates an empty log whose window is bounded.
     pub fn new(max_window_bytes: usize, purges: PurgeSet) -> EventLog {
         EventLog {
             segments: VecDeque::new(),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Everything up to here has been applied; none before the first.
+    /// The position up to which all events have been applied, or `None` before the first epoch.
     pub fn position(&self) -> Option<LogPosition> {
         self.segments.back().map(|segment| LogPosition {
             epoch: segment.epoch,
@@ -127,12 +129,12 @@
         })
     }
 
-    /// Bytes of the batches stored.
+    /// Size of the stored batches, in bytes.
     pub fn window_bytes(&self) -> usize {
         self.window_bytes
     }
 
-    /// A new epoch begins, with nothing in it yet.
+    /// Begins a new epoch without events.
     pub fn begin_epoch(&mut self, epoch: Epoch, continues_from: Option<LogPosition>) {
         self.push_segment(Segment {
             epoch,
@@ -143,7 +145,7 @@
         });
     }
 
-    /// Everything up to here is known by a snapshot: the window starts anew.
+    /// Restarts the window at a position up to which all events are known from a snapshot.
     pub fn reset(&mut self, at: LogPosition) {
         self.segments.clear();
         self.window_bytes = 0;
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Adds events behind the last one of the current epoch; returns those that are new.
+    /// Appends events to the current epoch and returns those that are new.
     pub fn append(
         &mut self,
         published_at: Micros,
@@ -194,7 +196,7 @@
         new.copied().collect()
     }
 
-    /// Adds only what is behind the first `skip` events of a batch.
+    /// Appends the events of a batch after the first `skip` ones, and returns those that are new.
     pub fn append_rest(
         &mut self,
         published_at: Micros,
@@ -207,8 +209,8 @@
         }
         let rest = &events[skip.min(events.len())..];
         let mut encoder = EventEncoder::default();
-        // All of them: they fitted with more before them, and the rest of a batch takes no more room than the whole, as the
-        // number of a sum is no longer than those of its parts together.
+        // All of them fit: they fitted after the skipped events, and the encoding of the rest is no longer than that of
+        // the complete batch, because the varint of a sum is no longer than the varints of its summands together.
         let fitting = rest.iter().take_while(|event| encoder.push(event)).count();
         self.append(published_at, &rest[..fitting], encoder.finish())
     }
@@ -227,7 +229,7 @@
         }
     }
 
-    /// What a subscriber that has applied everything up to `from` gets next.
+    /// The part of the log that follows for a subscriber that has applied everything up to `from`.
     pub fn next_after(&self, from: LogPosition) -> NextInLog<'_> {
         let mut segments = self.segments.iter();
         let Some(segment) = segments.find(|segment| segment.epoch == from.epoch) else {
@@ -236,7 +238,7 @@
                 _ => NextInLog::Missing,
             };
         };
-        // What is stored of a former epoch goes first, even where the next epoch does not require it.
+        // Stored events of a previous epoch come first, even if the next epoch does not require them.
         if let Some(batch) = segment.batch_at(from.position) {
             return NextInLog::Batch {
                 epoch: segment.epoch,
@@ -252,14 +254,14 @@
         }
     }
 
-    /// The position of the current epoch that was reached by then.
-    pub fn reached_by(&self, moment: Micros) -> Option<LogPosition> {
+    /// The position of the current epoch that the log had reached at a time.
+    pub fn position_at(&self, time: Micros) -> Option<LogPosition> {
         let segment = self.segments.back()?;
         let first_later = segment
             .batches
             .iter()
             .rev()
-            .take_while(|batch| batch.published_at > moment)
+            .take_while(|batch| batch.published_at > time)
             .last();
         let position = first_later.map_or(segment.head, |batch| batch.first);
         Some(LogPosition {
--- a/crates/event-distribution/src/jitter.rs
+++ b/crates/event-distribution/src/jitter.rs
@@ -1,8 +1,9 @@
-//! Random spans, so that members that start or fail together do not act together. The same seed draws the same ones.
+//! Random durations, so that members that start or fail together do not act at the same time. Equal seeds give equal
+//! durations.
 
 use crate::time::Micros;
 
-/// Added to the seed for each draw; odd, so that no two draws of a seed are alike (SplitMix64).
+/// Increment of the seed per draw. It is odd, so that all draws of a seed differ (SplitMix64).
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -16,10 +17,10 @@
         Jitter { seed, draws: 0 }
     }
 
-    /// From `least` to `most`, both included.
-    pub(crate) fn draw(&mut self, least: Micros, most: Micros) -> Micros {
+    /// A random duration between `min` and `max`, both inclusive.
+    pub(crate) fn draw(&mut self, min: Micros, max: Micros) -> Micros {
         self.draws += 1;
         let mixed = self.seed.wrapping_add(self.draws.wrapping_mul(SEED_STEP));
-        fastrand::Rng::with_seed(mixed).i64(least..=most)
+        fastrand::Rng::with_seed(mixed).i64(min..=max)
     }
 }
--- a/crates/event-distribution/src/lease_table.rs
+++ b/crates/event-distribution/src/lease_table.rs
@@ -1,12 +1,13 @@
-//! Leases that a member has granted, and the least position that their holders have applied.
+//! Leases that a member has granted, and the minimum position that their holders have applied.
 //!
-//! Invariant: no holder is behind `reported`. A subscriber that is behind gets no lease, or what was reported would become untrue.
+//! Invariant: no holder is behind `reported`. A subscriber that is behind it gets no lease, because the reported
+//! position would become false.
 
 use crate::event::LogPosition;
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// One start of one subscriber. What an earlier start was granted counts until it is over.
+/// One incarnation of a subscriber. The leases of earlier incarnations count until they expire.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeaseHolder {
     pub(crate) name: String,
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeaseTable {
     leases: BTreeMap<LeaseHolder, GrantedLease>,
-    /// All holders were reported to be this far.
+    /// The position that all holders were reported to have applied.
     reported: LogPosition,
 }
 
@@ -44,12 +45,13 @@
         self.leases.get(holder).map(|lease| lease.expires_at)
     }
 
-    /// Whether a holder that has applied so much may have a lease.
+    /// Whether a holder that has applied everything up to a position may get a lease.
     pub(crate) fn admits(&self, acknowledged: LogPosition) -> bool {
         acknowledged >= self.reported
     }
 
-    /// `expires_at` has to be as late as the holder's clock can make it.
+    /// Grants or extends a lease. `expires_at` has to be at least as late as the expiry by the slowest clock of a
+    /// holder.
     pub(crate) fn grant(
         &mut self,
         holder: LeaseHolder,
@@ -64,14 +66,14 @@
         lease.acknowledged = lease.acknowledged.max(acknowledged);
     }
 
-    /// A holder has applied so much.
+    /// Records that a holder has applied everything up to a position.
     pub(crate) fn acknowledge(&mut self, holder: &LeaseHolder, acknowledged: LogPosition) {
         if let Some(lease) = self.leases.get_mut(holder) {
             lease.acknowledged = lease.acknowledged.max(acknowledged);
         }
     }
 
-    /// Takes out those that are over; their holders.
+    /// Removes expired leases and returns their holders.
     pub(crate) fn expire(&mut self, now: Micros) -> Vec<LeaseHolder> {
         let expired: Vec<LeaseHolder> = self
             .leases
@@ -85,17 +87,17 @@
         expired
     }
 
-    /// What all holders and this member itself have applied.
-    pub(crate) fn least_acknowledged(&self, own: LogPosition) -> LogPosition {
+    /// The minimum of the own position and the positions that the holders have applied.
+    pub(crate) fn min_acknowledged(&self, own: LogPosition) -> LogPosition {
         self.leases
             .values()
             .map(|lease| lease.acknowledged)
             .fold(own, LogPosition::min)
     }
 
-    /// The same, to be sent upstream: no lease is granted to a subscriber behind it from now on.
+    /// Returns the minimum that is reported upstream. From now on, a subscriber that is behind it gets no lease.
     pub(crate) fn report(&mut self, own: LogPosition) -> LogPosition {
-        self.reported = self.reported.max(self.least_acknowledged(own));
+        self.reported = self.reported.max(self.min_acknowledged(own));
         self.reported
     }
 }
--- a/crates/event-distribution/src/lib.rs
+++ b/crates/event-distribution/src/lib.rs
@@ -1,23 +1,25 @@
-//! Distribution of numbered events from one publisher through relays to every subscriber, with proof that they are in
-//! force everywhere. Datagrams and time in, datagrams and outputs out; no I/O and no clock (docs/event-distribution.md).
+//! Distribution of numbered events from one publisher through relays to all subscribers. The publisher reports when an
+//! event is in force everywhere: from then on, no subscriber serves a copy that the event invalidates. The modules take
+//! datagrams and the time as input, return datagrams and other outputs, and use neither I/O nor a clock
+//! (docs/event-distribution.md).
 //!
-//! - [`publisher::Publisher`] numbers events and knows up to which one they are in force everywhere.
-//! - [`relay::Relay`] follows the publisher, or another relay, and feeds subscribers.
+//! - [`publisher::Publisher`] numbers events and determines up to which position they are in force everywhere.
+//! - [`relay::Relay`] follows the publisher or another relay, and serves subscribers.
 //! - [`subscriber::Subscriber`] follows one relay, applies events and knows whether it holds a lease.
 //!
-//! Below them:
+//! They are built from these modules:
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `distributor` | the feeding side of publisher and relay: subscriptions, admission, batches, snapshots, leases |
-//! | `lease_table` | leases granted, and the least position that their holders have applied |
-//! | `event_log` | the window of batches, and the purges in force behind it |
+//! | `distributor` | the serving side of publisher and relay: subscriptions, admission, batches, snapshots, leases |
+//! | `lease_table` | granted leases, and the minimum position that their holders have applied |
+//! | `event_log` | the window of batches, and the purges in force |
 //! | `purge_set` | the purges in force, merged by key and bounded |
-//! | `reorder_buffer`, `snapshot_fetch` | what arrives out of order |
-//! | `wire`, `event_codec`, `timestamp` | datagrams, packed events, rounding of timestamps |
-//! | `token_bucket`, `jitter` | rates, and pauses drawn by a seed |
-//! | `settings` | what an installation sets, with bounds |
-//! | `output`, `status`, `counters` | what a host carries out, shows and counts |
+//! | `reorder_buffer`, `snapshot_fetch` | batches and snapshot parts that arrive out of order |
+//! | `wire`, `event_codec`, `timestamp` | datagrams, encoded events, rounding of timestamps |
+//! | `token_bucket`, `jitter` | rate limits and seeded random delays |
+//! | `settings` | settings of an installation and their bounds |
+//! | `output`, `status`, `counters` | actions for the host, state for operators, counters |
 
 pub mod counters;
 mod distributor;
--- a/crates/event-distribution/src/output.rs
+++ b/crates/event-distribution/src/output.rs
@@ -1,81 +1,83 @@
-//! What the host is to do, and what it may log.
+//! Actions for the host, and notices for its log.
 
 use crate::event::{Event, LogPosition};
 use crate::time::Micros;
 use std::net::SocketAddr;
 
-/// One thing that the host is to do. Outputs are carried out in their order.
+/// An action for the host. The host executes the outputs in their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// A datagram goes out.
+    /// Send a datagram.
     Send {
-        /// To this address.
+        /// Address of the recipient.
         to: SocketAddr,
-        /// Its content.
+        /// Content of the datagram.
         bytes: Vec<u8>,
     },
-    /// An event that was not known before. It has to be in force before the next datagram of this member is sent.
+    /// Apply an event that was unknown so far. The host has to apply it before it sends the next datagram of this
+    /// member.
     Apply(Event),
-    /// Of a publisher: the event is in force everywhere.
+    /// Publisher only: the event is in force everywhere.
     InForce {
-        /// As it was published.
+        /// The event as it was published.
         event: Event,
-        /// Since the service issued it to the publisher.
+        /// Time since the event source delivered the event to the publisher.
         took: Micros,
     },
-    /// For the log.
+    /// Write a notice to the log.
     Notice(Notice),
 }
 
-/// What is worth a line of the log.
+/// A notice for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
-    /// There is a lease again.
+    /// The member holds a lease again.
     LeaseAcquired {
-        /// The relay that granted it.
+        /// The relay that granted the lease.
         relay: String,
-        /// How long there was none.
-        without: Micros,
+        /// How long the member had no lease.
+        time_without_lease: Micros,
     },
-    /// The lease has ended and was not renewed.
+    /// The lease expired without renewal.
     LeaseExpired {
-        /// The relay that is followed.
+        /// The relay that the member follows.
         relay: String,
     },
-    /// Another relay is followed from now on.
+    /// The member follows another relay from now on.
     RelayChanged {
-        /// The one followed so far.
+        /// The former relay.
         from: String,
-        /// The one followed from now on.
+        /// The new relay.
         to: String,
     },
-    /// What was missed is no longer in a relay's window: all purges in force are fetched.
+    /// The next events are no longer in a relay's window, so the member fetches all purges in force.
     SnapshotStarted {
-        /// The relay that offers it.
+        /// The relay that sends the snapshot.
         relay: String,
     },
-    /// All purges in force are known.
+    /// The member knows all purges in force.
     SnapshotCompleted {
-        /// Purges that came with it.
+        /// Number of purges received with the snapshot.
         purges: u64,
-        /// Since its first part.
+        /// Time since the first part of the snapshot. A restarted fetch counts from its original start.
         took: Micros,
-        /// The log goes on from here.
+        /// The log continues from here.
         position: LogPosition,
     },
-    /// The publisher has restarted.
+    /// A new epoch has started, for example because the publisher restarted.
     EpochStarted {
-        /// Its first position.
+        /// First position of the epoch.
         position: LogPosition,
     },
-    /// The bound on purges was reached: copies from before this timestamp are refused.
+    /// The purge floor has risen, because purges were dropped to stay within the bound or were missed by the publisher:
+    /// copies from before this timestamp are refused.
     PurgeFloorRaised {
         /// In microseconds since the Unix epoch.
         floor: Micros,
     },
-    /// A subscriber of this member has lost its lease.
+    /// The lease of a subscriber of this member has expired.
     SubscriberLeaseExpired {
-        /// Its name.
+        /// Name of the subscriber.
         name: String,
     },
 }
--- a/crates/event-distribution/src/publisher.rs
+++ b/crates/event-distribution/src/publisher.rs
@@ -1,9 +1,10 @@
-//! The publisher: numbers events, sends them in batches, and knows up to which one they are in force everywhere.
+//! The publisher: numbers the events of the event source, sends them in batches, and determines up to which position
+//! they are in force everywhere. The event source is the service that delivers events to the publisher.
 //!
 //! Invariants:
-//! - While it recovers there is no epoch: nothing is published and no lease is granted.
-//! - No lease is granted before the service has delivered everything that was in force before the start.
-//! - What is in force everywhere only grows within an epoch (`in_force`).
+//! - During recovery there is no epoch: nothing is published, and no lease is granted.
+//! - No lease is granted before the event source has delivered everything that was in force before the start.
+//! - The position that is in force everywhere only grows within an epoch (`in_force`).
 
 mod batching;
 mod epoch;
@@ -26,33 +27,34 @@
 use in_force::InForceTracker;
 use recovery::Recovery;
 
-/// Out of touch with the service that delivers events, a publisher grants leases for so long.
-const MAX_OUT_OF_TOUCH: Micros = 4 * SECOND;
+/// How long a publisher that may be missing events of the event source continues to grant leases. The leases end within
+/// this time.
+const MAX_SOURCE_LAG: Micros = 4 * SECOND;
 
 /// The state of the publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
     settings: DistributionSettings,
-    /// Fetches the purges in force from other relays, at the start only.
+    /// Fetches the purges in force from other relays. Only set after the start.
     recovery: Option<Recovery>,
-    /// When it started, or began an epoch beyond one that it learned of.
+    /// When the publisher started, or last began an epoch that continues no other.
     started_at: Micros,
     log: EventLog,
-    /// Published, but not in a batch yet.
+    /// Published events that are not in a batch yet.
     pending: Vec<PendingEvent>,
-    /// The service has delivered everything in force since this start, and it is in the log. Until then nobody gets a
-    /// lease: what an earlier start said to be in force may be missing.
+    /// Whether the event source has delivered everything in force since this start, and it is in the log. Until then no
+    /// lease is granted, because events that an earlier start reported to be in force may be missing.
     has_caught_up: bool,
     next_batch: Micros,
     in_force: InForceTracker,
     distributor: Distributor,
-    /// Since when the service may have withheld events.
+    /// The event source may have withheld events since then.
     behind_since: Option<Micros>,
     seed: u64,
 }
 
 impl Publisher {
-    /// A publisher that starts. It recovers first, if there are other relays to recover from.
+    /// Creates a starting publisher. It recovers first if there are other relays to recover from.
     pub fn new(
         settings: DistributionSettings,
         limits: RelayLimits,
@@ -80,14 +82,14 @@
         publisher
     }
 
-    /// The first epoch of this start, larger than any that others are in.
+    /// Begins the first epoch of this start, which is larger than the epoch that it continues from.
     fn begin_epoch(&mut self, now: Micros, continues_from: Option<LogPosition>) {
         let epoch = epoch::first(now, continues_from, self.seed);
         self.log.begin_epoch(epoch, continues_from);
         self.in_force.begin_epoch(epoch);
     }
 
-    /// An event of the service: it goes out with the next batch.
+    /// Publishes an event of the event source with the next batch.
     pub fn publish(&mut self, now: Micros, event: Event) {
         self.pending.push(PendingEvent {
             event,
@@ -96,20 +98,21 @@
         if self.pending.len() < self.settings.max_purges {
             return;
         }
-        // More than can be stored does not wait: recovery ends at the next tick.
+        // If there are more events than can be stored, they are not delayed further: recovery ends with the next call
+        // of `tick` or `receive`.
         match &mut self.recovery {
-            Some(recovery) => recovery.end_at(now),
+            Some(recovery) => recovery.set_deadline(now),
             None => self.append_pending(now),
         }
     }
 
-    /// The service may have withheld some events since then; none: it has delivered all. To be called before the first
-    /// tick, unless all was delivered by then: until it has, no lease is granted.
+    /// Sets since when the event source may have withheld events; `None` if it has delivered all of them. The host has
+    /// to call this before the first tick, unless everything has been delivered by then: no lease is granted before.
     pub fn set_behind_since(&mut self, since: Option<Micros>) {
         self.behind_since = since;
     }
 
-    /// Everything that was published, with what is not in a batch yet.
+    /// The position after all published events, including those that are not in a batch yet.
     pub fn published(&self) -> LogPosition {
         let head = self.log.position().unwrap_or_default();
         LogPosition {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// When [`Publisher::tick`] has to be called.
+    /// When the host has to call [`Publisher::tick`].
     pub fn next_wake(&self) -> Micros {
         self.recovery
             .iter()
@@ -126,7 +129,7 @@
             .fold(self.next_batch, Micros::min)
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
         self.distributor.counters.record_received(bytes.len());
         match wire::decode(self.settings.fleet, bytes) {
@@ -150,7 +153,7 @@
         self.end_recovery(now, out);
     }
 
-    /// Where a subscriber is in a newer epoch than this one, the clock has stepped back: an epoch beyond that one begins.
+    /// Begins a later epoch if a subscriber is in a newer one than this publisher, because the clock has stepped back.
     fn follow_newer_epoch(
         &mut self,
         now: Micros,
@@ -170,23 +173,25 @@
         self.begin_epoch_beyond(newer, now, out);
     }
 
-    /// Begins an epoch that nobody continues with: everybody takes a snapshot.
+    /// Begins an epoch that continues no other one, so that every subscriber fetches a snapshot.
     fn begin_epoch_beyond(&mut self, epoch: Epoch, now: Micros, out: &mut Vec<Output>) {
         let epoch = epoch::beyond(epoch, self.seed);
-        // What is not in force yet is so once all have come to the new epoch, which takes a snapshot of it, and copies from
-        // before now are too old: what is in force stays where it is.
+        // Events that are not in force yet become so once all subscribers have entered the new epoch, which takes a
+        // snapshot of it, and copies from before now are too old. The position in force therefore stays unchanged until
+        // then.
         self.log.begin_epoch(epoch, None);
         self.started_at = now;
         let position = LogPosition { epoch, position: 0 };
         out.push(Output::Notice(Notice::EpochStarted { position }));
     }
 
-    /// Events of the service are missing for good, and may have been purges of anything: copies from before now are to be
-    /// refused. All come to know by the snapshot of a new epoch, without which nobody has a lease.
-    pub fn bound_missed(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let floor = timestamp::as_sent(now);
+    /// Handles the permanent loss of events of the event source. They may have been purges of any copies, so copies
+    /// from before now have to be refused. Subscribers receive that floor with the snapshot of a new epoch, and get no
+    /// lease without it.
+    pub fn handle_missed_events(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let floor = timestamp::round_to_wire(now);
         if let Some(recovery) = &mut self.recovery {
-            // Nobody is in an epoch of this start yet.
+            // No subscriber is in an epoch of this start yet.
             recovery.raise_floor(floor);
             return;
         }
@@ -201,19 +206,19 @@
         }
     }
 
-    /// Goes over from recovery to publishing, once all is there or the time is over.
+    /// Switches from recovery to publishing once recovery is complete or its deadline has passed.
     fn end_recovery(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
         if self.pending.len() < self.settings.max_purges {
-            recovery.extend();
+            recovery.extend_deadline();
         }
         if !recovery.is_over(now) {
             return;
         }
         let continues_from = recovery.complete_position();
-        // What a broken-off snapshot brought counts as well.
+        // The purges of an incomplete snapshot are used as well.
         if let Some(recovery) = self.recovery.take() {
             self.log.purges = recovery.into_purges();
         }
@@ -222,7 +227,7 @@
         out.push(Output::Notice(Notice::EpochStarted { position }));
     }
 
-    /// Time has passed.
+    /// Runs the tasks that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.tick(now, out);
@@ -247,7 +252,7 @@
         self.distributor.flush(now, &source, out);
     }
 
-    /// Once the service has delivered everything: a subscriber that lacks any of it gets no lease.
+    /// Once the event source has delivered everything, a subscriber that lacks any of it gets no lease.
     fn check_caught_up(&mut self) {
         if self.has_caught_up || self.behind_since.is_some() {
             return;
@@ -264,19 +269,19 @@
         }
         let duration = self.settings.lease_duration;
         self.behind_since.map_or(duration, |since| {
-            (since + MAX_OUT_OF_TOUCH - now).min(duration)
+            (since + MAX_SOURCE_LAG - now).min(duration)
         })
     }
 
-    /// Moves on what is in force everywhere: all that hold a lease have applied it, and it was published so long ago that
-    /// those without a lease serve no copy from before it.
+    /// Advances the position in force everywhere: all lease holders have applied it, and it was published so long ago
+    /// that subscribers without a lease serve no copy from before it.
     fn update_in_force(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(head) = self.log.position() else {
             return;
         };
         let outdated_by = now - self.settings.with_drift(self.settings.max_copy_age);
         self.in_force.record_head(now, head, outdated_by);
-        let Some(outdated) = self.in_force.reached_by(outdated_by) else {
+        let Some(outdated) = self.in_force.head_at(outdated_by) else {
             return;
         };
         let reported = self
@@ -292,7 +297,7 @@
         }
     }
 
-    /// Whether no lease of an earlier start of the publisher can be valid any more.
+    /// Whether all leases of earlier starts of the publisher have expired.
     fn are_earlier_leases_over(&self, now: Micros) -> bool {
         let longest = self.settings.with_drift(self.settings.lease_duration);
         now >= self.started_at + longest + self.settings.batch_interval
@@ -303,7 +308,7 @@
         self.in_force.position()
     }
 
-    /// Its state, for operators.
+    /// The state of the publisher, for operators.
     pub fn status(&self, now: Micros) -> DistributorStatus {
         let in_force = Some(self.in_force.position());
         self.distributor.status(now, &self.log, in_force)
--- a/crates/event-distribution/src/publisher/batching.rs
+++ b/crates/event-distribution/src/publisher/batching.rs
@@ -1,4 +1,4 @@
-//! Batches: what was published since the last one, without what is known already.
+//! Batches of the events that were published since the last batch, except those that are already known.
 
 use super::Publisher;
 use crate::event::{Event, Position};
@@ -13,8 +13,8 @@
 }
 
 impl Publisher {
-    /// Appends all pending events to the log, without what is known: a service delivers again what it delivered before a
-    /// start. That is followed as well until it is in force everywhere.
+    /// Appends all pending events to the log, except expired purges and events that are already known: the event source
+    /// delivers events again after a restart. Known events are tracked as well until they are in force everywhere.
     pub(super) fn append_pending(&mut self, now: Micros) {
         let mut encoder = EventEncoder::default();
         let mut events: Vec<Event> = Vec::new();
@@ -25,7 +25,7 @@
             let is_new = !self.is_known(&pending.event);
             if is_new && !encoder.push(&pending.event) {
                 self.append(now, &mut events, std::mem::take(&mut encoder));
-                // An empty one has room for any event.
+                // An empty encoder has room for any event.
                 let _ = encoder.push(&pending.event);
             }
             events.extend(is_new.then_some(pending.event));
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Tracks an event until it is in force everywhere: a subscriber that has applied the log and `appended_next` events
-    /// behind it has applied this one.
-    fn track(&mut self, pending: PendingEvent, appended_next: Position) {
+    /// Tracks an event until it is in force everywhere. A subscriber has applied it once it has applied the log and the
+    /// `unappended` events that follow it.
+    fn track(&mut self, pending: PendingEvent, unappended: Position) {
         let mut end = self.log.position().unwrap_or_default();
-        end.position += appended_next;
+        end.position += unappended;
         self.in_force
             .track(pending.event, pending.published_at, end);
     }
--- a/crates/event-distribution/src/publisher/in_force.rs
+++ b/crates/event-distribution/src/publisher/in_force.rs
@@ -1,26 +1,27 @@
-//! Up to where events are in force everywhere.
+//! The position up to which events are in force everywhere.
 //!
-//! Invariants: the position only grows, but for a new start of the log; `heads` are in order of time, the first one the
-//! latest that is old enough, if any is.
+//! Invariants: the position only grows, except at a new start of the log; `heads` are ordered by time, and the first
+//! one is the latest that is old enough, if any is.
 
 use crate::event::{Epoch, Event, LogPosition};
 use crate::output::Output;
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// Events that are followed until they are in force everywhere. Beyond, the earliest are no longer announced.
+/// Maximum number of events that are tracked until they are in force everywhere. Beyond it, the earliest events are no
+/// longer announced.
 const MAX_TRACKED: usize = 200_000;
 
-/// An event that is not known to be in force everywhere.
+/// An event that may not be in force everywhere yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct TrackedEvent {
     event: Event,
     published_at: Micros,
-    /// A subscriber at this position has applied it.
+    /// A subscriber at this position has applied the event.
     end: LogPosition,
 }
 
-/// How far the log reached at a moment.
+/// The end of the log at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeadAt {
     at: Micros,
@@ -29,9 +30,9 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct InForceTracker {
-    /// In a batch, but not in force everywhere.
+    /// Events that are in a batch but not in force everywhere.
     tracked: VecDeque<TrackedEvent>,
-    /// Up to where the log reached after each of the latest batches.
+    /// The end of the log after each of the latest batches.
     heads: VecDeque<HeadAt>,
     position: LogPosition,
 }
@@ -42,12 +43,12 @@
         self.position
     }
 
-    /// The first epoch of a start: nothing of it is in force.
+    /// Begins the first epoch of a start, in which nothing is in force yet.
     pub(super) fn begin_epoch(&mut self, epoch: Epoch) {
         self.position = LogPosition { epoch, position: 0 };
     }
 
-    /// A subscriber at `end` has applied this event.
+    /// Tracks an event. A subscriber at `end` has applied it.
     pub(super) fn track(&mut self, event: Event, published_at: Micros, end: LogPosition) {
         self.tracked.push_back(TrackedEvent {
             event,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The log reaches so far now. Of the heads up to `needed_at` only the latest is retained.
+    /// Records the current end of the log. Of the recorded ends up to `needed_at`, only the latest is retained.
     pub(super) fn record_head(&mut self, now: Micros, head: LogPosition, needed_at: Micros) {
         self.heads.push_back(HeadAt { at: now, head });
         while self
@@ -71,15 +72,15 @@
         }
     }
 
-    /// How far the log reached by then, the moment of the last [`InForceTracker::record_head`].
-    pub(super) fn reached_by(&self, moment: Micros) -> Option<LogPosition> {
+    /// The end of the log at a time, which has to be the `needed_at` of the last [`InForceTracker::record_head`].
+    pub(super) fn head_at(&self, time: Micros) -> Option<LogPosition> {
         self.heads
             .front()
-            .filter(|first| first.at <= moment)
+            .filter(|first| first.at <= time)
             .map(|first| first.head)
     }
 
-    /// Everything up to here is in force everywhere: announces the events.
+    /// Advances the position that is in force everywhere, and announces the events up to it.
     pub(super) fn advance(&mut self, now: Micros, to: LogPosition, out: &mut Vec<Output>) {
         self.position = self.position.max(to);
         while let Some(first) = self.tracked.front() {
--- a/crates/event-distribution/src/publisher/recovery.rs
+++ b/crates/event-distribution/src/publisher/recovery.rs
@@ -1,8 +1,8 @@
-//! Recovery of a publisher that starts: the purges in force, and the position of the former epoch that it builds on, are
-//! fetched from other relays.
+//! Recovery of a starting publisher: it fetches the purges in force, and the position of the previous epoch that it
+//! continues from, from other relays.
 //!
-//! It ends once everything is there, or after [`MAX_SILENCE`]; a snapshot that goes on extends it by that much with each
-//! part, up to [`MAX_DURATION`] in all.
+//! It ends once everything has been fetched, or after [`PART_TIMEOUT`]. Each part of a snapshot extends it by that
+//! time, up to [`TOTAL_TIMEOUT`] in total.
 
 use crate::event::LogPosition;
 use crate::output::Output;
@@ -12,20 +12,20 @@
 use crate::time::{Micros, SECOND};
 use crate::wire::Body;
 
-/// How long it waits for the first part of a snapshot, and for the next one.
-const MAX_SILENCE: Micros = 2 * SECOND;
-/// How long it waits in all.
-const MAX_DURATION: Micros = 20 * SECOND;
+/// Maximum wait for the first part of a snapshot, and for each further one.
+const PART_TIMEOUT: Micros = 2 * SECOND;
+/// Maximum duration of the recovery.
+const TOTAL_TIMEOUT: Micros = 20 * SECOND;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Recovery {
-    follower: Subscriber,
+    subscriber: Subscriber,
     started_at: Micros,
     deadline: Micros,
 }
 
 impl Recovery {
-    /// None where there is no other relay.
+    /// Starts the recovery, or returns `None` if there is no other relay.
     pub(super) fn new(
         settings: &DistributionSettings,
         identity: Identity,
@@ -36,56 +36,57 @@
         relays.find(|relay| relay.name != identity.name)?;
         let settings = settings.clone();
         Some(Recovery {
-            follower: Subscriber::with_role(settings, identity, Role::Relay, 0, now, seed),
+            subscriber: Subscriber::with_role(settings, identity, Role::Relay, 0, now, seed),
             started_at: now,
-            deadline: now + MAX_SILENCE,
+            deadline: now + PART_TIMEOUT,
         })
     }
 
     pub(super) fn next_wake(&self) -> Micros {
-        self.follower.next_wake().min(self.deadline)
+        self.subscriber.next_wake().min(self.deadline)
     }
 
     pub(super) fn receive(&mut self, now: Micros, body: Body, bytes: usize, out: &mut Vec<Output>) {
-        self.follower.receive_body(now, body, bytes, out);
+        self.subscriber.receive_body(now, body, bytes, out);
     }
 
     pub(super) fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now >= self.follower.next_wake() {
-            self.follower.tick(now, out);
+        if now >= self.subscriber.next_wake() {
+            self.subscriber.tick(now, out);
         }
     }
 
-    /// Waits no longer than this.
-    pub(super) fn end_at(&mut self, deadline: Micros) {
+    /// Sets the time at which the recovery ends at the latest.
+    pub(super) fn set_deadline(&mut self, deadline: Micros) {
         self.deadline = deadline;
     }
 
-    /// Waits for the next part, while a snapshot is under way.
-    pub(super) fn extend(&mut self) {
-        if let Some(last_part_at) = self.follower.last_part_at() {
-            let deadline = (last_part_at + MAX_SILENCE).min(self.started_at + MAX_DURATION);
+    /// Extends the deadline for the next part while a snapshot is being fetched.
+    pub(super) fn extend_deadline(&mut self) {
+        if let Some(last_part_at) = self.subscriber.last_part_at() {
+            let deadline = (last_part_at + PART_TIMEOUT).min(self.started_at + TOTAL_TIMEOUT);
             self.deadline = self.deadline.max(deadline);
         }
     }
 
-    /// Whether everything is there, or the time is over.
+    /// Whether everything has been fetched or the deadline has passed.
     pub(super) fn is_over(&self, now: Micros) -> bool {
         self.complete_position().is_some() || now >= self.deadline
     }
 
-    /// The position that the new epoch builds on. Behind it, others may lack what is known here and is not published again.
+    /// The position that the new epoch continues from, or `None` before the recovery is complete. Subscribers that are
+    /// behind it may lack purges that are known here and are not published again.
     pub(super) fn complete_position(&self) -> Option<LogPosition> {
-        self.follower.complete_position()
+        self.subscriber.complete_position()
     }
 
-    /// Copies from before this timestamp are to be refused.
+    /// Refuses copies from before this timestamp.
     pub(super) fn raise_floor(&mut self, floor: Micros) {
-        self.follower.log.purges.raise_floor(floor);
+        self.subscriber.log.purges.raise_floor(floor);
     }
 
-    /// The purges that were found, also by a snapshot that was broken off.
+    /// The purges that were fetched, also those of an incomplete snapshot.
     pub(super) fn into_purges(self) -> PurgeSet {
-        self.follower.log.purges
+        self.subscriber.log.purges
     }
 }
--- a/crates/event-distribution/src/purge_set.rs
+++ b/crates/event-distribution/src/purge_set.rs
@@ -1,7 +1,7 @@
-//! Purges in force, merged by key and bounded.
+//! The purges in force, merged by key and bounded.
 //!
-//! Invariants: `timestamps` and `order` hold the same purges, one for each key, the latest; there are `max_len` at most;
-//! whatever was dropped for that bound is covered by `floor`.
+//! Invariants: `timestamps` and `order` contain the same purges, the latest one of each key; there are at most
+//! `max_len`; `floor` covers all purges that were dropped to stay within that bound.
 
 use crate::event::{Purge, PurgeCursor, PurgeKey};
 use crate::timestamp;
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// The latest purge of each object and group. When there are too many, those with the earliest timestamps are dropped and
-/// [`PurgeSet::floor`] rises: copies from before it have to be refused, whatever they are of.
+/// The latest purge of each object and group. If there are too many, those with the earliest timestamps are dropped and
+/// [`PurgeSet::floor`] rises. All copies from before the floor have to be refused, whatever their key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PurgeSet {
     timestamps: BTreeMap<PurgeKey, Micros>,
@@ -18,12 +18,12 @@
     max_len: usize,
     retention: Micros,
     floor: Option<Micros>,
-    /// The latest timestamp that ever came.
+    /// The latest timestamp of all purges that were inserted.
     newest: Option<Micros>,
 }
 
 impl PurgeSet {
-    /// For at most so many purges, each stored for so long.
+    /// Creates an empty set for at most `max_len` purges, each of which is stored for the `retention` period.
     pub fn new(max_len: usize, retention: Micros) -> PurgeSet {
         PurgeSet {
             timestamps: BTreeMap::new(),
@@ -35,22 +35,23 @@
         }
     }
 
-    /// Purges in force.
+    /// Number of purges in force.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether there are none.
+    /// Whether the set has no purges.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Copies from before this timestamp are to be refused, as purges up to it were dropped for room.
+    /// Copies from before this timestamp have to be refused, because purges up to it may be missing: they were dropped
+    /// to stay within the bound, or the publisher never received them.
     pub fn floor(&self) -> Option<Micros> {
         self.floor
     }
 
-    /// Raises the floor to what another member had to drop. True if it rose.
+    /// Raises the floor to at least this timestamp, for example that of another member. Returns whether it rose.
     pub fn raise_floor(&mut self, floor: Micros) -> bool {
         let raised = self.floor.is_none_or(|known| floor > known);
         if raised {
@@ -64,10 +65,10 @@
         self.timestamps.get(&key).copied()
     }
 
-    /// True if it is new: a later timestamp of its key.
+    /// Inserts a purge. Returns whether its timestamp is later than the known one of its key.
     pub fn insert(&mut self, purge: Purge) -> bool {
         let purge = Purge {
-            timestamp: timestamp::as_sent(purge.timestamp),
+            timestamp: timestamp::round_to_wire(purge.timestamp),
             ..purge
         };
         self.newest = self.newest.max(Some(purge.timestamp));
@@ -92,19 +93,20 @@
             };
             self.timestamps.remove(&dropped.key);
             if !mutant("silent-drop") {
-                // A copy from the very moment of the timestamp is not older than the purge.
+                // A copy from exactly this timestamp is not older than the purge and stays valid.
                 self.raise_floor(dropped.timestamp);
             }
         }
     }
 
-    /// Timestamps before this one are no longer stored. `now` is Unix time, as timestamps are, and counts up to the latest
-    /// timestamp only: where a clock runs ahead of that of the service, nothing is removed too early.
+    /// Purges with timestamps before the returned one are no longer stored. `now` is Unix time, like the timestamps,
+    /// and is capped at the latest timestamp: if the local clock is ahead of the clock of the service that issues
+    /// purges, no purge is removed too early.
     pub fn retained_from(&self, now: Micros) -> Option<Micros> {
         self.newest.map(|newest| newest.min(now) - self.retention)
     }
 
-    /// Removes purges older than what is retained.
+    /// Removes purges, and the floor, once they are older than the retention period.
     pub fn expire(&mut self, now: Micros) {
         let Some(retained_from) = self.retained_from(now) else {
             return;
@@ -119,8 +121,9 @@
         }
     }
 
-    /// Those behind a place, earliest timestamps first. A purge that is raised while somebody reads on moves towards the
-    /// end, so a reader that continues from its last place, here or at another member, misses none.
+    /// The purges after a position, in the order of their timestamps. A purge that gets a later timestamp during
+    /// iteration moves towards the end, so a reader that continues from its last position, at this member or at another
+    /// one, misses none.
     pub fn after(&self, cursor: Option<PurgeCursor>) -> impl Iterator<Item = Purge> + '_ {
         let from = cursor.map_or(Bound::Unbounded, Bound::Excluded);
         self.order
--- a/crates/event-distribution/src/relay.rs
+++ b/crates/event-distribution/src/relay.rs
@@ -1,7 +1,7 @@
-//! A relay: follows the publisher or another relay, and feeds subscribers.
+//! A relay: follows the publisher or another relay, and serves subscribers.
 //!
-//! Invariants: it grants no lease beyond its own; what it acknowledges upstream has been applied by itself and by all that
-//! hold a lease of it, and nobody behind that gets one any more.
+//! Invariants: no lease that it grants outlasts its own; the position that it acknowledges upstream has been applied by
+//! itself and by all holders of its leases, and subscribers that are behind that position get no further lease.
 
 use crate::distributor::{Distributor, FeedSource};
 use crate::output::Output;
@@ -15,13 +15,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Relay {
     settings: DistributionSettings,
-    follower: Subscriber,
+    subscriber: Subscriber,
     distributor: Distributor,
     next_flush: Micros,
 }
 
 impl Relay {
-    /// A relay that starts, with nothing.
+    /// Creates a starting relay without events.
     pub fn new(
         settings: DistributionSettings,
         limits: RelayLimits,
@@ -31,22 +31,22 @@
     ) -> Relay {
         let window = limits.window_bytes;
         let distributor = Distributor::new(settings.clone(), limits, now);
-        let follower =
+        let subscriber =
             Subscriber::with_role(settings.clone(), identity, Role::Relay, window, now, seed);
         Relay {
             settings,
-            follower,
+            subscriber,
             distributor,
             next_flush: now,
         }
     }
 
-    /// When [`Relay::tick`] has to be called.
+    /// When the host has to call [`Relay::tick`].
     pub fn next_wake(&self) -> Micros {
-        self.follower.next_wake().min(self.next_flush)
+        self.subscriber.next_wake().min(self.next_flush)
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
         match wire::decode(self.settings.fleet, bytes) {
             Ok(Body::Heartbeat(heartbeat)) => {
@@ -54,9 +54,9 @@
                 self.receive_heartbeat(now, &heartbeat, out);
             }
             Ok(body) => {
-                let before = self.follower.position();
-                self.follower.receive_body(now, body, bytes.len(), out);
-                if self.follower.position() != before {
+                let before = self.subscriber.position();
+                self.subscriber.receive_body(now, body, bytes.len(), out);
+                if self.subscriber.position() != before {
                     self.flush(now, out);
                 }
             }
@@ -65,64 +65,64 @@
     }
 
     fn receive_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat, out: &mut Vec<Output>) {
-        let source = feed_source(&self.settings, &self.follower, now);
+        let source = feed_source(&self.settings, &self.subscriber, now);
         let received = self
             .distributor
             .receive_heartbeat(now, heartbeat, &source, out);
         match received {
-            Ok(newer) => self.follower.newer_epoch = self.follower.newer_epoch.max(newer),
+            Ok(newer) => self.subscriber.newer_epoch = self.subscriber.newer_epoch.max(newer),
             Err(reason) => self.distributor.counters.reject(reason),
         }
     }
 
-    /// Time has passed.
+    /// Runs the tasks that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.next_flush {
             self.next_flush = now + self.settings.batch_interval / 2;
             self.distributor.tick(now, out);
             self.flush(now, out);
         }
-        if now >= self.follower.next_wake() {
-            if let Some(own) = self.follower.position() {
-                let log = &self.follower.log;
+        if now >= self.subscriber.next_wake() {
+            if let Some(own) = self.subscriber.position() {
+                let log = &self.subscriber.log;
                 let acknowledged = self.distributor.report_acknowledged(now, log, own);
-                self.follower.acknowledged = Some(acknowledged);
+                self.subscriber.acknowledged = Some(acknowledged);
             }
-            self.follower.tick(now, out);
+            self.subscriber.tick(now, out);
         }
     }
 
     fn flush(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let source = feed_source(&self.settings, &self.follower, now);
+        let source = feed_source(&self.settings, &self.subscriber, now);
         self.distributor.flush(now, &source, out);
     }
 
-    /// How it feeds subscribers, for operators.
+    /// The state of its serving side, for operators.
     pub fn status(&self, now: Micros) -> DistributorStatus {
-        self.distributor.status(now, &self.follower.log, None)
+        self.distributor.status(now, &self.subscriber.log, None)
     }
 
-    /// How it follows the member that feeds it, for operators.
+    /// The state of its subscription to the publisher or another relay, for operators.
     pub fn upstream(&self, now: Micros) -> SubscriberStatus {
-        self.follower.status(now)
+        self.subscriber.status(now)
     }
 }
 
 fn feed_source<'a>(
     settings: &DistributionSettings,
-    follower: &'a Subscriber,
+    subscriber: &'a Subscriber,
     now: Micros,
 ) -> FeedSource<'a> {
-    let remaining = follower.lease_remaining(now).unwrap_or(0);
+    let remaining = subscriber.lease_remaining(now).unwrap_or(0);
     FeedSource {
-        log: &follower.log,
-        max_lease: grantable(settings, remaining),
-        hops: follower.hops(),
+        log: &subscriber.log,
+        max_lease: grantable_duration(settings, remaining),
+        hops: subscriber.hops(),
     }
 }
 
-/// How much of its own lease a relay may grant, so that what it grants ends before its own by any clock.
-fn grantable(settings: &DistributionSettings, remaining: Micros) -> Micros {
+/// How long a lease a relay may grant, so that it ends before the relay's own lease by any clock.
+fn grantable_duration(settings: &DistributionSettings, remaining: Micros) -> Micros {
     let drift = remaining * settings.clock_drift_per_mille / 1000;
     (remaining - drift - MILLISECOND).max(0)
 }
--- a/crates/event-distribution/src/reorder_buffer.rs
+++ b/crates/event-distribution/src/reorder_buffer.rs
@@ -1,23 +1,24 @@
-//! Batches that came before those that they follow: stored until those are here, so that reordering on the way costs nothing.
+//! Batches that arrived before their predecessors. They are stored until the predecessors arrive, so that reordering in
+//! the network requires no resend.
 //!
-//! All batches are of one epoch, none is empty, and there are [`MAX_BATCHES`] at most.
+//! All batches are of one epoch, none is empty, and there are at most [`MAX_BATCHES`].
 
 use crate::event::{Event, Position};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// What comes beyond is dropped and sent again.
+/// Further batches are dropped and have to be sent again.
 const MAX_BATCHES: usize = 32;
 
 /// A batch as it was received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReceivedBatch {
-    /// The number of its first event.
+    /// Number of the first event.
     pub(crate) first: Position,
     pub(crate) events: Vec<Event>,
-    /// The same events as they came.
+    /// The same events in encoded form.
     pub(crate) encoded: Vec<u8>,
-    /// When they were published, as far as can be known.
+    /// Estimated time of publication.
     pub(crate) published_at: Micros,
 }
 
@@ -35,7 +36,8 @@
         self.by_first.clear();
     }
 
-    /// Of too many, the last in order goes: the first ones are of use first.
+    /// Stores a batch. If there are too many, the last one in order is dropped, because the first ones are needed
+    /// first.
     pub(crate) fn insert(&mut self, batch: ReceivedBatch) {
         if batch.events.is_empty() {
             return;
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The one that goes on at this position, if it is here.
+    /// Removes and returns the batch that continues at this position, if it has arrived.
     pub(crate) fn take(&mut self, position: Position) -> Option<ReceivedBatch> {
         let first = self.by_first.first_entry()?;
         (*first.key() <= position).then(|| first.remove())
--- a/crates/event-distribution/src/settings.rs
+++ b/crates/event-distribution/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an installation sets, with the bounds of each setting.
+//! Settings of an installation and their bounds.
 
 use crate::time::Micros;
 pub use crate::time::{MILLISECOND, SECOND};
@@ -6,11 +6,12 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Bytes of a name, a region or a zone at most.
+/// Maximum length of a name, a region or a zone, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
-/// Relays that may be listed.
+/// Maximum number of listed relays.
 pub const MAX_RELAYS: usize = 64;
-/// A relay may follow one that follows the publisher; no farther.
+/// Maximum distance of a relay from the publisher, in hops: a relay follows the publisher, or a relay that follows the
+/// publisher.
 pub(crate) const MAX_RELAY_HOPS: u32 = 2;
 /// Bounds of [`DistributionSettings::max_unanswered`].
 const UNANSWERED_BOUNDS: RangeInclusive<u32> = 1..=100;
@@ -25,12 +26,12 @@
 /// Bounds of [`RelayLimits::window_bytes`].
 const WINDOW_BYTES_BOUNDS: RangeInclusive<usize> = 10_000..=1_000_000_000;
 
-/// A setting out of its bounds.
+/// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Its key, below `fleet.events` or `fleet.relay`.
+    /// Key of the setting, below `fleet.events` or `fleet.relay`.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Description of the violated bound.
     pub reason: String,
 }
 
@@ -49,52 +50,54 @@
 
 impl std::error::Error for InvalidSetting {}
 
-/// Where a relay is reached.
+/// Identity and address of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RelayAddress {
-    /// Its name, unique among the relays.
+    /// Name of the relay, unique among the relays.
     pub name: String,
-    /// Of its socket for datagrams.
+    /// Address of its datagram socket.
     pub address: SocketAddr,
-    /// Members of the same region prefer it.
+    /// Members of the same region prefer this relay.
     pub region: String,
-    /// Members of the same zone prefer it most.
+    /// Members of the same zone prefer this relay over others of the region.
     pub zone: String,
-    /// It publishes. Relays follow such a one first.
+    /// Whether this relay is a publisher. Relays follow publishers first.
     pub publishes: bool,
 }
 
-/// The same for all members of one fleet: `fleet { events { ... } }`.
+/// Settings that are the same for all members of a fleet: `fleet { events { ... } }`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DistributionSettings {
-    /// Hash of the fleet's name; what comes from another fleet is dropped.
+    /// Hash of the fleet's name. Messages from other fleets are dropped.
     pub fleet: u64,
-    /// All relays, with the one that publishes.
+    /// All relays, including the publisher.
     pub relays: Vec<RelayAddress>,
-    /// `batch_ms`, 100 ms: events are collected for so long before they are sent.
+    /// `batch_ms`, 100 ms: how long events are collected before they are sent.
     pub batch_interval: Micros,
-    /// `heartbeat_ms`, 400 ms: between two heartbeats of a subscriber; relays send theirs once a batch.
+    /// `heartbeat_ms`, 400 ms: interval between two heartbeats of a subscriber. Relays send one heartbeat per batch
+    /// interval.
     pub heartbeat_interval: Micros,
-    /// `retry_ms`, 200 ms: after so long without an answer a heartbeat is sent again.
+    /// `retry_ms`, 200 ms: how long a subscriber waits for an answer before it sends another heartbeat.
     pub retry_interval: Micros,
-    /// `tries`, 3: unanswered heartbeats until a subscriber chooses another relay.
+    /// `tries`, 3: number of unanswered heartbeats after which a subscriber chooses another relay.
     pub max_unanswered: u32,
-    /// `lease_ms`, 1.6 s: how long a lease holds, from the request that was granted.
+    /// `lease_ms`, 1.6 s: duration of a lease, counted from when the granted request was sent.
     pub lease_duration: Micros,
     /// `lag_most_ms`, 600 ms: a subscriber that lacks an event older than this gets no new lease.
     pub max_lag: Micros,
-    /// `copy_age_ms`, 2 s: without a lease, no copy older than this is served.
+    /// `copy_age_ms`, 2 s: a subscriber without a lease serves no copy older than this.
     pub max_copy_age: Micros,
     /// Bound on how much faster one clock runs than another, in parts per thousand: 10.
     pub clock_drift_per_mille: Micros,
-    /// `keep_s`, 900 s: how long purges are stored for members that were away.
+    /// `keep_s`, 900 s: how long purges are stored for members that were disconnected.
     pub purge_retention: Micros,
-    /// `purges_most`, 200,000: purges that are stored; beyond, all copies older than the oldest one dropped are refused.
+    /// `purges_most`, 200,000: maximum number of stored purges. Purges beyond it are dropped, oldest first, and all
+    /// copies older than a dropped purge are refused.
     pub max_purges: usize,
 }
 
 impl DistributionSettings {
-    /// The defaults, for these relays.
+    /// The default settings, with the given relays.
     pub fn new(fleet: u64, relays: Vec<RelayAddress>) -> DistributionSettings {
         DistributionSettings {
             fleet,
@@ -112,14 +115,14 @@
         }
     }
 
-    /// A span as the slowest clock of the fleet may take it.
-    pub fn with_drift(&self, span: Micros) -> Micros {
-        span + span * self.clock_drift_per_mille / 1000
+    /// Extends a duration so that it has passed by the slowest clock of the fleet.
+    pub fn with_drift(&self, duration: Micros) -> Micros {
+        duration + duration * self.clock_drift_per_mille / 1000
     }
 
-    /// The longest that an event can take to be in force everywhere, once it is published and after one failure: a
-    /// subscriber that lags gets its last lease after `max_lag`, and one that has gone keeps it for `lease_duration`.
-    /// Where its relay goes as well before that lease is over, it takes up to one lease more.
+    /// The maximum time from the publication of an event until it is in force everywhere, after one failure. A lagging
+    /// subscriber gets its last lease within `max_lag`, and a subscriber that has failed holds its lease for
+    /// `lease_duration`. If its relay fails as well before that lease expires, the time grows by up to one more lease.
     pub fn in_force_within(&self) -> Micros {
         let last_lease =
             self.max_lag + self.with_drift(self.lease_duration) + 4 * self.batch_interval;
@@ -130,16 +133,16 @@
     ///
     /// # Errors
     ///
-    /// The first setting that is out of its bounds.
+    /// Returns the first setting that is out of bounds.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         if self.relays.is_empty() || self.relays.len() > MAX_RELAYS {
-            let reason = format!("has to be told 1 to {MAX_RELAYS} times");
+            let reason = format!("must be listed 1 to {MAX_RELAYS} times");
             return Err(InvalidSetting::new("relay", reason));
         }
         for (index, relay) in self.relays.iter().enumerate() {
             validate_relay(relay, &self.relays[..index])?;
         }
-        self.validate_spans()?;
+        self.validate_durations()?;
         if !UNANSWERED_BOUNDS.contains(&self.max_unanswered) {
             return Err(out_of_bounds("tries", &UNANSWERED_BOUNDS));
         }
@@ -149,23 +152,23 @@
         Ok(())
     }
 
-    fn validate_spans(&self) -> Result<(), InvalidSetting> {
+    fn validate_durations(&self) -> Result<(), InvalidSetting> {
         let (batch, heartbeat) = (self.batch_interval, self.heartbeat_interval);
-        validate_span("batch_ms", batch, 10 * MILLISECOND..=SECOND)?;
-        validate_span("heartbeat_ms", heartbeat, 50 * MILLISECOND..=10 * SECOND)?;
-        validate_span(
+        validate_duration("batch_ms", batch, 10 * MILLISECOND..=SECOND)?;
+        validate_duration("heartbeat_ms", heartbeat, 50 * MILLISECOND..=10 * SECOND)?;
+        validate_duration(
             "retry_ms",
             self.retry_interval,
             20 * MILLISECOND..=heartbeat,
         )?;
-        validate_span("lease_ms", self.lease_duration, 2 * heartbeat..=60 * SECOND)?;
-        validate_span("lag_most_ms", self.max_lag, 2 * batch..=60 * SECOND)?;
-        validate_span(
+        validate_duration("lease_ms", self.lease_duration, 2 * heartbeat..=60 * SECOND)?;
+        validate_duration("lag_most_ms", self.max_lag, 2 * batch..=60 * SECOND)?;
+        validate_duration(
             "copy_age_ms",
             self.max_copy_age,
             100 * MILLISECOND..=600 * SECOND,
         )?;
-        validate_span(
+        validate_duration(
             "keep_s",
             self.purge_retention,
             10 * SECOND..=86_400 * SECOND,
@@ -178,7 +181,7 @@
     let invalid = |reason| Err(InvalidSetting::new("relay", reason));
     if name.is_empty() || name.len() > MAX_TEXT_BYTES {
         return invalid(format!(
-            "name {name:?}: has to be of 1 to {MAX_TEXT_BYTES} bytes"
+            "name {name:?} must be 1 to {MAX_TEXT_BYTES} bytes long"
         ));
     }
     if relay.region.len() > MAX_TEXT_BYTES || relay.zone.len() > MAX_TEXT_BYTES {
@@ -187,21 +190,22 @@
         ));
     }
     if before.iter().any(|other| other.name == *name) {
-        return invalid(format!("{name:?} is told twice"));
+        return invalid(format!("{name:?} is listed twice"));
     }
     Ok(())
 }
 
-fn validate_span(
+fn validate_duration(
     key: &'static str,
-    span: Micros,
+    duration: Micros,
     bounds: RangeInclusive<Micros>,
 ) -> Result<(), InvalidSetting> {
-    if bounds.contains(&span) {
+    if bounds.contains(&duration) {
         return Ok(());
     }
-    let [span, least, most] = [span, *bounds.start(), *bounds.end()].map(|span| span / MILLISECOND);
-    let reason = format!("{span} ms is not within {least} to {most} ms");
+    let [duration, min, max] =
+        [duration, *bounds.start(), *bounds.end()].map(|duration| duration / MILLISECOND);
+    let reason = format!("{duration} ms is not within {min} to {max} ms");
     Err(InvalidSetting::new(key, reason))
 }
 
@@ -213,13 +217,13 @@
 /// Limits of one relay: `fleet { relay { ... } }`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RelayLimits {
-    /// `subscribers_most`: subscribers that are served at one time; more are refused.
+    /// `subscribers_most`: maximum number of subscribers served at a time. Further ones are rejected.
     pub max_subscribers: usize,
-    /// `joins_per_s`: new subscribers a second, and as many at once.
+    /// `joins_per_s`: maximum rate of new subscribers per second, which is also the burst size.
     pub joins_per_second: u64,
-    /// `snapshot_bytes_per_s`: bytes a second of snapshots, for all subscribers together.
+    /// `snapshot_bytes_per_s`: maximum rate of snapshot bytes per second, for all subscribers together.
     pub snapshot_bytes_per_second: u64,
-    /// `window_bytes`: bytes of events that are stored for subscribers that come back.
+    /// `window_bytes`: bytes of events that are stored for subscribers that reconnect.
     pub window_bytes: usize,
 }
 
@@ -239,7 +243,7 @@
     ///
     /// # Errors
     ///
-    /// The first limit that is out of its bounds.
+    /// Returns the first limit that is out of bounds.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         if !SUBSCRIBERS_BOUNDS.contains(&self.max_subscribers) {
             return Err(out_of_bounds("subscribers_most", &SUBSCRIBERS_BOUNDS));
@@ -258,17 +262,17 @@
     }
 }
 
-/// Who a member is.
+/// Identity, address and location of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Identity {
-    /// Unique in the fleet.
+    /// Name of the member, unique in the fleet.
     pub name: String,
-    /// Larger at each start of the same name.
+    /// Number of this start of the member, larger than those of earlier starts under the same name.
     pub incarnation: u64,
-    /// Where others reach it.
+    /// Address at which other members reach this one.
     pub address: SocketAddr,
-    /// Relays of the same region are preferred.
+    /// Region of the member. Relays of the same region are preferred.
     pub region: String,
-    /// Relays of the same zone are preferred most.
+    /// Zone of the member. Relays of the same zone are preferred over others of the region.
     pub zone: String,
 }
--- a/crates/event-distribution/src/status.rs
+++ b/crates/event-distribution/src/status.rs
@@ -1,64 +1,64 @@
-//! What members show of themselves to operators.
+//! The state of members, for operators.
 
 use crate::counters::Counters;
 use crate::event::LogPosition;
 use crate::time::Micros;
 
-/// The state of a subscriber, or of the following side of a relay.
+/// The state of a subscriber, or of a relay's subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberStatus {
-    /// The relay that it follows.
+    /// The relay that the member follows.
     pub relay: String,
-    /// Up to where it has applied everything; none before the first snapshot or event.
+    /// Everything up to here has been applied. `None` before the first snapshot or event.
     pub position: Option<LogPosition>,
-    /// The last position that its relay has announced.
+    /// The last position that the relay has announced.
     pub relay_head: Option<LogPosition>,
-    /// What is left of its lease; none where it has expired.
+    /// Remaining time of the lease. `None` without a lease.
     pub lease_remaining: Option<Micros>,
     /// Whether a snapshot is being fetched.
     pub fetching_snapshot: bool,
-    /// Purges in force that it knows.
+    /// Number of purges in force that the member knows.
     pub purges: usize,
     /// Copies from before this timestamp are refused.
     pub purge_floor: Option<Micros>,
-    /// Counts since its start.
+    /// Counters since the start of the member.
     pub counters: Counters,
 }
 
-/// One subscriber that lags or has no lease, as the member that feeds it knows it.
+/// A subscriber that lags or has no lease, as the member that serves it knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingSubscriber {
-    /// Its name.
+    /// Name of the subscriber.
     pub name: String,
-    /// Up to where it, and all that it feeds, have applied everything.
+    /// The subscriber, and all that it serves, have applied everything up to here.
     pub acknowledged: Option<LogPosition>,
-    /// What is left of its lease.
+    /// Remaining time of its lease.
     pub lease_remaining: Option<Micros>,
     /// Time since its last heartbeat.
     pub since_heartbeat: Micros,
 }
 
-/// The state of the feeding side of a relay or publisher.
+/// The state of the serving side of a relay or publisher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DistributorStatus {
-    /// The last position that this member knows.
+    /// The end of the log of this member.
     pub head: LogPosition,
-    /// All that hold a lease have applied everything up to here.
+    /// All lease holders have applied everything up to here.
     pub acknowledged: LogPosition,
-    /// Publisher only: everything up to here is in force everywhere, leases or not.
+    /// Publisher only: everything up to here is in force everywhere, at subscribers with and without a lease.
     pub in_force: Option<LogPosition>,
-    /// Subscribers known.
+    /// Number of known subscribers.
     pub subscribers: usize,
-    /// Leases granted that may not have expired at their holders.
+    /// Number of granted leases that may not have expired at their holders.
     pub leases: usize,
-    /// Subscribers that lag or have no lease, the most recent heartbeat first; bounded.
+    /// Subscribers that lag or have no lease, ordered by their last heartbeat, most recent first. The list is bounded.
     pub lagging: Vec<LaggingSubscriber>,
-    /// Purges in force that it knows.
+    /// Number of purges in force that the member knows.
     pub purges: usize,
     /// Copies from before this timestamp are refused.
     pub purge_floor: Option<Micros>,
-    /// Bytes of events stored for subscribers that come back.
+    /// Bytes of events that are stored for subscribers that reconnect.
     pub window_bytes: usize,
-    /// Counts since its start.
+    /// Counters since the start of the member.
     pub counters: Counters,
 }
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -1,9 +1,9 @@
-//! The following side: a proxy, or a relay towards the one that feeds it. It sends heartbeats to one relay, applies the
-//! events that come back in order, and chooses another relay where that one fails.
+//! The subscription of a proxy, or of a relay to the member that serves it. A subscriber sends heartbeats to one relay,
+//! applies the events that it receives in order, and chooses another relay when that one fails.
 //!
 //! Invariants:
-//! - `log` holds everything up to its position; the position never goes back.
-//! - While there is no lease the age of copies is bounded ([`Subscriber::freshness_bound`]).
+//! - `log` contains everything up to its position, and the position never goes back.
+//! - Without a lease, the age of copies is bounded ([`Subscriber::freshness_bound`]).
 //! - An expired lease is noticed before a datagram is handled.
 
 mod batches;
@@ -28,19 +28,20 @@
 use lease::Lease;
 use relay_selection::RelaySelection;
 
-/// Longest wait that a relay's Retry-After can bring about.
+/// Maximum wait for the Retry-After of a relay.
 const MAX_RETRY_AFTER: Micros = 10 * crate::time::SECOND;
 
-/// What copies may be served: none issued before a moment, and none older than a span. No bound where both are none.
+/// Bound on the copies that may be served. Without either value, there is no bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FreshnessBound {
-    /// A timestamp in Unix microseconds: purges up to it were dropped for room.
+    /// Copies from before this timestamp, in Unix microseconds, are refused: purges up to it may be missing, because
+    /// they were dropped to stay within the bound or never reached the publisher.
     pub not_before: Option<Micros>,
-    /// Set while there is no lease: purges may be missing.
+    /// Maximum age of a copy. Set while there is no lease, because purges may be missing.
     pub max_age: Option<Micros>,
 }
 
-/// What the subscriber is part of.
+/// The kind of member that the subscriber belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Role {
     Proxy,
@@ -57,25 +58,25 @@
     pub(crate) log: EventLog,
     /// The last position that a relay has announced.
     relay_head: Option<LogPosition>,
-    /// Of a relay: what all that it feeds have applied.
+    /// Relay only: everything up to here has been applied by all subscribers that it serves.
     pub(crate) acknowledged: Option<LogPosition>,
-    /// Of a relay: the latest epoch, newer than its own, that a subscriber was in. The publisher has to learn of it: its
-    /// clock is behind.
+    /// Relay only: the latest epoch of a subscriber that is newer than the relay's own. The relay reports it to the
+    /// publisher, whose clock is behind.
     pub(crate) newer_epoch: Option<Epoch>,
-    /// Members between the publisher and this one.
+    /// Distance from the publisher, in hops.
     hops: u32,
     lease: Lease,
     heartbeats: HeartbeatSchedule,
     reorder_buffer: ReorderBuffer,
     fetch: Option<SnapshotFetch>,
-    /// The last snapshot may hold events up to here, and more than all up to the own position.
-    snapshot_reaches: Option<LogPosition>,
+    /// The last snapshot may contain events up to here, some of them after the own position.
+    snapshot_max_position: Option<LogPosition>,
     jitter: Jitter,
     pub(crate) counters: Counters,
 }
 
 impl Subscriber {
-    /// A proxy's, which stores no window for others.
+    /// Creates the subscriber of a proxy, which stores no window for others.
     pub fn new(
         settings: DistributionSettings,
         identity: Identity,
@@ -107,7 +108,7 @@
             lease: Lease::none_since(now),
             reorder_buffer: ReorderBuffer::default(),
             fetch: None,
-            snapshot_reaches: None,
+            snapshot_max_position: None,
             jitter,
             counters: Counters::default(),
             settings,
@@ -120,34 +121,35 @@
         self.log.position()
     }
 
-    /// The own position, once all purges that are known are of events before it.
+    /// The own position, if no known purge may belong to a later event.
     pub(crate) fn complete_position(&self) -> Option<LogPosition> {
         self.log
             .position()
-            .filter(|position| Some(*position) >= self.snapshot_reaches)
+            .filter(|position| Some(*position) >= self.snapshot_max_position)
     }
 
-    /// When the last part of a snapshot that is under way came.
+    /// While a snapshot is being fetched: when its last part arrived, the last lease was granted or the relay was
+    /// changed.
     pub(crate) fn last_part_at(&self) -> Option<Micros> {
         self.fetch.as_ref().map(|_| self.relays.last_progress_at())
     }
 
-    /// Whether there is a lease.
+    /// Whether the subscriber holds a lease.
     pub fn has_lease(&self, now: Micros) -> bool {
         self.lease_remaining(now).is_some()
     }
 
-    /// What is left of the lease, if there is one.
+    /// Remaining time of the lease, if the subscriber holds one.
     pub fn lease_remaining(&self, now: Micros) -> Option<Micros> {
         self.lease.remaining(now)
     }
 
-    /// Members between the publisher and this one.
+    /// Distance from the publisher, in hops.
     pub(crate) fn hops(&self) -> u32 {
         self.hops
     }
 
-    /// What copies may be served now.
+    /// The bound on the copies that may be served now.
     pub fn freshness_bound(&self, now: Micros) -> FreshnessBound {
         let max_age = (!self.has_lease(now)).then_some(self.settings.max_copy_age);
         FreshnessBound {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// When [`Subscriber::tick`] has to be called.
+    /// When the host has to call [`Subscriber::tick`].
     pub fn next_wake(&self) -> Micros {
         let heartbeat = self.heartbeats.next_at();
         self.lease
@@ -164,7 +166,7 @@
             .map_or(heartbeat, |expiry| expiry.min(heartbeat))
     }
 
-    /// Time has passed.
+    /// Runs the tasks that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.expire_lease(now, out);
         self.log.purges.expire(now);
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Another relay where this one fails, and now and then the preferred one again.
+    /// Changes the relay if the current one fails, and occasionally back to the preferred one.
     fn choose_relay(&mut self, now: Micros, out: &mut Vec<Output>) {
         let unanswered = self.heartbeats.unanswered();
         let lease_remaining = self.lease_remaining(now);
@@ -229,7 +231,7 @@
         out.push(Output::Send { to, bytes });
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Output>) {
         match wire::decode(self.settings.fleet, bytes) {
             Ok(body) => self.receive_body(now, body, bytes.len(), out),
@@ -245,7 +247,7 @@
         out: &mut Vec<Output>,
     ) {
         self.counters.record_received(bytes);
-        // A process that was stopped has to notice that before it acts on anything.
+        // A process that was suspended has to notice its expired lease before it acts on anything.
         self.expire_lease(now, out);
         let former_floor = self.log.purges.floor();
         let received = match body {
@@ -263,7 +265,8 @@
         }
     }
 
-    /// The relay cannot serve this one now: Retry-After, or another relay.
+    /// The relay cannot serve this subscriber now: waits for the Retry-After, and changes the relay first if the
+    /// current one is full or another one granted the last lease.
     fn receive_busy(
         &mut self,
         now: Micros,
@@ -281,7 +284,7 @@
         Ok(())
     }
 
-    /// Its state, for operators.
+    /// The state of the subscriber, for operators.
     pub fn status(&self, now: Micros) -> SubscriberStatus {
         SubscriberStatus {
             relay: self.relays.current_name(),
--- a/crates/event-distribution/src/subscriber/batches.rs
+++ b/crates/event-distribution/src/subscriber/batches.rs
@@ -1,7 +1,7 @@
-//! Batches of events, and the leases that come with them.
+//! Batches of events, and the leases that are granted with them.
 //!
-//! Invariants: events are applied in order and once; an epoch is entered at its start only, with everything of the
-//! former one that it builds on.
+//! Invariants: events are applied in order and exactly once; an epoch is entered only at its start, and only after
+//! everything that it continues from has been applied.
 
 use super::{Role, Subscriber};
 use crate::counters::RejectReason;
@@ -39,19 +39,19 @@
                 encoded: batch.events,
                 published_at: now - Micros::from(batch.age_ms) * MILLISECOND,
             };
-            self.take_batch(now, start.epoch, received, out);
+            self.process_batch(now, start.epoch, received, out);
         }
         self.relay_head = self.relay_head.max(Some(LogPosition {
             position: batch.head,
             ..start
         }));
         if let Some(grant) = batch.grant {
-            self.take_grant(now, grant, out)?;
+            self.process_grant(now, grant, out)?;
         }
         followed
     }
 
-    /// The publisher has restarted: enters the new epoch where everything that it builds on is here.
+    /// Enters a new epoch of the publisher if everything that it continues from has been applied.
     fn follow_epoch(
         &mut self,
         now: Micros,
@@ -74,8 +74,8 @@
             self.enter_epoch(start.epoch, continues_from, out);
             return Ok(());
         }
-        // The start of the epoch was lost on the way. Where it does not build on what is here, the relay offers a snapshot
-        // as soon as it learns where this one is.
+        // The start of the epoch was lost in the network. If the epoch does not continue from the own position, the
+        // relay sends a snapshot once it learns that position.
         if self.fetch.is_none() {
             self.heartbeats.request_resend(now, &self.settings);
         }
@@ -94,8 +94,8 @@
         out.push(Output::Notice(Notice::EpochStarted { position }));
     }
 
-    /// Applies a batch and those behind it that came before, or keeps it until what is missing has come.
-    fn take_batch(
+    /// Applies a batch and the stored batches that follow it, or stores it until the missing ones arrive.
+    fn process_batch(
         &mut self,
         now: Micros,
         epoch: Epoch,
@@ -105,7 +105,7 @@
         let Some(own) = self.log.position().filter(|own| own.epoch == epoch) else {
             return;
         };
-        // A batch without events shows what was sent before it.
+        // A batch without events also reveals a gap, because it begins where the batches sent before it end.
         let tolerated = u64::from(mutant("resume-off-by-one"));
         if batch.first > own.position + tolerated {
             self.counters.gaps += 1;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A batch that begins no later than the log ends: what of it is new.
+    /// Applies the new events of a batch that begins no later than the end of the log.
     fn apply_batch(&mut self, batch: ReceivedBatch, out: &mut Vec<Output>) {
         let own = self.log.position().map_or(0, |own| own.position);
         let known = own.saturating_sub(batch.first);
@@ -145,8 +145,8 @@
         out.extend(new.into_iter().map(Output::Apply));
     }
 
-    /// The answer to a heartbeat, with a lease or without.
-    fn take_grant(
+    /// Handles the answer to a heartbeat, with or without a lease.
+    fn process_grant(
         &mut self,
         now: Micros,
         grant: LeaseGrant,
@@ -172,9 +172,12 @@
             request.sent_at
         };
         let duration = Micros::from(grant.lease_micros).min(self.settings.lease_duration);
-        if let Some(without) = self.lease.extend(now, from + duration) {
+        if let Some(time_without_lease) = self.lease.extend(now, from + duration) {
             let relay = self.relays.current_name();
-            out.push(Output::Notice(Notice::LeaseAcquired { relay, without }));
+            out.push(Output::Notice(Notice::LeaseAcquired {
+                relay,
+                time_without_lease,
+            }));
         }
         Ok(())
     }
--- a/crates/event-distribution/src/subscriber/heartbeat.rs
+++ b/crates/event-distribution/src/subscriber/heartbeat.rs
@@ -1,7 +1,7 @@
-//! When heartbeats are sent, and which of them are still to be answered.
+//! The schedule of heartbeats, and the heartbeats that are not answered yet.
 //!
 //! Invariants: request numbers grow with each heartbeat; an answer counts once, and only while its request is among the
-//! last [`MAX_OUTSTANDING`]; what is to be sent again is requested at most once in a retry interval.
+//! last [`MAX_OUTSTANDING`]; a resend is requested at most once per retry interval.
 
 use crate::counters::RejectReason;
 use crate::jitter::Jitter;
@@ -9,15 +9,15 @@
 use crate::time::{Micros, SECOND};
 use std::collections::VecDeque;
 
-/// Heartbeats whose answers are still waited for.
+/// Maximum number of heartbeats whose answers are awaited.
 const MAX_OUTSTANDING: usize = 32;
-/// The first request number is drawn up to this, so that answers to an earlier start match none.
+/// Upper bound of the first request number, which is random so that answers to an earlier start match no request.
 const MAX_FIRST_REQUEST: i64 = 1 << 20;
-/// The pause between heartbeats while no relay answers is drawn from this range.
+/// Range of the random interval between heartbeats while no relay answers.
 const MIN_BACKOFF: Micros = SECOND / 2;
 const MAX_BACKOFF: Micros = 3 * SECOND / 2;
 
-/// A heartbeat whose answer has not come.
+/// A heartbeat that is not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OutstandingRequest {
     number: u32,
@@ -30,12 +30,12 @@
     next_request: u32,
     last_sent_at: Micros,
     next_at: Micros,
-    /// Heartbeats since the last answer, to this relay and to all.
+    /// Heartbeats since the last answer, to the current relay and to all relays.
     unanswered: u32,
     unanswered_by_all: u32,
-    /// The next heartbeat requests what was lost.
+    /// Whether the next heartbeat requests a resend of lost events.
     resend: bool,
-    /// When a heartbeat last did.
+    /// When a heartbeat last requested a resend.
     resend_requested_at: Option<Micros>,
 }
 
@@ -57,17 +57,17 @@
         self.next_at
     }
 
-    /// Heartbeats to this relay since its last answer.
+    /// Number of heartbeats to the current relay since its last answer.
     pub(super) fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
-    /// Whether this is the number of the last heartbeat that was sent.
+    /// Whether this is the request number of the last heartbeat.
     pub(super) fn is_last_request(&self, request: u32) -> bool {
         request.checked_add(1) == Some(self.next_request)
     }
 
-    /// A heartbeat is sent: its number, and whether it requests a resend.
+    /// Registers a new heartbeat. Returns its request number, and whether it requests a resend.
     pub(super) fn begin(&mut self, now: Micros) -> (u32, bool) {
         let resend = std::mem::take(&mut self.resend);
         if resend {
@@ -88,7 +88,8 @@
         (number, resend)
     }
 
-    /// The next heartbeat, if no answer comes: soon, or after a drawn pause where no relay answers.
+    /// Schedules the next heartbeat in case no answer arrives: after the retry interval, or after a random interval if
+    /// no relay answers.
     pub(super) fn schedule_retry(
         &mut self,
         now: Micros,
@@ -108,7 +109,8 @@
         self.next_at = at;
     }
 
-    /// No lease was granted: again as soon as the retry interval of that request is over.
+    /// Schedules the next heartbeat after an answer without a lease: as soon as the retry interval of that request has
+    /// passed.
     pub(super) fn schedule_after_refusal(
         &mut self,
         now: Micros,
@@ -119,7 +121,7 @@
         self.next_at = self.next_at.min(retry_at).max(now);
     }
 
-    /// A lease was granted: the next heartbeat follows the interval, unless something has to be sent again.
+    /// Schedules the next heartbeat one interval after the granted request, unless a resend has to be requested.
     pub(super) fn schedule_after_grant(
         &mut self,
         now: Micros,
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Something was lost. A heartbeat at once, but not before what the last one requested can be here: it would all be
-    /// sent once more.
+    /// Schedules a heartbeat that requests a resend of lost events. It is sent at once, but not before the answer to
+    /// the last resend request can have arrived, because everything would be sent once more.
     pub(super) fn request_resend(&mut self, now: Micros, settings: &DistributionSettings) {
         self.resend = true;
         let answered_by = self
@@ -143,12 +145,12 @@
         self.next_at = self.next_at.min(at);
     }
 
-    /// Whether something is still lost.
+    /// Sets whether events are still missing.
     pub(super) fn set_resend(&mut self, resend: bool) {
         self.resend = resend;
     }
 
-    /// The relay has answered this request.
+    /// Takes the request that the relay has answered.
     pub(super) fn take_answered(
         &mut self,
         number: u32,
@@ -163,12 +165,12 @@
         Ok(request)
     }
 
-    /// Later answers to what was sent so far count no more.
+    /// Ignores further answers to all heartbeats sent so far.
     pub(super) fn forget_outstanding(&mut self) {
         self.outstanding.clear();
     }
 
-    /// Another relay was chosen.
+    /// Resets the count of unanswered heartbeats for a new relay.
     pub(super) fn relay_changed(&mut self) {
         self.unanswered = 0;
     }
--- a/crates/event-distribution/src/subscriber/lease.rs
+++ b/crates/event-distribution/src/subscriber/lease.rs
@@ -1,14 +1,14 @@
 //! The lease that a subscriber holds.
 //!
-//! It counts from when the request was sent that it answers, so it is over here before it is over at its grantor.
-//! Invariant: `missing_since` is none from the moment a lease is granted until its expiry is noticed.
+//! It counts from when the granted request was sent, so it expires here before it expires at the grantor. Invariant:
+//! `missing_since` is `None` from the moment a lease is granted until its expiry is noticed.
 
 use crate::time::Micros;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Lease {
     expires_at: Option<Micros>,
-    /// Since when there is no lease.
+    /// Since when there has been no lease.
     missing_since: Option<Micros>,
 }
 
@@ -20,19 +20,19 @@
         }
     }
 
-    /// What is left of it, if anything.
+    /// Remaining time of the lease, if it has not expired.
     pub(super) fn remaining(&self, now: Micros) -> Option<Micros> {
         self.expires_at
             .map(|expires_at| expires_at - now)
             .filter(|remaining| *remaining > 0)
     }
 
-    /// When its expiry is to be noticed.
+    /// When the expiry of the lease has to be noticed.
     pub(super) fn next_expiry(&self) -> Option<Micros> {
         self.expires_at.filter(|_| self.missing_since.is_none())
     }
 
-    /// True where it has expired since the last call.
+    /// Returns true if the lease has expired since the last call.
     pub(super) fn expire(&mut self, now: Micros) -> bool {
         let has_expired = self.missing_since.is_none() && self.remaining(now).is_none();
         if has_expired {
@@ -41,7 +41,7 @@
         has_expired
     }
 
-    /// A lease until then was granted. Where there was none, for how long.
+    /// Extends the lease. If there was none, returns how long it was missing.
     pub(super) fn extend(&mut self, now: Micros, until: Micros) -> Option<Micros> {
         self.expires_at = self.expires_at.max(Some(until));
         self.missing_since
--- a/crates/event-distribution/src/subscriber/relay_selection.rs
+++ b/crates/event-distribution/src/subscriber/relay_selection.rs
@@ -1,8 +1,8 @@
-//! Which relay a subscriber follows.
+//! The relay that a subscriber follows.
 //!
-//! Relays are in the order of preference, the preferred one first. Another one is chosen where the current one does not
-//! answer, or answers for a lease's length without a lease or a part of a snapshot; a subscriber that has a lease
-//! returns to the preferred one now and then.
+//! Relays are ordered by preference, the preferred one first. A subscriber chooses another relay if the current one
+//! does not answer, or answers for the duration of a lease without granting a lease or sending a snapshot part. A
+//! subscriber that holds a lease occasionally returns to the preferred relay.
 
 use super::Role;
 use crate::jitter::Jitter;
@@ -11,25 +11,25 @@
 use meadowrill_membership::hash::stable_hash;
 use std::cmp::Reverse;
 
-/// Between two attempts to return to the preferred relay, drawn from this range.
+/// Range of the random interval between two attempts to return to the preferred relay.
 const MIN_RETURN_INTERVAL: Micros = 10 * SECOND;
 const MAX_RETURN_INTERVAL: Micros = 30 * SECOND;
-/// Changes for want of a lease that add to a proxy's patience with the next relay, in leases.
-const MAX_EXTRA_PATIENCE: u32 = 3;
+/// Maximum number of lease durations that refusals in a row add to a proxy's timeout for the next relay.
+const MAX_EXTRA_TIMEOUT_LEASES: u32 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RelaySelection {
     role: Role,
-    /// In the order of preference.
+    /// The relays in order of preference.
     relays: Vec<RelayAddress>,
     current: usize,
-    /// When the current relay was chosen, or last granted a lease or sent a part of a snapshot.
+    /// When the current relay was chosen, or last granted a lease or sent a snapshot part.
     last_progress_at: Micros,
-    /// Changes in a row for want of a lease, up to a bound.
+    /// Consecutive changes of the relay because no lease was granted, up to a maximum.
     refusals: u32,
-    /// The relay that was followed as the last lease came.
+    /// The relay that granted the last lease. Cleared when a replacement for the current relay is chosen.
     grantor: Option<usize>,
-    /// How often a relay has chosen another one than the publisher.
+    /// How often a relay has chosen another relay than the publisher.
     non_publishers_chosen: usize,
     return_at: Micros,
 }
@@ -58,7 +58,7 @@
         self.relays.len()
     }
 
-    /// The relay followed; none where there is no other member.
+    /// The current relay, or `None` if there is no other member.
     pub(super) fn current(&self) -> Option<&RelayAddress> {
         self.relays.get(self.current)
     }
@@ -69,12 +69,12 @@
             .unwrap_or_default()
     }
 
-    /// When the current relay was chosen, or last granted a lease or sent a part of a snapshot.
+    /// When the current relay was chosen, or last granted a lease or sent a snapshot part.
     pub(super) fn last_progress_at(&self) -> Micros {
         self.last_progress_at
     }
 
-    /// The current relay has sent a part of a snapshot.
+    /// The current relay has sent a snapshot part.
     pub(super) fn record_progress(&mut self, now: Micros) {
         self.last_progress_at = now;
     }
@@ -86,12 +86,12 @@
         self.grantor = Some(self.current);
     }
 
-    /// Whether the last lease came from another relay than the current one.
+    /// Whether the last lease came from another relay than the current one, and no replacement was chosen since then.
     pub(super) fn has_former_grantor(&self) -> bool {
         self.grantor.is_some_and(|relay| relay != self.current)
     }
 
-    /// The relay to change to, before a heartbeat is sent; none to stay.
+    /// Chooses the relay to change to before a heartbeat is sent; `None` to stay.
     pub(super) fn choose(
         &mut self,
         now: Micros,
@@ -102,31 +102,31 @@
         if self.relays.len() < 2 {
             return None;
         }
-        // Where all refuse, going from one to the other helps nobody: more and more patience.
-        let patience = settings.lease_duration * Micros::from(1 + self.refusals);
-        let refuses = now - self.last_progress_at > patience;
-        if unanswered >= settings.max_unanswered || refuses {
-            self.refusals = (self.refusals + u32::from(refuses)).min(self.max_refusals());
+        // If all relays refuse, changing between them does not help, so the timeout grows with each refusal.
+        let timeout = settings.lease_duration * Micros::from(1 + self.refusals);
+        let is_refusing = now - self.last_progress_at > timeout;
+        if unanswered >= settings.max_unanswered || is_refusing {
+            self.refusals = (self.refusals + u32::from(is_refusing)).min(self.max_refusals());
             return Some(self.next_relay());
         }
         let is_lease_fresh = lease_remaining.is_some_and(|left| left > settings.lease_duration / 2);
-        let returns = self.current != 0 && is_lease_fresh && now >= self.return_at;
-        returns.then_some(0)
+        let should_return = self.current != 0 && is_lease_fresh && now >= self.return_at;
+        should_return.then_some(0)
     }
 
     fn max_refusals(&self) -> u32 {
         match self.role {
-            Role::Proxy => MAX_EXTRA_PATIENCE,
+            Role::Proxy => MAX_EXTRA_TIMEOUT_LEASES,
             Role::Relay => 0,
         }
     }
 
-    /// The relay to follow instead of the current one; there are at least two.
+    /// The relay that replaces the current one. There are at least two relays.
     ///
-    /// A relay without a lease returns to the publisher after each other relay: those that follow one another in a ring
-    /// would else wait for each other.
+    /// A relay without a lease returns to the publisher after each other relay that it tries. Otherwise, relays that
+    /// follow one another in a cycle would wait for each other.
     pub(super) fn next_relay(&mut self) -> usize {
-        // Where the preferred one does not answer, back to the one that did.
+        // If the preferred relay does not answer, the subscriber returns to the one that granted its last lease.
         let grantor = self.grantor.take().filter(|relay| *relay != self.current);
         if let Some(grantor) = grantor {
             return grantor;
@@ -150,8 +150,9 @@
     }
 }
 
-/// The relays in the order in which a member chooses them: a relay those that publish first; then the own zone, the own
-/// region, the others; within each by rendezvous hashing, so that those who follow a failed one spread over the rest.
+/// The relays in the order in which a member chooses them: a relay prefers publishers; then the own zone, the own
+/// region and the others follow, each ordered by rendezvous hashing, so that the subscribers of a failed relay spread
+/// over the others.
 fn by_preference(
     settings: &DistributionSettings,
     identity: &Identity,
@@ -174,7 +175,7 @@
     relays
 }
 
-/// 0 within a zone, 1 within a region.
+/// 0 within the same zone, 1 within the same region, 2 otherwise.
 fn distance(relay: &RelayAddress, identity: &Identity) -> u8 {
     let is_same_region = relay.region == identity.region;
     match (relay.zone == identity.zone, is_same_region) {
--- a/crates/event-distribution/src/subscriber/snapshot.rs
+++ b/crates/event-distribution/src/subscriber/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots: all purges in force, where this one is behind its relay's window.
+//! Snapshots of all purges in force, for a subscriber that is behind the window of its relay.
 //!
-//! Invariants: a fetch is of one epoch, never one before the log's; the position moves only once all parts are here, to
-//! the least position of their writers, and never back.
+//! Invariants: a fetch is of one epoch, and never of one before the epoch of the log; the position moves only when all
+//! parts have arrived, to the minimum position of the members that wrote them, and never back.
 
 use super::Subscriber;
 use crate::counters::RejectReason;
@@ -34,9 +34,9 @@
             is_paused: part.is_paused,
         };
         let after = part.after.and_then(WireCursor::to_cursor);
-        let fetch = self.fetch_of(now, writer, out);
+        let fetch = self.fetch_for(now, writer, out);
         let progress = fetch.add_part(after, end);
-        if progress == FetchProgress::Useless {
+        if progress == FetchProgress::Unusable {
             return Err(RejectReason::Unexpected);
         }
         fetch.record_applied(writer, events.len() as u64);
@@ -51,17 +51,17 @@
         match progress {
             FetchProgress::Complete => self.finish_fetch(now, out),
             FetchProgress::Paused => self.heartbeats.schedule_at(now),
-            FetchProgress::MoreUnderWay => {
+            FetchProgress::MoreInFlight => {
                 let at = now + self.settings.retry_interval;
                 self.heartbeats.schedule_at(at);
             }
-            FetchProgress::Ahead | FetchProgress::Useless => {}
+            FetchProgress::Ahead | FetchProgress::Unusable => {}
         }
     }
 
-    /// Rejects parts of an epoch before the own one, and late ones of a relay that was followed before. Where the relay
-    /// that is followed now is in an older epoch than the snapshot that was begun, it is begun anew: nothing of it counts
-    /// as applied.
+    /// Rejects parts of an epoch before the own one, and late parts of a former relay. If the current relay is in an
+    /// older epoch than the snapshot that is being fetched, the fetch starts anew, and none of its parts count as
+    /// applied.
     fn check_epoch(&self, writer: LogPosition, request: u32) -> Result<(), RejectReason> {
         let is_before_log = self
             .log
@@ -70,7 +70,7 @@
         let is_before_fetch = self
             .fetch
             .as_ref()
-            .is_some_and(|fetch| writer.epoch < fetch.least_writer.epoch);
+            .is_some_and(|fetch| writer.epoch < fetch.min_writer_position.epoch);
         let is_late = !self.heartbeats.is_last_request(request);
         if is_before_log || (is_late && is_before_fetch) {
             return Err(RejectReason::OldEpoch);
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    /// The fetch that is under way in the writer's epoch, or a new one.
-    fn fetch_of(
+    /// The current fetch if it is in the writer's epoch, otherwise a new one.
+    fn fetch_for(
         &mut self,
         now: Micros,
         writer: LogPosition,
@@ -87,7 +87,7 @@
     ) -> &mut SnapshotFetch {
         let former = self.fetch.take();
         let started_at = former.as_ref().map_or(now, |fetch| fetch.started_at);
-        let current = former.filter(|fetch| fetch.least_writer.epoch == writer.epoch);
+        let current = former.filter(|fetch| fetch.min_writer_position.epoch == writer.epoch);
         if current.is_none() {
             self.counters.snapshots += 1;
             let relay = self.relays.current_name();
@@ -108,20 +108,22 @@
         }
     }
 
-    /// All parts are here: the log goes on from the least position of their writers.
+    /// Completes the fetch: the log continues from the minimum position of the members that wrote the parts.
     fn finish_fetch(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(fetch) = self.fetch.take() else {
             return;
         };
-        // A relay that is behind this one may have written a part: what was applied before still counts.
+        // A relay that is behind this subscriber may have written a part. Events that were applied before still count.
         let position = self
             .log
             .position()
-            .map_or(fetch.least_writer, |own| own.max(fetch.least_writer));
+            .map_or(fetch.min_writer_position, |own| {
+                own.max(fetch.min_writer_position)
+            });
         self.log.reset(position);
-        self.snapshot_reaches = Some(fetch.largest_writer);
+        self.snapshot_max_position = Some(fetch.max_writer_position);
         self.reorder_buffer.clear();
-        // Parts that are still under way begin no new one.
+        // Parts that are still in flight start no new fetch.
         self.heartbeats.forget_outstanding();
         self.heartbeats.schedule_at(now);
         out.push(Output::Notice(Notice::SnapshotCompleted {
--- a/crates/event-distribution/src/time.rs
+++ b/crates/event-distribution/src/time.rs
@@ -1,6 +1,7 @@
 //! Units of time.
 
-/// A moment or a span, in whole microseconds. Moments are of the local clock, which only moves forward.
+/// A point in time or a duration, in whole microseconds. Points in time are read from the local clock, which only moves
+/// forward.
 pub type Micros = i64;
 
 /// One millisecond.
--- a/crates/event-distribution/src/timestamp.rs
+++ b/crates/event-distribution/src/timestamp.rs
@@ -1,24 +1,24 @@
-//! Timestamps of purges as they travel: whole milliseconds, rounded up, within bounds.
+//! Timestamps of purges as they are sent: in whole milliseconds, rounded up, within bounds.
 //!
-//! Every member keeps the rounded form, so the order of purges, and with it that of a snapshot, is the same at all of
-//! them. A timestamp rounded up invalidates more copies, never fewer.
+//! Every member stores the rounded timestamp, so the order of purges, and therefore of snapshots, is the same at all
+//! members. A timestamp that is rounded up invalidates more copies, never fewer.
 
 use crate::time::{Micros, MILLISECOND};
 
-/// Timestamps are within so many milliseconds of the Unix epoch: the year 6429.
+/// Maximum distance of a timestamp from the Unix epoch, in milliseconds: the year 6429.
 const MAX_MILLISECONDS: i64 = 1 << 47;
 
-/// Whether a timestamp in milliseconds may travel.
+/// Whether a timestamp in milliseconds may be sent.
 pub(crate) fn is_valid(milliseconds: i64) -> bool {
     (-MAX_MILLISECONDS..=MAX_MILLISECONDS).contains(&milliseconds)
 }
 
-/// In milliseconds, rounded up.
+/// Converts a timestamp to milliseconds, rounded up.
 pub(crate) fn to_milliseconds(timestamp: Micros) -> i64 {
     timestamp.div_euclid(MILLISECOND) + i64::from(timestamp.rem_euclid(MILLISECOND) != 0)
 }
 
-/// The timestamp as it travels, and as every member keeps it.
-pub(crate) fn as_sent(timestamp: Micros) -> Micros {
+/// Rounds a timestamp to the value that is sent and that every member stores.
+pub(crate) fn round_to_wire(timestamp: Micros) -> Micros {
     to_milliseconds(timestamp).clamp(-MAX_MILLISECONDS, MAX_MILLISECONDS) * MILLISECOND
 }
--- a/crates/event-distribution/src/token_bucket.rs
+++ b/crates/event-distribution/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: so many tokens a second, and one second's worth at once.
+//! A token bucket that holds up to one second's worth of tokens.
 
 use crate::time::{Micros, SECOND};
 
@@ -11,7 +11,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(per_second: u64, now: Micros) -> TokenBucket {
         let per_second = i64::try_from(per_second).unwrap_or(i64::MAX / SECOND);
         TokenBucket {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes so many tokens, if they are there.
+    /// Takes tokens if enough are available, and returns whether it did.
     pub(crate) fn try_take(&mut self, now: Micros, tokens: u64) -> bool {
         let elapsed = (now - self.filled_at).clamp(0, SECOND);
         self.filled_at = now;
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -1,7 +1,9 @@
-//! Datagrams between publisher, relays and subscribers: at most [`MAX_DATAGRAM_BYTES`], `ev`, a version, a checksum and a
-//! protobuf message (the envelope of `meadowrill_membership`). Older builds drop what begins with `ev`.
+//! Datagrams between publisher, relays and subscribers. A datagram has at most [`MAX_DATAGRAM_BYTES`] and consists of
+//! `ev`, a version, a checksum and a protobuf message (the envelope of `meadowrill_membership`). Older builds drop
+//! datagrams that begin with `ev`.
 //!
-//! Everything that [`decode`] returns is within bounds; events within a message are read by [`crate::event_codec`].
+//! Everything that [`decode`] returns is within bounds. The events within a message are decoded by
+//! [`crate::event_codec`].
 
 mod bounds;
 mod messages;
@@ -15,34 +17,35 @@
 use meadowrill_membership::envelope;
 use messages::Packet;
 
-/// The first bytes of a datagram.
-pub const MARK: [u8; 2] = *b"ev";
-/// Never written: events go in datagrams only.
-const PACKED_MARK: [u8; 2] = *b"ez";
-/// Of the messages.
+/// Magic bytes at the start of a datagram.
+pub const MAGIC: [u8; 2] = *b"ev";
+/// Magic bytes of compressed messages, which are never written: events are sent in datagrams only.
+const COMPRESSED_MAGIC: [u8; 2] = *b"ez";
+/// Version of the messages.
 pub const VERSION: u8 = 1;
-/// Bytes of a datagram at most.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// A message as a datagram.
+/// Encodes a message as a datagram.
 pub fn encode(fleet: u64, body: Body) -> Vec<u8> {
     let packet = Packet {
         fleet: fleet_number(fleet),
         body: Some(body),
     };
     let mut bytes = Vec::new();
-    envelope::encode(MARK, VERSION, &packet, &mut bytes);
+    envelope::encode(MAGIC, VERSION, &packet, &mut bytes);
     bytes
 }
 
-/// The message of a datagram.
+/// Decodes the message of a datagram.
 ///
 /// # Errors
 ///
-/// The reason to drop it: another kind or version, garbled, of another fleet, or out of bounds.
+/// Returns the reason to drop the datagram: it is of another kind or version, corrupt, of another fleet, or out of
+/// bounds.
 pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Body, RejectReason> {
-    let packet: Packet =
-        envelope::decode(MARK, PACKED_MARK, VERSION, bytes).map_err(|_| RejectReason::Envelope)?;
+    let packet: Packet = envelope::decode(MAGIC, COMPRESSED_MAGIC, VERSION, bytes)
+        .map_err(|_| RejectReason::Envelope)?;
     if packet.fleet != fleet_number(fleet) {
         return Err(RejectReason::OtherFleet);
     }
--- a/crates/event-distribution/src/wire/bounds.rs
+++ b/crates/event-distribution/src/wire/bounds.rs
@@ -1,11 +1,11 @@
-//! Bounds of what is read from the wire.
+//! Bounds of messages that are received.
 
 use super::messages::{Batch, Body, Heartbeat, SnapshotPart, WireCursor, WirePosition};
 use crate::event::{Epoch, LogPosition, Position};
 use crate::settings::MAX_TEXT_BYTES;
 use crate::timestamp;
 
-/// Positions are no larger than this.
+/// Maximum position.
 pub const MAX_POSITION: Position = 1 << 56;
 
 impl Body {
@@ -30,7 +30,7 @@
         let has_valid_texts = !self.name.is_empty()
             && self.name.len() <= MAX_TEXT_BYTES
             && self.address.len() <= MAX_TEXT_BYTES;
-        // All that a relay feeds are no farther than the relay.
+        // No subscriber of a relay is ahead of the relay.
         let is_acknowledged_reached =
             self.acknowledged.map(LogPosition::from) <= self.position.map(LogPosition::from);
         has_valid_texts
@@ -67,9 +67,9 @@
         let after = self.after.map(WireCursor::to_cursor);
         let next = self.next.map(WireCursor::to_cursor);
         let are_cursors_complete = after != Some(None) && next != Some(None);
-        let goes_forward = next.is_none() || next > after;
+        let is_advancing = next.is_none() || next > after;
         are_cursors_complete
-            && goes_forward
+            && is_advancing
             && self
                 .purge_floor
                 .is_none_or(|floor| timestamp::is_valid(timestamp::to_milliseconds(floor)))
--- a/crates/event-distribution/src/wire/messages.rs
+++ b/crates/event-distribution/src/wire/messages.rs
@@ -1,9 +1,9 @@
-//! The protobuf messages. Field numbers and types are the form on the wire; names are ours.
+//! The protobuf messages. Field numbers and types define the wire format; the names are not sent.
 
 use crate::event::{Epoch, LogPosition, PurgeCursor, PurgeKey};
 use prost::Message;
 
-/// What a datagram holds behind its envelope.
+/// Content of a datagram after its envelope.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct Packet {
     /// Lower half of the hash of the fleet's name.
@@ -13,16 +13,16 @@
     pub(super) body: Option<Body>,
 }
 
-/// One message.
+/// The message of a datagram.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// From a subscriber to the member that feeds it.
+    /// From a subscriber to the member that serves it.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
-    /// Events, to a subscriber.
+    /// Events for a subscriber.
     #[prost(message, tag = "3")]
     Batch(Batch),
-    /// Purges in force, to a subscriber.
+    /// Purges in force for a subscriber.
     #[prost(message, tag = "4")]
     SnapshotPart(SnapshotPart),
     /// The answer to a heartbeat that cannot be served now.
@@ -30,13 +30,13 @@
     Busy(Busy),
 }
 
-/// A point in a log.
+/// A position in the log.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct WirePosition {
     /// The run of the publisher.
     #[prost(fixed64, tag = "1")]
     pub epoch: u64,
-    /// Events of that run before this point.
+    /// Number of events of that run before this position.
     #[prost(uint64, tag = "2")]
     pub position: u64,
 }
@@ -59,37 +59,37 @@
     }
 }
 
-/// From a subscriber to the member that feeds it: where it is, and a request for a lease.
+/// Reports the position of a subscriber to the member that serves it, and requests a lease.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// Of the subscriber.
+    /// Name of the subscriber.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Larger at each start of the same name.
+    /// Number of this start of the subscriber, larger than those of earlier starts under the same name.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Where answers go.
+    /// Address to which answers are sent.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Grows with each heartbeat; the answer names it.
+    /// Number of the request, which grows with each heartbeat. The answer repeats it.
     #[prost(uint32, tag = "4")]
     pub request: u32,
-    /// Everything up to here has been applied; none at a start.
+    /// Everything up to here has been applied. `None` at a start.
     #[prost(message, optional, tag = "5")]
     pub position: Option<WirePosition>,
-    /// Of a relay: everything up to here has been applied by all to whom it granted a lease.
+    /// Relay only: everything up to here has been applied by all holders of its leases.
     #[prost(message, optional, tag = "6")]
     pub acknowledged: Option<WirePosition>,
-    /// Something behind `position` was lost on the way and is to be sent again.
+    /// Events after `position` were lost in the network and have to be sent again.
     #[prost(bool, tag = "7")]
     pub resend: bool,
-    /// The snapshot is to go on behind this place.
+    /// The snapshot has to continue after this position.
     #[prost(message, optional, tag = "8")]
     pub snapshot_cursor: Option<WireCursor>,
     /// A snapshot is being fetched.
     #[prost(bool, tag = "9")]
     pub fetching_snapshot: bool,
-    /// Of a relay: a subscriber is in this epoch, which is newer than its own; 0: none is.
+    /// Relay only: a subscriber is in this epoch, which is newer than the relay's own. 0 if there is none.
     #[prost(uint64, tag = "10")]
     pub newer_epoch: u64,
 }
@@ -97,27 +97,27 @@
 /// The answer to a heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct LeaseGrant {
-    /// Of the heartbeat that is answered.
+    /// Number of the heartbeat that is answered.
     #[prost(uint32, tag = "1")]
     pub request: u32,
-    /// How long the lease holds, counted from when the request was sent; 0: none is granted.
+    /// Duration of the lease in microseconds, counted from when the request was sent. 0 if no lease is granted.
     #[prost(uint32, tag = "2")]
     pub lease_micros: u32,
-    /// Members between the publisher and the sender.
+    /// Distance of the sender from the publisher, in hops.
     #[prost(uint32, tag = "3")]
     pub hops: u32,
 }
 
-/// Events in order, or none where only a grant is sent.
+/// Events in order. Without events, the batch only carries a grant.
 #[derive(Clone, PartialEq, Message)]
 pub struct Batch {
     /// The run of the publisher.
     #[prost(fixed64, tag = "1")]
     pub epoch: u64,
-    /// The number of the first of these events.
+    /// Number of the first event.
     #[prost(uint64, tag = "2")]
     pub first: u64,
-    /// How many events the sender knows.
+    /// The number of events of the epoch that the sender announces.
     #[prost(uint64, tag = "3")]
     pub head: u64,
     /// Encoded events.
@@ -126,26 +126,27 @@
     /// The answer to the last heartbeat.
     #[prost(message, optional, tag = "5")]
     pub grant: Option<LeaseGrant>,
-    /// With the first events of an epoch: a subscriber that has applied this much of the former one may continue here.
+    /// Sent with the first events of an epoch: a subscriber that has applied the previous epoch up to this position may
+    /// continue here.
     #[prost(message, optional, tag = "6")]
     pub continues_from: Option<WirePosition>,
-    /// How long ago these events were published, as far as the sender knows.
+    /// Time since these events were published, as estimated by the sender.
     #[prost(uint32, tag = "7")]
     pub age_ms: u32,
 }
 
-/// A place in the order of purges.
+/// A position in the order of purges.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct WireCursor {
-    /// Of the purge at this place, in microseconds since the Unix epoch.
+    /// Timestamp of the purge at this position, in microseconds since the Unix epoch.
     #[prost(sint64, tag = "1")]
     pub timestamp: i64,
-    /// Of the purge at this place; what has none is dropped.
+    /// Key of the purge at this position. Messages with a cursor that has no key are dropped.
     #[prost(oneof = "WireKey", tags = "2, 3")]
     pub key: Option<WireKey>,
 }
 
-/// What a purge is about.
+/// The copies that a purge invalidates.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Oneof)]
 pub enum WireKey {
     /// All copies of an object.
@@ -157,7 +158,7 @@
 }
 
 impl WireCursor {
-    /// The place, where it has a key.
+    /// The position, if it has a key.
     pub fn to_cursor(self) -> Option<PurgeCursor> {
         let key = match self.key? {
             WireKey::Object(object) => PurgeKey::Object(object),
@@ -183,42 +184,42 @@
     }
 }
 
-/// Some of the purges in force, in the order of their timestamps.
+/// A part of the purges in force, ordered by their timestamps.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotPart {
-    /// The sender's own position as it wrote this.
+    /// Position of the sender when it wrote this part.
     #[prost(message, optional, tag = "1")]
     pub position: Option<WirePosition>,
-    /// The part goes on behind this place; none: from the start.
+    /// The part begins after this position; `None` for the first part.
     #[prost(message, optional, tag = "2")]
     pub after: Option<WireCursor>,
-    /// The next one goes on behind this place; none: that was all.
+    /// The next part begins after this position; `None` for the last part.
     #[prost(message, optional, tag = "3")]
     pub next: Option<WireCursor>,
     /// Encoded events.
     #[prost(bytes = "vec", tag = "4")]
     pub events: Vec<u8>,
-    /// Copies from before this timestamp are to be refused.
+    /// Copies from before this timestamp have to be refused.
     #[prost(sint64, optional, tag = "5")]
     pub purge_floor: Option<i64>,
     /// The sender waits for a request before it sends more.
     #[prost(bool, tag = "6")]
     pub is_paused: bool,
-    /// Of the heartbeat that is answered.
+    /// Number of the heartbeat that is answered.
     #[prost(uint32, tag = "7")]
     pub request: u32,
 }
 
-/// Not now.
+/// The answer to a heartbeat that cannot be served now.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Busy {
-    /// Of the heartbeat that is answered.
+    /// Number of the heartbeat that is answered.
     #[prost(uint32, tag = "1")]
     pub request: u32,
-    /// When to try again.
+    /// Time after which the subscriber may retry.
     #[prost(uint32, tag = "2")]
     pub retry_after_ms: u32,
-    /// No more subscribers are taken here: another relay is to be chosen.
+    /// The maximum number of subscribers is reached, so the subscriber has to choose another relay.
     #[prost(bool, tag = "3")]
     pub full: bool,
 }
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -150,7 +150,7 @@
         let (actions, replica_actions) = (&mut self.actions, &mut self.replica_actions);
         self.datagrams.receive(|bytes| {
             match (subscription.as_mut(), envelope::message_magic(bytes)) {
-                (Some(subscription), Some(events_wire::MARK)) => subscription.receive(now, bytes),
+                (Some(subscription), Some(events_wire::MAGIC)) => subscription.receive(now, bytes),
                 _ => dispatch::receive(view, replica, now, bytes, (actions, replica_actions)),
             }
         });
--- a/crates/proxy/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -99,7 +99,7 @@
     /// Events of the discovery service are permanently missing. Subscribers must refuse copies from before `now`.
     pub(super) fn bound_missed(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         if let Feed::Publisher(publisher) = self {
-            publisher.bound_missed(now, outputs);
+            publisher.handle_missed_events(now, outputs);
         }
     }
 
--- a/crates/proxy/src/report/distribution/log.rs
+++ b/crates/proxy/src/report/distribution/log.rs
@@ -8,8 +8,11 @@
 /// Logs a notice of the subscription or the distributor.
 pub(crate) fn log_notice(log: &Logger, notice: &Notice) {
     match notice {
-        Notice::LeaseAcquired { relay, without } => {
-            info!(log, "subscription lease granted"; "relay" => relay, "without_us" => without)
+        Notice::LeaseAcquired {
+            relay,
+            time_without_lease,
+        } => {
+            info!(log, "subscription lease granted"; "relay" => relay, "without_us" => time_without_lease)
         }
         Notice::LeaseExpired { relay } => {
             warn!(log, "subscription lease expired, limiting the age of served copies"; "relay" => relay)
