--- a/crates/event-distribution/src/publisher.rs
+++ b/crates/event-distribution/src/publisher.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
     settings: DistributionSettings,
-    /// Fetches the purges in force from other relays. Only set after the start.
+    /// Fetches the purges in force from other relays. Only set during recovery.
     recovery: Option<Recovery>,
     /// When the publisher started, or last began an epoch that continues no other.
     started_at: Micros,
--- a/crates/event-distribution/src/subscriber/snapshot.rs
+++ b/crates/event-distribution/src/subscriber/snapshot.rs
@@ -60,7 +60,7 @@
     }
 
     /// Rejects parts of an epoch before the own one, and late parts of a former relay. If the current relay is in an
-    /// older epoch than the snapshot that is being fetched, the fetch starts anew, and none of its parts count as
+    /// older epoch than the snapshot that is being fetched, the fetch restarts, and none of its parts count as
     /// applied.
     fn check_epoch(&self, writer: LogPosition, request: u32) -> Result<(), RejectReason> {
         let is_before_log = self
--- a/crates/event-distribution/src/wire.rs
+++ b/crates/event-distribution/src/wire.rs
@@ -19,7 +19,7 @@
 
 /// Magic bytes at the start of a datagram.
 pub const MAGIC: [u8; 2] = *b"ev";
-/// Magic bytes of compressed messages, which are never written: events are sent in datagrams only.
+/// Magic bytes of compressed messages, which this crate never writes: events are sent in datagrams only.
 const COMPRESSED_MAGIC: [u8; 2] = *b"ez";
 /// Version of the messages.
 pub const VERSION: u8 = 1;
--- a/crates/event-distribution/src/wire/messages.rs
+++ b/crates/event-distribution/src/wire/messages.rs
@@ -108,7 +108,7 @@
     pub hops: u32,
 }
 
-/// Events in order. Without events, the batch only carries a grant.
+/// Events in order. A batch without events carries a grant, or shows where an epoch starts.
 #[derive(Clone, PartialEq, Message)]
 pub struct Batch {
     /// The run of the publisher.
