--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -318,10 +318,10 @@
     new: &operator::Settings,
 ) -> Vec<&'static str> {
     let mut keys = Vec::new();
-    if old.log != new.log {
+    if old.log_format != new.log_format {
         keys.push("log.form");
     }
-    if old.socket != new.socket {
+    if old.operator_socket != new.operator_socket {
         keys.push("operators.socket");
     }
     if old.fleet != new.fleet {
@@ -350,9 +350,9 @@
 pub(crate) fn read_settings(path: &Path) -> Result<operator::Settings, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| ConfigError::new("settings file", format!("{}: {e}", path.display())))?;
-    operator::read(&text).map_err(|fault| {
-        let place = format!("{}, line {}", path.display(), fault.line);
-        ConfigError::new(fault.key, format!("{place}: {}", fault.what))
+    operator::read(&text).map_err(|error| {
+        let place = format!("{}, line {}", path.display(), error.line);
+        ConfigError::new(error.key, format!("{place}: {}", error.reason))
     })
 }
 
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,7 +1,7 @@
 //! The errors that end the program with a failure, as printed on standard error.
 
 use crate::config::ConfigError;
-use meadowrill_settings::Faulty as SettingsError;
+use meadowrill_settings::SettingsError;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -59,7 +59,7 @@
     let config = Config::load(path.into(), settings)?;
     let mut events = event_loop()?;
     let logging = Log::start(
-        config.operator.log,
+        config.operator.log_format,
         config.log_level.clone(),
         o!("front" => config.name.clone()),
     );
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,7 +1,7 @@
 //! The program's log. A dedicated thread writes the lines, so logging never blocks on a slow reader of the log.
 
 use crate::config::LogLevel;
-use meadowrill_settings::Form;
+use meadowrill_settings::LogFormat;
 use slog::{Drain, Filter, Logger, OwnedKV, SendSyncRefUnwindSafeKV};
 use std::sync::Mutex;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 
 impl Log {
     /// Starts the log on standard error. Each line carries the fields of `process`.
-    pub(crate) fn start<T>(form: Form, level: LogLevel, process: OwnedKV<T>) -> Log
+    pub(crate) fn start<T>(format: LogFormat, level: LogLevel, process: OwnedKV<T>) -> Log
     where
         T: SendSyncRefUnwindSafeKV + 'static,
     {
         // Write errors are ignored: a log that cannot be written must not end the process.
-        let (drain, guard) = match form {
-            Form::Text => {
+        let (drain, guard) = match format {
+            LogFormat::Text => {
                 let plain = slog_term::PlainDecorator::new(std::io::stderr());
                 async_drain(
                     slog_term::FullFormat::new(plain)
@@ -34,7 +34,7 @@
                         .ignore_res(),
                 )
             }
-            Form::Json => {
+            LogFormat::Json => {
                 async_drain(Mutex::new(slog_json::Json::default(std::io::stderr())).ignore_res())
             }
         };
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -27,7 +27,7 @@
 use meadowrill_membership::view::{Action, Change, MemberIdentity, View};
 use meadowrill_replication::replica::{self, Replica};
 use meadowrill_routing::interface::Micros;
-use meadowrill_settings::Replica as ReplicaSettings;
+use meadowrill_settings::ReplicaSettings;
 use std::io;
 use std::net::SocketAddr;
 
@@ -79,8 +79,8 @@
         let has_no_contacts = settings.contacts.iter().all(|to| *to == settings.advertise);
         let advertised = settings.advertise;
         let view = View::new(settings, identity, now, seed);
-        let replica =
-            shared.map(|shared| Replica::new(shared.plan.clone(), name, now as u64, now, seed));
+        let replica = shared
+            .map(|shared| Replica::new(shared.replication.clone(), name, now as u64, now, seed));
         let mut peers = Peers {
             datagrams,
             streams,
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -175,7 +175,7 @@
 }
 
 fn open_operators(config: &Config, poll: &Poll) -> io::Result<Option<Operators>> {
-    let path = config.operator.socket.as_ref();
+    let path = config.operator.operator_socket.as_ref();
     path.map(|path| Operators::listen(Path::new(path), poll))
         .transpose()
 }
@@ -189,7 +189,7 @@
 }
 
 fn new_admission(config: &Config, now: Micros) -> Admission {
-    let settings = &config.operator.turns;
+    let settings = &config.operator.admission;
     let classes: Vec<_> = config.classes.iter().map(|class| class.admission).collect();
     let limits = CapacityLimits {
         open_requests: config.max_requests,
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -18,12 +18,12 @@
                     "reason" => &fault.problem);
             }
         };
-        let former = self.config.operator.turns.clone();
+        let former = self.config.operator.admission.clone();
         for key in self.config.replace(new) {
             warn!(self.log, "takes effect at the next start only"; "key" => key);
         }
         info!(self.log, "configuration reloaded"; "discovery" => %self.config.discovery);
-        if former != self.config.operator.turns {
+        if former != self.config.operator.admission {
             self.reconfigure_admission(now);
         }
         self.apply_operator_settings(now);
@@ -37,7 +37,7 @@
         let controller = &mut self.admission.controller;
         info!(self.log, "admission control reconfigured"; "queued" => controller.waiting(),
             "in_flight" => controller.open());
-        let settings = &self.config.operator.turns;
+        let settings = &self.config.operator.admission;
         controller.reconfigure(now, settings.clone());
         self.admission.identities = IdentityResolver::new(settings, self.config.seed);
     }
@@ -49,7 +49,7 @@
             tenant_field,
             client_key,
             ..
-        } = &self.config.operator.turns;
+        } = &self.config.operator.admission;
         let client_field = match client_key {
             ClientKey::Field(name) => Some(name.clone()),
             ClientKey::Address | ClientKey::Connection => None,
@@ -58,7 +58,7 @@
             tenant: tenant_field.clone(),
             client: client_field,
         };
-        let interval_s = self.config.operator.report_every;
+        let interval_s = self.config.operator.report_interval_s;
         let next = interval_s.map(|interval_s| now + (interval_s * 1e6) as Micros);
         self.timers.set_admission_report(next);
     }
--- a/crates/proxy/src/proxy/snapshot.rs
+++ b/crates/proxy/src/proxy/snapshot.rs
@@ -26,8 +26,8 @@
 impl SnapshotSchedule {
     pub(super) fn new(config: &Config, now: Micros) -> SnapshotSchedule {
         let replica = config.operator.replica.as_ref();
-        let path = replica.and_then(|replica| replica.snapshot.as_ref());
-        let interval_s = replica.map_or(0, |replica| replica.snapshot_every);
+        let path = replica.and_then(|replica| replica.snapshot_path.as_ref());
+        let interval_s = replica.map_or(0, |replica| replica.snapshot_interval_s);
         SnapshotSchedule {
             path: path.map(PathBuf::from),
             interval: interval_s as Micros * MICROS_PER_SECOND,
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -42,7 +42,7 @@
     let mut events = crate::event_loop()?;
     let level = LogLevel::new(slog::Level::Info);
     let logging = Log::start(
-        settings.file.log,
+        settings.file.log_format,
         level,
         o!("relay" => settings.name().to_string()),
     );
@@ -89,7 +89,7 @@
         let datagrams = Datagrams::new(socket, &poll)?;
         let operators = settings
             .file
-            .socket
+            .operator_socket
             .as_ref()
             .map(|path| Operators::listen(Path::new(path), &poll));
         let publish = settings.relay.publish.as_ref();
@@ -237,7 +237,7 @@
                 Notice::Update(Update::Endpoints { .. }) => {}
                 Notice::Event(event) => log_event(&self.log, &event),
                 Notice::Missed(missed) => {
-                    warn!(self.log, "events of the discovery service missed, copies from before are not served";
+                    warn!(self.log, "events of the discovery service were missed; older copies are not served";
                         "reason" => %missed);
                     self.feed.bound_missed(now, &mut self.outputs);
                 }
--- a/crates/proxy/src/relay/feed.rs
+++ b/crates/proxy/src/relay/feed.rs
@@ -17,7 +17,7 @@
 
 impl Feed {
     pub(super) fn new(settings: &RelaySettings, now: Micros) -> Feed {
-        let (distribution, relay) = (settings.events.clone(), settings.relay.plan.clone());
+        let (distribution, relay) = (settings.events.clone(), settings.relay.limits.clone());
         let identity = Identity {
             name: settings.name().to_string(),
             incarnation: now.max(0) as u64,
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -45,7 +45,7 @@
     /// Interval of the periodic report in the log.
     pub(super) fn report_every(&self) -> Option<Micros> {
         self.file
-            .report_every
+            .report_interval_s
             .map(|seconds| (seconds * MICROS_PER_SECOND as f64) as Micros)
     }
 
@@ -53,11 +53,14 @@
     pub(super) fn changed_keys(&self, new_settings: &RelaySettings) -> Vec<&'static str> {
         let (file, other) = (&self.file, &new_settings.file);
         let keys = [
-            ("log.form", file.log != other.log),
-            ("operators.socket", file.socket != other.socket),
+            ("log.form", file.log_format != other.log_format),
+            (
+                "operators.socket",
+                file.operator_socket != other.operator_socket,
+            ),
             (
                 "operators.report_every_s",
-                file.report_every != other.report_every,
+                file.report_interval_s != other.report_interval_s,
             ),
             ("fleet", self.fleet != new_settings.fleet),
             ("fleet.region", file.region != other.region),
--- a/crates/settings/build.rs
+++ b/crates/settings/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the schema, so that a start needs no compiler and a faulty schema fails the build.
+//! Compiles the schema at build time. The program then needs no schema compiler when it starts, and an invalid schema
+//! fails the build.
 
 use prost::Message;
 use std::path::Path;
--- a/crates/settings/src/places.rs
+++ b/crates/settings/src/places.rs
@@ -1,80 +1,82 @@
-//! Where a key stands in a text in protobuf text format: the parser tells offsets for what it cannot read, and none
-//! for what it has read, which is checked later.
+//! Finds the positions of keys in protobuf text format. The parser reports offsets only for text that it cannot parse;
+//! it reports none for values that it has parsed, which are validated later.
 
 use std::collections::BTreeMap;
 
-struct Place {
+/// Position of a key in the text.
+struct KeyPosition {
     path: String,
     start: usize,
     line: usize,
 }
 
-/// All keys in the order of the text, each with its path; repeated ones are counted from 0.
-fn places(text: &str) -> Vec<Place> {
-    let repeated = |within: &str, name: &str| match name {
+/// All keys in the order of the text, each with its path. Repeated keys have an index that starts at 0.
+fn key_positions(text: &str) -> Vec<KeyPosition> {
+    let is_repeated = |parent: &str, name: &str| match name {
         "tenant" | "network" | "value" => true,
-        // `fleet.relay` is another message, told once.
-        "relay" => within == "fleet.events",
+        // `fleet.relay` is a different field, which is not repeated.
+        "relay" => parent == "fleet.events",
         _ => false,
     };
     let bytes = text.as_bytes();
-    let (mut places, mut at, mut line) = (Vec::new(), 0, 1);
-    // The paths of the messages that are open, and how often each key stood in them.
-    let mut open: Vec<(String, BTreeMap<String, usize>)> = vec![(String::new(), BTreeMap::new())];
-    let mut last = String::new();
-    // Behind a colon stands a value, which may be a word like a key.
-    let mut value = false;
-    while at < bytes.len() {
-        match bytes[at] {
+    let (mut positions, mut offset, mut line) = (Vec::new(), 0, 1);
+    // The paths of the enclosing messages, and the number of occurrences of each key in them.
+    let mut enclosing: Vec<(String, BTreeMap<String, usize>)> =
+        vec![(String::new(), BTreeMap::new())];
+    let mut last_path = String::new();
+    // Whether the last token was a colon: a word after it is a value, even if it looks like a key.
+    let mut after_colon = false;
+    while offset < bytes.len() {
+        match bytes[offset] {
             b'\n' => line += 1,
             b'#' => {
-                while at + 1 < bytes.len() && bytes[at + 1] != b'\n' {
-                    at += 1;
+                while offset + 1 < bytes.len() && bytes[offset + 1] != b'\n' {
+                    offset += 1;
                 }
             }
             quote @ (b'"' | b'\'') => {
-                at += 1;
-                while at < bytes.len() && bytes[at] != quote {
-                    line += usize::from(bytes[at] == b'\n');
-                    at += 1 + usize::from(bytes[at] == b'\\');
+                offset += 1;
+                while offset < bytes.len() && bytes[offset] != quote {
+                    line += usize::from(bytes[offset] == b'\n');
+                    offset += 1 + usize::from(bytes[offset] == b'\\');
                 }
-                value = false;
+                after_colon = false;
             }
             b'{' | b'<' => {
-                open.push((last.clone(), BTreeMap::new()));
-                value = false;
+                enclosing.push((last_path.clone(), BTreeMap::new()));
+                after_colon = false;
             }
             b'}' | b'>' => {
-                if open.len() > 1 {
-                    open.pop();
+                if enclosing.len() > 1 {
+                    enclosing.pop();
                 }
-                value = false;
+                after_colon = false;
             }
-            b':' => value = true,
+            b':' => after_colon = true,
             c if c.is_ascii_alphanumeric() || c == b'_' || c == b'-' => {
-                let start = at;
-                let part = |c: u8| c.is_ascii_alphanumeric() || b"_-.+".contains(&c);
-                while at + 1 < bytes.len() && part(bytes[at + 1]) {
-                    at += 1;
+                let start = offset;
+                let is_word_byte = |c: u8| c.is_ascii_alphanumeric() || b"_-.+".contains(&c);
+                while offset + 1 < bytes.len() && is_word_byte(bytes[offset + 1]) {
+                    offset += 1;
                 }
-                let name = &text[start..=at];
-                if value {
-                    value = false;
-                } else if let Some((path, counts)) = open.last_mut() {
+                let name = &text[start..=offset];
+                if after_colon {
+                    after_colon = false;
+                } else if let Some((path, counts)) = enclosing.last_mut() {
                     let count = counts.entry(name.to_string()).or_insert(0);
-                    let key = if repeated(path, name) {
+                    let key = if is_repeated(path, name) {
                         format!("{name}[{count}]")
                     } else {
                         name.to_string()
                     };
                     *count += 1;
-                    last = if path.is_empty() {
+                    last_path = if path.is_empty() {
                         key
                     } else {
                         format!("{path}.{key}")
                     };
-                    places.push(Place {
-                        path: last.clone(),
+                    positions.push(KeyPosition {
+                        path: last_path.clone(),
                         start,
                         line,
                     });
@@ -82,22 +84,22 @@
             }
             _ => {}
         }
-        at += 1;
+        offset += 1;
     }
-    places
+    positions
 }
 
-/// The line of a key, of a repeated one as a whole that of the first; where it is not there, that of the nearest key
-/// around it, and 0 where there is none.
+/// The line of a key, counted from 1. A repeated key without an index has the line of its first occurrence. For a key
+/// that the text lacks, this is the line of the innermost enclosing key in the text, or 0 if there is none.
 pub fn line_of(text: &str, path: &str) -> usize {
-    let places = places(text);
+    let positions = key_positions(text);
     let mut path = path;
     loop {
-        if let Some(place) = places
+        if let Some(position) = positions
             .iter()
             .find(|p| p.path == path || p.path.strip_suffix("[0]") == Some(path))
         {
-            return place.line;
+            return position.line;
         }
         match path.rfind(['.', '[']) {
             Some(end) => path = &path[..end],
@@ -106,9 +108,10 @@
     }
 }
 
-/// The key that stands at an offset or last before it, and its line.
-pub fn at(text: &str, offset: usize) -> (String, usize) {
-    let places = places(text);
-    let place = places.iter().rev().find(|p| p.start <= offset);
-    place.map_or(("settings".to_string(), 1), |p| (p.path.clone(), p.line))
+/// The key at an offset or, if there is none, the last key before it, with its line. If no key precedes the offset, the
+/// result is `settings` on line 1.
+pub fn key_at(text: &str, offset: usize) -> (String, usize) {
+    let positions = key_positions(text);
+    let position = positions.iter().rev().find(|p| p.start <= offset);
+    position.map_or(("settings".to_string(), 1), |p| (p.path.clone(), p.line))
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,13 +1,14 @@
-//! Hosts the decision module on the simulator's wire: the loop, the instances, the mapping of ids.
+//! Runs routers for the simulator. The program reads frames from standard input and writes replies to standard output.
+//! Each simulated proxy is an instance with a router of its own.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
+    reason = "functions that match all record types"
 )]
 
 mod codec;
 
-use codec::{Address, Arrival, Batch, Deed, Line, Malformed};
+use codec::{Address, Batch, InputRecord, Malformed, ReplyRecord, RosterEntry};
 use meadowrill_routing::host::{cache_status, catch_panic, micros, settings, EndpointIndices};
 use meadowrill_routing::interface::*;
 use meadowrill_routing::router::Router;
@@ -15,23 +16,24 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// One front, with the small indices that its caches were given.
+/// The router of one simulated proxy, with the indices assigned to its caches.
 struct Instance {
-    front: Router,
+    router: Router,
     caches: EndpointIndices<Address>,
 }
 
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<u8, Vec<Line>>,
+    /// The received rosters by slot.
+    rosters: BTreeMap<u8, Vec<RosterEntry>>,
 }
 
 fn seconds(t: Micros) -> f64 {
     t as f64 / 1e6
 }
 
-fn reports(values: &[f32]) -> Vec<f64> {
+fn load_report(values: &[f32]) -> Vec<f64> {
     values.iter().map(|v| f64::from(*v)).collect()
 }
 
@@ -45,12 +47,12 @@
         306 => AttemptOutcome::Cancelled,
         307 => AttemptOutcome::Superseded,
         101 => AttemptOutcome::Miss,
-        // A word not known yet proves nothing: like an error it may have run.
+        // An unknown code is treated as an error: the request may have run.
         _ => AttemptOutcome::Error,
     }
 }
 
-/// The wording of a log event on the simulator's wire.
+/// The text of a log event in the simulator's protocol.
 fn log_line(event: LogEvent) -> String {
     match event {
         LogEvent::EndpointLimitCut { stable_id, limit } => {
@@ -68,45 +70,46 @@
 }
 
 impl Instance {
-    fn entries(&mut self, lines: &[Line]) -> Vec<EndpointEntry> {
-        let entry = |l: &Line| EndpointEntry {
-            endpoint: self.caches.get_or_insert(&l.cache),
-            stable_id: u64::from(u32::from_be_bytes(l.cache.0)) << 16 | u64::from(l.cache.1),
-            endpoint_kind: l.family_type,
-            started_at: micros(l.online_since_s),
-            zone: l.region_part,
-            cell: l.bay,
-            weight: f64::from(l.power_hint),
-            status: match l.status {
+    fn endpoint_entries(&mut self, roster: &[RosterEntry]) -> Vec<EndpointEntry> {
+        let endpoint_entry = |entry: &RosterEntry| EndpointEntry {
+            endpoint: self.caches.get_or_insert(&entry.cache),
+            stable_id: u64::from(u32::from_be_bytes(entry.cache.0)) << 16
+                | u64::from(entry.cache.1),
+            endpoint_kind: entry.family_type,
+            started_at: micros(entry.online_since_s),
+            zone: entry.region_part,
+            cell: entry.bay,
+            weight: f64::from(entry.power_hint),
+            status: match entry.status {
                 0 => EndpointStatus::Ready,
                 2 => EndpointStatus::Draining,
                 _ => EndpointStatus::Removed,
             },
         };
-        lines.iter().map(entry).collect()
+        roster.iter().map(endpoint_entry).collect()
     }
 
     fn event(
         &mut self,
-        lists: &BTreeMap<u8, Vec<Line>>,
-        arrival: Arrival,
+        rosters: &BTreeMap<u8, Vec<RosterEntry>>,
+        record: InputRecord,
     ) -> Result<Event, String> {
-        Ok(match arrival {
-            Arrival::PeersKnown { mode: 1, .. } => {
+        Ok(match record {
+            InputRecord::PeersKnown { mode: 1, .. } => {
                 Event::EndpointsUpdated(EndpointUpdate::Unavailable)
             }
-            Arrival::PeersKnown { mode, slot } => {
-                let lines = lists
+            InputRecord::PeersKnown { mode, slot } => {
+                let roster = rosters
                     .get(&slot)
-                    .ok_or_else(|| format!("list {slot} was never introduced"))?;
-                let entries = self.entries(lines);
+                    .ok_or_else(|| format!("no roster was received for slot {slot}"))?;
+                let entries = self.endpoint_entries(roster);
                 Event::EndpointsUpdated(if mode == 4 {
                     EndpointUpdate::Delta(entries)
                 } else {
                     EndpointUpdate::Snapshot(entries)
                 })
             }
-            Arrival::Inbound {
+            InputRecord::Inbound {
                 id,
                 slice,
                 length_kb,
@@ -123,8 +126,8 @@
                 class: usize::from(lane),
                 deadline: micros(expires_s),
             }),
-            Arrival::First { id } => Event::ResponseStarted { id },
-            Arrival::Done(d) => Event::AttemptEnded(AttemptEnd {
+            InputRecord::First { id } => Event::ResponseStarted { id },
+            InputRecord::Done(d) => Event::AttemptEnded(AttemptEnd {
                 id: d.id,
                 attempt: d.go,
                 endpoint: self.caches.get_or_insert(&d.cache),
@@ -134,15 +137,15 @@
                 cache_status: cache_status(usize::from(d.note)),
                 first_byte: (d.first_byte_s > 0.0).then(|| micros(d.first_byte_s)),
                 size_kb: 0.0,
-                load_report: reports(&d.health_info),
+                load_report: load_report(&d.health_info),
             }),
-            Arrival::Expired { id } => Event::ClientLeft { id },
-            Arrival::Ring { handle } => Event::TimerFired { timer: handle },
-            Arrival::Heard { author, octets } => Event::PeerMessage {
+            InputRecord::Expired { id } => Event::ClientLeft { id },
+            InputRecord::Ring { handle } => Event::TimerFired { timer: handle },
+            InputRecord::Heard { author, octets } => Event::PeerMessage {
                 from: author,
                 bytes: octets,
             },
-            Arrival::Probed {
+            InputRecord::Probed {
                 cache,
                 disposition,
                 delay_seen_s,
@@ -151,9 +154,9 @@
                 endpoint: self.caches.get_or_insert(&cache),
                 outcome: outcome(disposition),
                 elapsed: micros(delay_seen_s),
-                load_report: reports(&health_info),
+                load_report: load_report(&health_info),
             },
-            Arrival::Invalidated {
+            InputRecord::Invalidated {
                 asset,
                 batch_id,
                 oldness_s,
@@ -162,21 +165,24 @@
                 group: u32::from(batch_id),
                 age: micros(oldness_s),
             },
-            // These four concern the host and are dealt with before.
-            Arrival::At(_) | Arrival::Start { .. } | Arrival::Roster { .. } | Arrival::Halt => {
-                return Err("a host's event reached an instance".into())
+            // The host handles these four record types itself.
+            InputRecord::At(_)
+            | InputRecord::Start { .. }
+            | InputRecord::Roster { .. }
+            | InputRecord::Halt => {
+                return Err("a record for the host was passed to an instance".into())
             }
         })
     }
 
-    fn deed(&mut self, action: Action) -> Option<Deed> {
+    fn reply_record(&mut self, action: Action) -> Option<ReplyRecord> {
         Some(match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 fill: None,
-            } => Deed::Route {
+            } => ReplyRecord::Route {
                 id,
                 cache: *self.caches.name(endpoint),
                 limit_s: seconds(timeout),
@@ -186,7 +192,7 @@
                 endpoint,
                 timeout,
                 fill: Some(fill),
-            } => Deed::Obtain {
+            } => ReplyRecord::Obtain {
                 id,
                 cache: *self.caches.name(endpoint),
                 limit_s: seconds(timeout),
@@ -197,91 +203,92 @@
                     | u8::from(fill.cached_only) << 1
                     | u8::from(fill.revalidate) << 3,
             },
-            Action::Reject { id, retry_after } => Deed::OverloadReply {
+            Action::Reject { id, retry_after } => ReplyRecord::OverloadReply {
                 id,
                 cool_down_s: seconds(retry_after),
             },
-            Action::Fail { id } => Deed::Surrender { id },
-            Action::CancelAttempt { id, attempt: send } => Deed::Revoke { id, go: send },
-            Action::SetTimer { at, timer: token } => Deed::Defer {
+            Action::Fail { id } => ReplyRecord::Surrender { id },
+            Action::CancelAttempt { id, attempt } => ReplyRecord::Revoke { id, go: attempt },
+            Action::SetTimer { at, timer } => ReplyRecord::Defer {
                 alarm_time_s: seconds(at),
-                handle: token,
+                handle: timer,
             },
-            Action::PollDiscovery => Deed::Track(true),
-            Action::Log(event) => Deed::Emit(log_line(event)),
-            Action::ReleaseEndpoint { endpoint: peer } => {
-                self.caches.release(peer);
+            Action::PollDiscovery => ReplyRecord::Track(true),
+            Action::Log(event) => ReplyRecord::Emit(log_line(event)),
+            Action::ReleaseEndpoint { endpoint } => {
+                self.caches.release(endpoint);
                 return None;
             }
-            // Answers to connections of a host's own, of which this wire has none.
+            // Only a host that manages its own connections has to write attempts. The simulator manages them here.
             Action::WriteAttempt { .. } => return None,
         })
     }
 }
 
 impl Host {
-    /// Plays one batch and returns the reply's records.
-    fn play(&mut self, batch: Batch) -> Result<Vec<Deed>, Malformed> {
+    /// Handles all records of a batch. Returns the records of the reply.
+    fn handle_batch(&mut self, batch: Batch) -> Result<Vec<ReplyRecord>, Malformed> {
         let now = micros(batch.clock);
-        let mut deeds = Vec::new();
-        let (mut at, mut speaking) = (None, None);
-        for (offset, arrival) in batch.records {
-            let bad = |what: String| Malformed { offset, what };
-            let id = match (arrival, at) {
-                (Arrival::At(id), _) => {
-                    at = Some(id);
+        let mut replies = Vec::new();
+        let (mut addressed_id, mut speaking_id) = (None, None);
+        for (offset, record) in batch.records {
+            let malformed = |reason: String| Malformed { offset, reason };
+            let addressed = match (record, addressed_id) {
+                (InputRecord::At(id), _) => {
+                    addressed_id = Some(id);
                     continue;
                 }
-                (Arrival::Roster { slot, hosts }, _) => {
-                    self.lists.insert(slot, hosts);
+                (InputRecord::Roster { slot, hosts }, _) => {
+                    self.rosters.insert(slot, hosts);
                     continue;
                 }
-                (_, None) => return Err(bad("record without an instance".into())),
-                (Arrival::Halt, Some(id)) => {
+                (_, None) => return Err(malformed("no At record precedes this record".into())),
+                (InputRecord::Halt, Some(id)) => {
                     self.instances.remove(&id);
                     continue;
                 }
-                (arrival, Some(id)) => (id, arrival),
+                (record, Some(id)) => (id, record),
             };
-            let (id, arrival) = id;
+            let (id, record) = addressed;
             let mut actions = Vec::new();
-            let played = if let Arrival::Start { prng, env } = arrival {
+            let result = if let InputRecord::Start { prng, env } = record {
                 let settings = settings(env.lines().filter_map(|l| l.split_once('=')));
-                catch_panic(|| Router::new(prng, &settings, &mut actions)).map(|front| {
+                catch_panic(|| Router::new(prng, &settings, &mut actions)).map(|router| {
                     self.instances.insert(
                         id,
                         Instance {
-                            front,
+                            router,
                             caches: EndpointIndices::default(),
                         },
                     );
                 })
             } else {
-                let unknown = || bad(format!("instance {id} was never introduced"));
+                let unknown = || malformed(format!("instance {id} was never started"));
                 let instance = self.instances.get_mut(&id).ok_or_else(unknown)?;
-                let event = instance.event(&self.lists, arrival).map_err(bad)?;
-                catch_panic(|| instance.front.handle_event(now, event, &mut actions))
+                let event = instance.event(&self.rosters, record).map_err(malformed)?;
+                catch_panic(|| instance.router.handle_event(now, event, &mut actions))
             };
-            if (played.is_err() || !actions.is_empty()) && speaking != Some(id) {
-                speaking = Some(id);
-                deeds.push(Deed::Speaking(id));
+            if (result.is_err() || !actions.is_empty()) && speaking_id != Some(id) {
+                speaking_id = Some(id);
+                replies.push(ReplyRecord::Speaking(id));
             }
-            if let Err(text) = played {
-                deeds.push(Deed::GiveIn(format!("decision code: {text}")));
-                return Ok(deeds);
+            if let Err(text) = result {
+                replies.push(ReplyRecord::GiveIn(format!("decision code: {text}")));
+                return Ok(replies);
             }
             if let Some(instance) = self.instances.get_mut(&id) {
-                deeds.extend(
+                replies.extend(
                     actions
                         .into_iter()
-                        .filter_map(|action| instance.deed(action)),
+                        .filter_map(|action| instance.reply_record(action)),
                 );
             }
         }
-        Ok(deeds)
+        Ok(replies)
     }
 }
 
+/// Replies to the frames of `input` until it ends.
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut frame = Vec::new();
@@ -295,23 +302,23 @@
         }
         let length = u64::from(u32::from_le_bytes(length));
         frame.clear();
-        let got = input
+        let received = input
             .by_ref()
             .take(length)
             .read_to_end(&mut frame)
             .map_err(|e| e.to_string())? as u64;
-        if got < length {
+        if received < length {
             return Err(format!(
-                "frame {number}, offset {}: {length} bytes announced, {got} came",
-                got + 4
+                "frame {number}, offset {}: {length} bytes expected, {received} received",
+                received + 4
             ));
         }
-        let place = |e: Malformed| format!("frame {number}, {e}");
-        let batch = codec::read(&frame).map_err(place)?;
-        let answer = batch.number;
-        let deeds = host.play(batch).map_err(place)?;
+        let in_frame = |e: Malformed| format!("frame {number}, {e}");
+        let batch = codec::read(&frame).map_err(in_frame)?;
+        let batch_number = batch.number;
+        let replies = host.handle_batch(batch).map_err(in_frame)?;
         output
-            .write_all(&codec::write(answer, &deeds))
+            .write_all(&codec::write(batch_number, &replies))
             .map_err(|e| e.to_string())?;
         output.flush().map_err(|e| e.to_string())?;
     }
@@ -322,8 +329,8 @@
     let input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     match run(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("meadowrill-adapter: {what}");
+        Err(reason) => {
+            eprintln!("meadowrill-adapter: {reason}");
             ExitCode::FAILURE
         }
     }
