--- a/crates/benchmarks/src/fleet.rs
+++ b/crates/benchmarks/src/fleet.rs
@@ -181,7 +181,7 @@
         if let Err(failed) = &played {
             println!(
                 "{name}: line {}: {}: {}",
-                failed.line, failed.text, failed.why
+                failed.line, failed.step, failed.reason
             );
         }
         figures.tell(
--- a/crates/benchmarks/src/scale/shared.rs
+++ b/crates/benchmarks/src/scale/shared.rs
@@ -4,7 +4,7 @@
 use super::meter::{self, thread_time, timed, Held};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
-use meadowrill_fault_injection::name;
+use meadowrill_fault_injection::proxy_name;
 use meadowrill_fault_injection::shared::Shared;
 use meadowrill_replication::map::{Map, MapLimits};
 use meadowrill_replication::record::{to_wire, Entry, Key};
@@ -113,7 +113,7 @@
     let what = endpoint_subject(&format!("s-{:08x}", n % target::CACHES as u64));
     let zone = format!("zone-{}", front % target::ZONES);
     let sight = Observation {
-        writer: name(front),
+        writer: proxy_name(front),
         zone,
         values: vec![0.01, 2300.0, 17.0],
         observed_at: NOW as u64,
@@ -123,7 +123,7 @@
 
 fn effect(n: u64) -> (Key, Entry) {
     let claim = Claim {
-        holder: name(n as usize % target::FRONTS as usize),
+        holder: proxy_name(n as usize % target::FRONTS as usize),
         incarnation: NOW as u64,
         first_sent_at: NOW as u64,
         deadline: NOW as u64 + 3_000_000,
--- a/crates/benchmarks/src/scale/view.rs
+++ b/crates/benchmarks/src/scale/view.rs
@@ -7,7 +7,7 @@
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
 use meadowrill_fault_injection::model::{address, Config, Fleet};
-use meadowrill_fault_injection::name;
+use meadowrill_fault_injection::proxy_name;
 use meadowrill_membership::settings::{FleetSettings, SECOND};
 use meadowrill_membership::view::{MemberIdentity, View};
 use meadowrill_membership::Micros;
@@ -75,7 +75,7 @@
         View::new(
             plan,
             MemberIdentity {
-                name: name(n),
+                name: proxy_name(n),
                 version: "0.1.0".into(),
                 start,
             },
@@ -115,7 +115,7 @@
 
 /// The mean share of `of` that the fronts `by` hold to be there.
 fn still_held(fleet: &Fleet<View>, by: &[usize], of: &[usize]) -> f64 {
-    let names: Vec<String> = of.iter().map(|n| name(*n)).collect();
+    let names: Vec<String> = of.iter().map(|n| proxy_name(*n)).collect();
     let held = |view: &View| {
         let there = |name: &&String| {
             view.member(name)
--- a/crates/fault-injection/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -26,7 +26,7 @@
 
 impl Heartbeats {
     pub fn new(config: &Config, me: usize, now: Micros) -> Heartbeats {
-        let names = (0..config.many).map(crate::name).collect();
+        let names = (0..config.many).map(crate::proxy_name).collect();
         // Those that start together do not all speak at once.
         let at = now + config.period * me as Micros / config.many as Micros;
         Heartbeats {
@@ -118,7 +118,7 @@
         let log = (config.many as f64).log10().max(1.0);
         Swim {
             me,
-            names: (0..config.many).map(crate::name).collect(),
+            names: (0..config.many).map(crate::proxy_name).collect(),
             period: config.period,
             wait: (SUSPECTED * log * config.period as f64) as Micros,
             tells: (SUSPECTED * (config.many as f64).log2()) as u32,
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -1,51 +1,56 @@
-//! Checkers. They look at what the fronts say and log, never at how they came to it.
+//! Checks of a fleet, based only on what its proxies report and log, not on their internals.
 
 use crate::fleet::Fleet;
-use crate::name;
+use crate::proxy_name;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Which fronts reach each other: by group, for those that run.
+/// Groups of proxies that can reach each other.
 pub type Groups = Vec<Vec<usize>>;
 
-/// Why this is not settled; none if it is: within each group all hold the same view, and that is the group.
+/// Why the views have not settled, or none if they have: all running proxies of a group hold the same view, which
+/// contains exactly these proxies.
 pub fn unsettled(fleet: &Fleet, groups: &Groups) -> Option<String> {
     for group in groups {
         let mut digests = BTreeSet::new();
-        let running: Vec<usize> = group.iter().copied().filter(|n| fleet.runs(*n)).collect();
-        for front in &running {
-            let Some(sight) = fleet.sight(*front) else {
-                return Some(format!("front {front} does not tell"));
+        let running: Vec<usize> = group
+            .iter()
+            .copied()
+            .filter(|n| fleet.is_running(*n))
+            .collect();
+        for proxy in &running {
+            let Some(view) = fleet.fleet_view(*proxy) else {
+                return Some(format!("proxy {proxy} does not answer"));
             };
-            if sight.state != "alive" {
-                return Some(format!("front {front} is {}", sight.state));
+            if view.state != "alive" {
+                return Some(format!("proxy {proxy} is {}", view.state));
             }
-            let here: BTreeSet<String> = sight.here.iter().cloned().collect();
-            let want: BTreeSet<String> = running
+            let present: BTreeSet<String> = view.present.iter().cloned().collect();
+            let expected: BTreeSet<String> = running
                 .iter()
-                .filter(|n| *n != front)
-                .map(|n| name(*n))
+                .filter(|n| *n != proxy)
+                .map(|n| proxy_name(*n))
                 .collect();
-            if here != want {
-                let more: Vec<_> = here.difference(&want).collect();
-                let less: Vec<_> = want.difference(&here).collect();
+            if present != expected {
+                let unexpected: Vec<_> = present.difference(&expected).collect();
+                let missing: Vec<_> = expected.difference(&present).collect();
                 return Some(format!(
-                    "front {front} sees {more:?} too many, {less:?} too few"
+                    "view of proxy {proxy}: {unexpected:?} unexpected, {missing:?} missing"
                 ));
             }
-            if sight
+            if view
                 .states
                 .values()
                 .any(|s| s == "suspected" || s == "joining")
             {
-                return Some(format!("front {front} is in doubt of some"));
+                return Some(format!("proxy {proxy} holds members suspected or joining"));
             }
-            digests.insert(sight.digest);
+            digests.insert(view.digest);
         }
         if digests.len() > 1 {
             return Some(format!(
-                "{} digests among {} fronts",
+                "{} digests among {} proxies",
                 digests.len(),
                 running.len()
             ));
@@ -54,116 +59,135 @@
     None
 }
 
-/// One line that a front logged of another, and when, by the clock of this machine.
+/// One log line of a proxy. For a change of a member it holds the states before and after; otherwise `to` is the
+/// message.
 #[derive(Clone, Debug)]
-pub struct Belief {
+pub struct LogEntry {
+    /// Time by the clock of this machine, since the Unix epoch.
     pub at: Duration,
-    pub by: usize,
-    pub of: String,
+    /// Number of the proxy that logged the line.
+    pub observer: usize,
+    pub member: String,
     pub from: String,
     pub to: String,
     pub text: String,
 }
 
-/// Since the Unix epoch, out of a log's time.
-fn time(text: &str) -> Option<Duration> {
+/// Parses the time stamp of a log line into the time since the Unix epoch.
+fn parse_log_time(text: &str) -> Option<Duration> {
     let at = humantime::parse_rfc3339_weak(text).ok()?;
     at.duration_since(std::time::UNIX_EPOCH).ok()
 }
 
-/// What all fronts said of others, by time.
-pub fn beliefs(fleet: &Fleet) -> Vec<Belief> {
+/// Log lines of all proxies, ordered by time.
+pub fn log_entries(fleet: &Fleet) -> Vec<LogEntry> {
     let mut all = Vec::new();
-    for by in 0..fleet.plan.fronts {
-        let text = std::fs::read_to_string(fleet.log(by)).unwrap_or_default();
+    for observer in 0..fleet.options.proxies {
+        let text = std::fs::read_to_string(fleet.log_path(observer)).unwrap_or_default();
         for line in text.lines() {
             let Ok(line) = serde_json::from_str::<Value>(line) else {
                 continue;
             };
-            let word = |key: &str| line[key].as_str().unwrap_or_default().to_string();
-            let Some(at) = time(&word("ts")) else {
+            let field = |key: &str| line[key].as_str().unwrap_or_default().to_string();
+            let Some(at) = parse_log_time(&field("ts")) else {
                 continue;
             };
-            let msg = word("msg");
-            let (of, from, to) = (word("who"), word("from"), word("to"));
-            let by_whom = word("by");
+            let msg = field("msg");
+            let (member, from, to) = (field("who"), field("from"), field("to"));
+            let reported_by = field("by");
             let text = if msg == "member" {
                 format!(
-                    "holds {of} {to}, was {from} ({}, by {by_whom:?})",
-                    word("why")
+                    "changes {member} from {from} to {to} ({}, reported by {reported_by:?})",
+                    field("why")
                 )
             } else {
                 line.to_string()
             };
             let to = if msg == "member" { to } else { msg };
-            all.push(Belief {
+            all.push(LogEntry {
                 at,
-                by,
-                of,
+                observer,
+                member,
                 from,
                 to,
                 text,
             });
         }
     }
-    all.sort_by_key(|b| b.at);
+    all.sort_by_key(|entry| entry.at);
     all
 }
 
-/// Fronts that were called dead though nothing was done to them, since then.
-pub fn false_deaths(beliefs: &[Belief], since: Duration, but: &BTreeSet<usize>) -> Vec<Belief> {
-    let but: BTreeSet<String> = but.iter().map(|n| name(*n)).collect();
-    let wrong = |b: &&Belief| b.at >= since && b.to == "dead" && !but.contains(&b.of);
-    beliefs.iter().filter(wrong).cloned().collect()
+/// Reports since then of the death of proxies other than the excepted ones.
+pub fn false_death_reports(
+    entries: &[LogEntry],
+    since: Duration,
+    except: &BTreeSet<usize>,
+) -> Vec<LogEntry> {
+    let except: BTreeSet<String> = except.iter().map(|n| proxy_name(*n)).collect();
+    let is_false = |entry: &&LogEntry| {
+        entry.at >= since && entry.to == "dead" && !except.contains(&entry.member)
+    };
+    entries.iter().filter(is_false).cloned().collect()
 }
 
-/// How long after that each front held that one dead; those that never did are missing.
-pub fn deaths(beliefs: &[Belief], of: usize, since: Duration) -> BTreeMap<usize, Duration> {
-    let of = name(of);
-    let mut first = BTreeMap::new();
-    for b in beliefs
+/// Time from `since` until each proxy first held the member dead; proxies that never did are absent.
+pub fn death_detection_times(
+    entries: &[LogEntry],
+    member: usize,
+    since: Duration,
+) -> BTreeMap<usize, Duration> {
+    let member = proxy_name(member);
+    let mut first_reports = BTreeMap::new();
+    for entry in entries
         .iter()
-        .filter(|b| b.at >= since && b.to == "dead" && b.of == of)
+        .filter(|entry| entry.at >= since && entry.to == "dead" && entry.member == member)
     {
-        first.entry(b.by).or_insert(b.at - since);
+        first_reports
+            .entry(entry.observer)
+            .or_insert(entry.at - since);
     }
-    first
+    first_reports
 }
 
-/// How often any front changed its mind about any other, since then.
-pub fn swings(beliefs: &[Belief], since: Duration) -> usize {
-    beliefs
+/// Number of changes of any member's state in any view since then.
+pub fn state_change_count(entries: &[LogEntry], since: Duration) -> usize {
+    entries
         .iter()
-        .filter(|b| b.at >= since && !b.of.is_empty() && !b.from.is_empty())
+        .filter(|entry| entry.at >= since && !entry.member.is_empty() && !entry.from.is_empty())
         .count()
 }
 
-/// What a front says of the shared state.
-fn shared(fleet: &Fleet, front: usize) -> Option<Value> {
-    serde_json::from_str(&fleet.word(front, "fleet state json")?).ok()
+/// State of the shared records that a proxy reports; none if it does not answer.
+fn shared_state(fleet: &Fleet, proxy: usize) -> Option<Value> {
+    serde_json::from_str(&fleet.operator_query(proxy, "fleet state json")?).ok()
 }
 
-/// Why those that run do not hold the same shared state: all of it, or what does not change with each lookup.
-pub fn unequal(fleet: &Fleet, urgent: bool) -> Option<String> {
+/// Why the running proxies of the current build differ in their shared state, or none if they agree. With
+/// `urgent_only`, only the records that do not change with each lookup are compared.
+pub fn shared_state_difference(fleet: &Fleet, urgent_only: bool) -> Option<String> {
     let mut digests = BTreeMap::new();
-    for front in (0..fleet.plan.fronts).filter(|n| fleet.runs(*n) && !fleet.is_older(*n)) {
-        let Some(told) = shared(fleet, front) else {
-            return Some(format!("front {front} does not tell"));
+    for proxy in (0..fleet.options.proxies).filter(|n| fleet.is_running(*n) && !fleet.is_older(*n))
+    {
+        let Some(status) = shared_state(fleet, proxy) else {
+            return Some(format!("proxy {proxy} does not answer"));
         };
-        let digest = if urgent {
-            format!("{} {}", told["roots"][0], told["roots"][1])
+        let digest = if urgent_only {
+            format!("{} {}", status["roots"][0], status["roots"][1])
         } else {
-            told["digest"].to_string()
+            status["digest"].to_string()
         };
-        digests.insert(digest, front);
+        digests.insert(digest, proxy);
     }
     (digests.len() != 1).then(|| format!("{} digests: {digests:?}", digests.len()))
 }
 
-pub fn not_vouching(fleet: &Fleet) -> Option<String> {
-    for front in (0..fleet.plan.fronts).filter(|n| fleet.runs(*n) && !fleet.is_older(*n)) {
-        if shared(fleet, front).is_none_or(|told| told["vouches"] != true) {
-            return Some(format!("front {front} does not vouch"));
+/// Which running proxy of the current build cannot vote on effects yet, or none.
+pub fn unable_to_vote(fleet: &Fleet) -> Option<String> {
+    for proxy in (0..fleet.options.proxies).filter(|n| fleet.is_running(*n) && !fleet.is_older(*n))
+    {
+        if shared_state(fleet, proxy).is_none_or(|status| status["vouches"] != true) {
+            return Some(format!("proxy {proxy} cannot vote on effects yet"));
         }
     }
     None
--- a/crates/fault-injection/src/effects.rs
+++ b/crates/fault-injection/src/effects.rs
@@ -1,7 +1,8 @@
-//! Clients of keyed lookups beside the faults: each mark is asked for at some front, and again at another at once, after a
-//! second and after six, whatever came of it. What ran is told by the stand-in origin, never by the fronts.
+//! Clients that send keyed lookups during the faults. Each idempotency key is sent to a random proxy and, whatever the
+//! outcome, again at once, after one second and after six seconds in all. The test origin counts which keys ran, not
+//! the proxies.
 
-use crate::serving::{answer, ANSWER};
+use crate::serving::{read_frame, RESPONSE_FRAME};
 use meadowrill_test_servers::ask;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,124 +13,146 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const WORKERS: usize = 32;
-const PATIENCE: Duration = Duration::from_secs(4);
-const CONNECT: Duration = Duration::from_millis(300);
-/// When a client comes again, after the try before.
-const AGAIN: [Duration; 3] = [
+const WORKER_COUNT: usize = 32;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delays of the repeated requests for a key, each after the attempt before it.
+const RETRY_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_secs(1),
     Duration::from_secs(5),
 ];
 
+/// Requests of all workers, by outcome.
 #[derive(Debug, Default)]
 pub struct Counts {
-    pub asked: AtomicU64,
+    pub sent: AtomicU64,
     pub served: AtomicU64,
-    pub refused: AtomicU64,
+    pub rejected: AtomicU64,
     pub failed: AtomicU64,
-    /// The connection ended before the answer: as with a front that is killed.
-    pub lost: AtomicU64,
-    pub late: AtomicU64,
-    /// No front took the connection.
-    pub unasked: AtomicU64,
-    /// Answers that belong to no lookup, or a second one.
-    pub twice: AtomicU64,
+    /// The connection ended before the response, as when a proxy is killed.
+    pub connection_lost: AtomicU64,
+    /// No complete response arrived within the time limit.
+    pub timed_out: AtomicU64,
+    /// No proxy accepted a connection, so the request was not sent.
+    pub not_sent: AtomicU64,
+    /// Responses that do not belong to the request, or second ones.
+    pub unexpected: AtomicU64,
 }
 
 impl Counts {
-    pub fn text(&self) -> String {
-        let all = [
-            ("asked", &self.asked),
+    /// All counters in one line.
+    pub fn summary(&self) -> String {
+        let counts = [
+            ("asked", &self.sent),
             ("served", &self.served),
-            ("refused", &self.refused),
+            ("refused", &self.rejected),
             ("failed", &self.failed),
-            ("lost", &self.lost),
-            ("late", &self.late),
-            ("unasked", &self.unasked),
-            ("twice", &self.twice),
+            ("lost", &self.connection_lost),
+            ("late", &self.timed_out),
+            ("unasked", &self.not_sent),
+            ("twice", &self.unexpected),
         ];
-        all.map(|(name, count)| format!("{name} {}", count.load(Relaxed)))
+        counts
+            .map(|(name, count)| format!("{name} {}", count.load(Relaxed)))
             .join(", ")
     }
 }
 
-/// Due then: a number that keeps the order, the mark, how often it was asked for.
-type Due = Reverse<(Instant, u64, u64, usize)>;
+/// A request by its due time, a serial number that keeps the order, its key and the attempts made for that key before.
+type DueRequest = Reverse<(Instant, u64, u64, usize)>;
 
 #[derive(Default)]
-struct Tasks {
-    due: BinaryHeap<Due>,
-    serial: u64,
+struct Schedule {
+    due: BinaryHeap<DueRequest>,
+    last_serial: u64,
 }
 
-impl Tasks {
-    fn put(&mut self, at: Instant, mark: u64, tries: usize) {
-        self.serial += 1;
-        self.due.push(Reverse((at, self.serial, mark, tries)));
+impl Schedule {
+    fn add(&mut self, due_at: Instant, key: u64, attempts: usize) {
+        self.last_serial += 1;
+        self.due
+            .push(Reverse((due_at, self.last_serial, key, attempts)));
     }
 }
 
-pub struct Effects {
+/// Running workers, which stop when this is dropped.
+pub struct KeyedClients {
     pub counts: Arc<Counts>,
-    tasks: Arc<Mutex<Tasks>>,
-    over: Arc<AtomicBool>,
+    schedule: Arc<Mutex<Schedule>>,
+    stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    marks: u64,
+    last_key: u64,
 }
 
-impl Effects {
-    pub fn start(doors: &[SocketAddr], seed: u64) -> Effects {
-        let (counts, over) = (Arc::<Counts>::default(), Arc::new(AtomicBool::new(false)));
-        let tasks = Arc::<Mutex<Tasks>>::default();
-        let threads = (0..WORKERS)
-            .map(|n| {
-                let (counts, over, tasks) =
-                    (Arc::clone(&counts), Arc::clone(&over), Arc::clone(&tasks));
-                let doors = doors.to_vec();
-                let rng = fastrand::Rng::with_seed(seed ^ n as u64);
+impl KeyedClients {
+    /// Starts the workers, which send to random ones of these proxies.
+    pub fn start(proxies: &[SocketAddr], seed: u64) -> KeyedClients {
+        let (counts, stopping) = (Arc::<Counts>::default(), Arc::new(AtomicBool::new(false)));
+        let schedule = Arc::<Mutex<Schedule>>::default();
+        let threads = (0..WORKER_COUNT)
+            .map(|number| {
+                let (counts, stopping, schedule) = (
+                    Arc::clone(&counts),
+                    Arc::clone(&stopping),
+                    Arc::clone(&schedule),
+                );
+                let proxies = proxies.to_vec();
+                let rng = fastrand::Rng::with_seed(seed ^ number as u64);
                 thread::spawn(move || {
                     Worker {
-                        n,
-                        doors,
+                        number,
+                        proxies,
                         counts,
-                        tasks,
-                        over,
+                        schedule,
+                        stopping,
                         rng,
-                        number: 0,
+                        last_request: 0,
                     }
                     .run()
                 })
             })
             .collect();
-        Effects {
+        KeyedClients {
             counts,
-            tasks,
-            over,
+            schedule,
+            stopping,
             threads,
-            marks: 0,
+            last_key: 0,
         }
     }
 
-    /// So many new marks, spread over that time.
-    pub fn ask(&mut self, many: u64, span: Duration) {
-        if let Ok(mut tasks) = self.tasks.lock() {
+    /// Schedules requests for new keys, evenly over the duration.
+    pub fn schedule_keys(&mut self, key_count: u64, duration: Duration) {
+        if let Ok(mut schedule) = self.schedule.lock() {
             let now = Instant::now();
-            for n in 0..many {
-                self.marks += 1;
-                tasks.put(now + span.mul_f64(n as f64 / many as f64), self.marks, 0);
+            for number in 0..key_count {
+                self.last_key += 1;
+                schedule.add(
+                    now + duration.mul_f64(number as f64 / key_count as f64),
+                    self.last_key,
+                    0,
+                );
             }
         }
     }
 
-    /// Waits until all that is due was asked, at most so long.
-    pub fn done(&self, most: Duration) -> bool {
-        let end = Instant::now() + most;
+    /// Waits until no request is scheduled any more. Returns whether that happened within the time limit.
+    pub fn wait_until_sent(&self, timeout: Duration) -> bool {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
-            if self.tasks.lock().is_ok_and(|tasks| tasks.due.is_empty()) {
-                // What the workers have in hand.
+            if self
+                .schedule
+                .lock()
+                .is_ok_and(|schedule| schedule.due.is_empty())
+            {
+                // Requests in progress may schedule repeats.
                 thread::sleep(Duration::from_millis(500));
-                if self.tasks.lock().is_ok_and(|tasks| tasks.due.is_empty()) {
+                if self
+                    .schedule
+                    .lock()
+                    .is_ok_and(|schedule| schedule.due.is_empty())
+                {
                     return true;
                 }
             }
@@ -139,9 +162,9 @@
     }
 }
 
-impl Drop for Effects {
+impl Drop for KeyedClients {
     fn drop(&mut self) {
-        self.over.store(true, Relaxed);
+        self.stopping.store(true, Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -149,98 +172,103 @@
 }
 
 struct Worker {
-    n: usize,
-    doors: Vec<SocketAddr>,
+    number: usize,
+    proxies: Vec<SocketAddr>,
     counts: Arc<Counts>,
-    tasks: Arc<Mutex<Tasks>>,
-    over: Arc<AtomicBool>,
+    schedule: Arc<Mutex<Schedule>>,
+    stopping: Arc<AtomicBool>,
     rng: fastrand::Rng,
-    number: u32,
+    last_request: u32,
 }
 
 impl Worker {
     fn run(mut self) {
-        while !self.over.load(Relaxed) {
-            let next = self.tasks.lock().ok().and_then(|mut tasks| {
-                let due = tasks
+        while !self.stopping.load(Relaxed) {
+            let next = self.schedule.lock().ok().and_then(|mut schedule| {
+                let due = schedule
                     .due
                     .peek()
-                    .is_some_and(|Reverse((at, ..))| *at <= Instant::now());
-                due.then(|| tasks.due.pop()).flatten()
+                    .is_some_and(|Reverse((due_at, ..))| *due_at <= Instant::now());
+                due.then(|| schedule.due.pop()).flatten()
             });
-            let Some(Reverse((_, _, mark, tries))) = next else {
+            let Some(Reverse((_, _, key, attempts))) = next else {
                 thread::sleep(Duration::from_millis(1));
                 continue;
             };
-            // The second comes while the first is still asked for.
-            let together = tries == 0 && self.rng.bool();
-            if together {
-                self.again(mark, 1);
+            // The first repeat is sent while the first request is still in progress.
+            let concurrent_retry = attempts == 0 && self.rng.bool();
+            if concurrent_retry {
+                self.schedule_retry(key, 1);
             }
-            self.try_once(mark);
-            if !together || tries > 0 {
-                self.again(mark, tries + 1);
+            self.send_once(key);
+            if !concurrent_retry || attempts > 0 {
+                self.schedule_retry(key, attempts + 1);
             }
         }
     }
 
-    fn again(&self, mark: u64, tries: usize) {
-        if let (Some(wait), Ok(mut tasks)) = (AGAIN.get(tries - 1), self.tasks.lock()) {
-            tasks.put(Instant::now() + *wait, mark, tries);
+    fn schedule_retry(&self, key: u64, attempts: usize) {
+        if let (Some(delay), Ok(mut schedule)) =
+            (RETRY_DELAYS.get(attempts - 1), self.schedule.lock())
+        {
+            schedule.add(Instant::now() + *delay, key, attempts);
         }
     }
 
-    fn try_once(&mut self, mark: u64) {
+    fn send_once(&mut self, key: u64) {
         for _ in 0..10 {
-            let at = self.rng.usize(0..self.doors.len());
-            // A fresh one each time tells what was asked from what was not.
-            let Ok(mut stream) = TcpStream::connect_timeout(&self.doors[at], CONNECT) else {
+            let proxy = self.rng.usize(0..self.proxies.len());
+            // A new connection per request shows whether the request was sent at all.
+            let Ok(mut stream) = TcpStream::connect_timeout(&self.proxies[proxy], CONNECT_TIMEOUT)
+            else {
                 continue;
             };
             let _ = stream.set_nodelay(true);
-            let _ = stream.set_read_timeout(Some(PATIENCE));
-            self.number += 1;
-            let (txn, unique) = (
-                format!("{:08x}{:08x}", self.n + 1000, self.number),
-                format!("{mark:032x}"),
+            let _ = stream.set_read_timeout(Some(RESPONSE_TIMEOUT));
+            self.last_request += 1;
+            let (txn, key_text) = (
+                format!("{:08x}{:08x}", self.number + 1000, self.last_request),
+                format!("{key:032x}"),
             );
-            let more = [
+            let fields = [
                 ("txn", txn.as_str()),
-                ("unique", unique.as_str()),
-                ("item", &unique[16..]),
+                ("unique", key_text.as_str()),
+                ("item", &key_text[16..]),
                 ("slice", "0"),
             ];
-            let request = ask(self.number, "book", &more, b"");
-            self.counts.asked.fetch_add(1, Relaxed);
-            let got = stream
+            let request = ask(self.last_request, "book", &fields, b"");
+            self.counts.sent.fetch_add(1, Relaxed);
+            let response = stream
                 .write_all(&request)
-                .and_then(|()| answer(&mut stream));
-            // A front that parts says so first.
-            let got = if matches!(got, Ok((90, ..))) {
-                answer(&mut stream)
+                .and_then(|()| read_frame(&mut stream));
+            // A proxy that is leaving sends a notice before the response.
+            let response = if matches!(response, Ok((90, ..))) {
+                read_frame(&mut stream)
             } else {
-                got
+                response
             };
-            let count = match got {
-                Ok((ANSWER, of, code)) if of == self.number => match code {
-                    0 => &self.counts.served,
-                    11 => &self.counts.refused,
-                    _ => &self.counts.failed,
-                },
-                Ok(_) => &self.counts.twice,
+            let count = match response {
+                Ok((RESPONSE_FRAME, stream_id, code)) if stream_id == self.last_request => {
+                    match code {
+                        0 => &self.counts.served,
+                        11 => &self.counts.rejected,
+                        _ => &self.counts.failed,
+                    }
+                }
+                Ok(_) => &self.counts.unexpected,
                 Err(e)
                     if matches!(
                         e.kind(),
                         std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
                     ) =>
                 {
-                    &self.counts.late
+                    &self.counts.timed_out
                 }
-                Err(_) => &self.counts.lost,
+                Err(_) => &self.counts.connection_lost,
             };
             count.fetch_add(1, Relaxed);
             return;
         }
-        self.counts.unasked.fetch_add(1, Relaxed);
+        self.counts.not_sent.fetch_add(1, Relaxed);
     }
 }
--- a/crates/fault-injection/src/events/relays.rs
+++ b/crates/fault-injection/src/events/relays.rs
@@ -2,7 +2,7 @@
 
 use super::layout::{region_name, region_of, relay_name, zone_name, zone_of};
 use crate::relay::Fault;
-use crate::relay::Relays as DatagramProxies;
+use crate::relay::LinkRelays as DatagramProxies;
 use meadowrill_test_servers::journal::Speaking;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -309,7 +309,7 @@
             .map(|relay| SocketAddr::new(listen_at(relay).into(), PORT))
             .collect();
         let process = |(number, relay): (usize, &RelayAddress)| {
-            proxies.expect_at(number, listen[number]);
+            proxies.set_listen_address(number, listen[number]);
             RelayProcess::new(&RelayPlace {
                 folder: folder.path(),
                 name: &relay.name,
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,10 +1,10 @@
-//! Processes of the program, each at an address of its own, with settings written for it.
+//! Fleets of proxy and relay processes, each with its own loopback address and generated settings files.
 
 use crate::events::relays::{
     events_settings, RelayAddress, RelayPlace, RelayProcess, FLEET, PUBLISHER,
 };
-use crate::relay::{Relays, FRONTS};
-use crate::{name, unix};
+use crate::relay::{LinkRelays, MAX_MEMBERS};
+use crate::{proxy_name, unix_time};
 use meadowrill_test_servers::journal::Speaking;
 use meadowrill_test_servers::program::{member, Site};
 use meadowrill_test_servers::service::{Directory, Service};
@@ -19,49 +19,51 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Where clients reach a front; each has an address of its own.
-const DOOR: u16 = 10080;
-/// Where fronts and relays hear datagrams.
+/// Port on which each proxy accepts clients at its own address.
+const CLIENT_PORT: u16 = 10080;
+/// Port on which proxies and relays receive datagrams.
 const FLEET_PORT: u16 = 7100;
-const BOXES: usize = 3;
-/// By relays a purge is in force everywhere after so long.
-const HEED_OF_EVENTS: Duration = Duration::from_millis(2_900);
-/// Bytes of an answer: short enough to be kept for a second try.
-const SIZE: usize = 1500;
+const CACHE_COUNT: usize = 3;
+/// Time after which a purge that relays distribute is in force at every proxy.
+const RELAYED_PURGE_DEADLINE: Duration = Duration::from_millis(2_900);
+/// Body size of each response, small enough for the ledger to keep it for repeated requests.
+const RESPONSE_BODY_BYTES: usize = 1500;
 
+/// Size, timing and settings of a fleet under test.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub fronts: usize,
-    /// Relays of events, one of which publishes; they are numbered behind the fronts.
+pub struct FleetOptions {
+    pub proxies: usize,
+    /// Number of event relays, one of them the publisher. Their member numbers follow those of the proxies.
     pub relays: usize,
-    /// What else stands in `events { ... }` of all.
-    pub events: String,
+    /// Additional settings in `events { ... }` of all members.
+    pub events_settings: String,
     pub zones: usize,
     pub period_ms: u64,
     pub contacts: usize,
     pub remember_s: u64,
     pub seed: u64,
-    /// What else stands in `fleet { ... }`, as in `replica { ledger { } }`; `$N` is the front's number, `$DIR` a folder.
-    pub shared: String,
-    /// The program of some of the fronts, where they differ: an older build.
-    pub older: Option<PathBuf>,
-    /// Builds with a fault of this name, for trying the checkers.
+    /// Additional settings in `fleet { ... }` of each proxy, such as `replica { ledger { } }`. `$N` is replaced by the
+    /// proxy's number and `$DIR` by the folder of the fleet.
+    pub fleet_settings: String,
+    /// Program of an earlier version, which every second proxy runs if it is set.
+    pub older_program: Option<PathBuf>,
+    /// Name of the mutant that builds with the feature `mutants` activate, to test the checks.
     pub mutant: Option<String>,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
-            fronts: 8,
+impl Default for FleetOptions {
+    fn default() -> FleetOptions {
+        FleetOptions {
+            proxies: 8,
             relays: 0,
-            events: String::new(),
+            events_settings: String::new(),
             zones: 2,
             period_ms: 200,
             contacts: 3,
             remember_s: 600,
             seed: 1,
-            shared: String::new(),
-            older: None,
+            fleet_settings: String::new(),
+            older_program: None,
             mutant: None,
         }
     }
@@ -71,78 +73,85 @@
     format!("relay-{relay}")
 }
 
-/// What was asked of all caches, how much of it they had to fetch, and what came to the parent and the origin.
+/// Requests that all caches, the parent and the origin have answered so far, and the fills of the caches.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Requests {
+pub struct RequestCounts {
     pub caches: u64,
     pub fills: u64,
     pub parent: u64,
     pub origin: u64,
 }
 
-struct Front {
+struct ProxyProcess {
     child: Option<Child>,
-    moved: bool,
-    stopped: bool,
-    /// When it was started last, since the Unix epoch.
-    started: Duration,
+    on_alternate_address: bool,
+    paused: bool,
+    /// Time of the latest start, since the Unix epoch.
+    started_at: Duration,
 }
 
+/// Proxies, event relays and the caches, parent, origin and journal services that they use.
 pub struct Fleet {
-    pub plan: Plan,
-    pub relays: Relays,
+    pub options: FleetOptions,
+    pub links: LinkRelays,
     pub folder: tempfile::TempDir,
     subnet: [u8; 2],
-    fronts: Vec<Front>,
+    proxies: Vec<ProxyProcess>,
     program: PathBuf,
-    holder: PathBuf,
-    boxes: Vec<Service>,
+    rig_program: PathBuf,
+    caches: Vec<Service>,
     parent: Service,
     pub origin: Service,
-    /// One journal service for the first front, and one for all others.
+    /// One journal service for the first proxy and one for all other proxies.
     journals: [Speaking; 2],
     event_relays: Vec<RelayProcess>,
-    /// What the relay that publishes follows.
-    published: Speaking,
-    /// First processes of names that another has by now.
-    twins: Vec<Child>,
-    /// Keeps the subnet this run's own, as no two hold one port at a time.
-    _port: TcpListener,
+    /// Journal service that the publishing relay follows.
+    publisher_journal: Speaking,
+    /// Earlier processes of names for which a second process has been started.
+    superseded: Vec<Child>,
+    /// Reserves the subnet for this run: its octets are the number of this port, which only one run can hold.
+    _subnet_port: TcpListener,
 }
 
-/// How one front sees the fleet.
+/// View of the fleet that one proxy reports.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct FleetView {
+    /// Digest of all member states, equal in equal views.
     pub digest: String,
+    /// State of the reporting proxy itself.
     pub state: String,
-    pub here: Vec<String>,
+    /// Names of the members that are alive, joining or suspected.
+    pub present: Vec<String>,
     pub states: BTreeMap<String, String>,
-    pub starts: BTreeMap<String, u64>,
+    pub start_times: BTreeMap<String, u64>,
 }
 
 impl Fleet {
-    /// `program` is the front, `holder` this rig's own tool, which ends what it started when it ends.
-    pub fn new(plan: Plan, program: &Path, holder: &Path) -> io::Result<Fleet> {
-        if plan.fronts == 0 || plan.fronts + plan.relays > FRONTS {
+    /// Prepares a fleet without starting its processes. `rig_program` is the `meadowrill-rig` executable, whose
+    /// sub-command `hold` ends the processes when this one ends.
+    pub fn new(options: FleetOptions, program: &Path, rig_program: &Path) -> io::Result<Fleet> {
+        if options.proxies == 0 || options.proxies + options.relays > MAX_MEMBERS {
             return Err(io::Error::other(format!(
-                "{} fronts: 1 to {FRONTS} go",
-                plan.fronts
+                "{} proxies and {} relays: a fleet has at least 1 proxy and at most {MAX_MEMBERS} members",
+                options.proxies, options.relays
             )));
         }
-        let port = TcpListener::bind("127.0.0.1:0")?;
-        let subnet = port.local_addr()?.port().to_be_bytes();
+        let subnet_port = TcpListener::bind("127.0.0.1:0")?;
+        let subnet = subnet_port.local_addr()?.port().to_be_bytes();
         let directory = Directory::default();
-        let machine = |workers, each, empty| {
+        let start_service = |workers, each, empty| {
             Service::start(
                 workers,
                 Duration::from_millis(each),
-                SIZE,
+                RESPONSE_BODY_BYTES,
                 empty,
                 &directory,
             )
         };
-        let boxes: Vec<Service> = (0..BOXES).map(|_| machine(8, 2, true)).collect();
-        let (parent, origin) = (machine(16, 3, true), machine(16, 3, false));
+        let caches: Vec<Service> = (0..CACHE_COUNT)
+            .map(|_| start_service(8, 2, true))
+            .collect();
+        let (parent, origin) = (start_service(16, 3, true), start_service(16, 3, false));
         if let Ok(mut directory) = directory.lock() {
             directory.extend([
                 ("s-p".into(), parent.address),
@@ -150,406 +159,437 @@
             ]);
         }
         let mut fleet = Fleet {
-            relays: Relays::start(plan.fronts + plan.relays, plan.seed)?,
+            links: LinkRelays::start(options.proxies + options.relays, options.seed)?,
             folder: tempfile::tempdir()?,
             subnet,
-            fronts: (0..plan.fronts)
-                .map(|_| Front {
+            proxies: (0..options.proxies)
+                .map(|_| ProxyProcess {
                     child: None,
-                    moved: false,
-                    stopped: false,
-                    started: Duration::ZERO,
+                    on_alternate_address: false,
+                    paused: false,
+                    started_at: Duration::ZERO,
                 })
                 .collect(),
             program: program.into(),
-            holder: holder.into(),
-            boxes,
+            rig_program: rig_program.into(),
+            caches,
             parent,
             origin,
             journals: [Speaking::start(), Speaking::start()],
             event_relays: Vec::new(),
-            published: Speaking::start(),
-            twins: Vec::new(),
-            _port: port,
-            plan,
+            publisher_journal: Speaking::start(),
+            superseded: Vec::new(),
+            _subnet_port: subnet_port,
+            options,
         };
         fleet.add_relays();
         Ok(fleet)
     }
 
     fn add_relays(&mut self) {
-        if self.plan.relays == 0 {
+        if self.options.relays == 0 {
             return;
         }
-        self.boxes
+        self.caches
             .iter()
-            .for_each(|cache| cache.heed_within(HEED_OF_EVENTS));
+            .for_each(|cache| cache.heed_within(RELAYED_PURGE_DEADLINE));
         let events = self.events_settings();
-        for relay in 0..self.plan.relays {
-            let member = self.plan.fronts + relay;
+        for relay in 0..self.options.relays {
+            let member = self.options.proxies + relay;
             let listen = SocketAddr::new(self.ip(member).into(), FLEET_PORT);
-            self.relays.expect_at(member, listen);
-            let zone = format!("zone-{}", self.zone(member));
+            self.links.set_listen_address(member, listen);
+            let zone = format!("zone-{}", self.zone_of(member));
             let process = RelayProcess::new(&RelayPlace {
                 folder: self.folder.path(),
                 name: &relay_name(relay),
                 region: &zone,
                 zone: &zone,
                 listen,
-                advertise: self.relays.address(member),
+                advertise: self.links.address(member),
                 events: &events,
-                journal: (relay == PUBLISHER).then_some(self.published.address),
+                journal: (relay == PUBLISHER).then_some(self.publisher_journal.address),
             });
             self.event_relays.push(process);
         }
     }
 
-    /// The same for all members; empty without relays.
+    /// The `events { ... }` lines, the same for all members; empty without relays.
     fn events_settings(&self) -> String {
         let address = |relay: usize| RelayAddress {
             name: relay_name(relay),
-            address: self.relays.address(self.plan.fronts + relay),
-            region: format!("zone-{}", self.zone(self.plan.fronts + relay)),
-            zone: format!("zone-{}", self.zone(self.plan.fronts + relay)),
+            address: self.links.address(self.options.proxies + relay),
+            region: format!("zone-{}", self.zone_of(self.options.proxies + relay)),
+            zone: format!("zone-{}", self.zone_of(self.options.proxies + relay)),
             publishes: relay == PUBLISHER,
         };
-        let all: Vec<RelayAddress> = (0..self.plan.relays).map(address).collect();
-        if all.is_empty() {
+        let addresses: Vec<RelayAddress> = (0..self.options.relays).map(address).collect();
+        if addresses.is_empty() {
             return String::new();
         }
-        events_settings(&all, &self.plan.events)
+        events_settings(&addresses, &self.options.events_settings)
     }
 
-    /// The relay of that number among all members.
+    /// The relay with this member number; none if it is the number of a proxy.
     fn event_relay(&mut self, member: usize) -> Option<&mut RelayProcess> {
         member
-            .checked_sub(self.plan.fronts)
+            .checked_sub(self.options.proxies)
             .and_then(|relay| self.event_relays.get_mut(relay))
     }
 
-    /// Fronts and relays.
+    /// Number of proxies and relays.
     pub fn members(&self) -> usize {
-        self.plan.fronts + self.plan.relays
+        self.options.proxies + self.options.relays
     }
 
-    fn ip(&self, front: usize) -> Ipv4Addr {
-        // Ports from the kernel are 32768 and up, so no other run has the half below.
-        let is_moved = self.fronts.get(front).is_some_and(|front| front.moved);
-        let moved = if is_moved { 0x80 } else { 0 };
+    fn ip(&self, proxy: usize) -> Ipv4Addr {
+        // The kernel assigns ports from 32768 on, so no other run uses the lower half of the subnets.
+        let is_alternate = self
+            .proxies
+            .get(proxy)
+            .is_some_and(|proxy| proxy.on_alternate_address);
+        let alternate_bit = if is_alternate { 0x80 } else { 0 };
         Ipv4Addr::new(
             127,
-            self.subnet[0] ^ moved,
+            self.subnet[0] ^ alternate_bit,
             self.subnet[1],
-            (front + 1) as u8,
+            (proxy + 1) as u8,
         )
     }
 
-    /// Where clients reach it.
-    pub fn door(&self, front: usize) -> SocketAddr {
-        SocketAddr::new(self.ip(front).into(), DOOR)
+    /// Address at which the proxy accepts clients.
+    pub fn client_address(&self, proxy: usize) -> SocketAddr {
+        SocketAddr::new(self.ip(proxy).into(), CLIENT_PORT)
     }
 
-    pub fn zone(&self, member: usize) -> usize {
-        // The first relay stands in the first zone.
-        let number = member.checked_sub(self.plan.fronts).unwrap_or(member);
-        number % self.plan.zones.max(1)
+    /// Number of the zone to which a proxy or relay belongs.
+    pub fn zone_of(&self, member: usize) -> usize {
+        // The first relay belongs to the first zone, whatever the number of proxies is.
+        let number = member.checked_sub(self.options.proxies).unwrap_or(member);
+        number % self.options.zones.max(1)
     }
 
-    fn socket(&self, front: usize) -> PathBuf {
-        self.folder.path().join(format!("{front}.sock"))
+    fn operator_socket(&self, proxy: usize) -> PathBuf {
+        self.folder.path().join(format!("{proxy}.sock"))
     }
 
-    pub fn log(&self, front: usize) -> PathBuf {
-        self.folder.path().join(format!("{front}.log"))
+    /// Log file of the proxy, which all its starts append to.
+    pub fn log_path(&self, proxy: usize) -> PathBuf {
+        self.folder.path().join(format!("{proxy}.log"))
     }
 
-    fn settings(&self, front: usize) -> String {
-        let plan = &self.plan;
-        let contacts: String = (0..plan.contacts.min(plan.fronts))
-            .map(|n| format!("  contact: \"{}\"\n", self.relays.address(n)))
+    fn settings_text(&self, proxy: usize) -> String {
+        let options = &self.options;
+        let contacts: String = (0..options.contacts.min(options.proxies))
+            .map(|n| format!("  contact: \"{}\"\n", self.links.address(n)))
             .collect();
         format!(
             "log {{ form: JSON }}\noperators {{ socket: \"{}\" }}\nfleet {{\n  name: \"{FLEET}\"\n  listen: \"{}:{FLEET_PORT}\"\n  \
              advertise: \"{}\"\n{contacts}  zone: \"zone-{}\"\n{}  period_ms: {}\n  remember_s: {}\n  \
              bytes_per_s: {}\n{}\n}}\n",
-            self.socket(front).display(),
-            self.ip(front),
-            self.relays.address(front),
-            self.zone(front),
-            self.subscription(front),
-            plan.period_ms,
-            plan.remember_s,
-            // As many for each period as the usual settings give.
-            4_000_000 / plan.period_ms.max(1),
-            if self.is_older(front) { String::new() } else { plan.shared.clone() }
-                .replace("$N", &front.to_string())
+            self.operator_socket(proxy).display(),
+            self.ip(proxy),
+            self.links.address(proxy),
+            self.zone_of(proxy),
+            self.events_subscription(proxy),
+            options.period_ms,
+            options.remember_s,
+            // The same number of bytes per period as with the default settings.
+            4_000_000 / options.period_ms.max(1),
+            if self.is_older(proxy) { String::new() } else { options.fleet_settings.clone() }
+                .replace("$N", &proxy.to_string())
                 .replace("$DIR", &self.folder.path().display().to_string()),
         )
     }
 
-    /// Where this front's purges come from.
-    fn subscription(&self, front: usize) -> String {
-        if self.event_relays.is_empty() || self.is_older(front) {
+    /// Settings with which the proxy subscribes to events; empty without relays and for an older build.
+    fn events_subscription(&self, proxy: usize) -> String {
+        if self.event_relays.is_empty() || self.is_older(proxy) {
             return String::new();
         }
         format!(
             "  region: \"zone-{}\"\n{}",
-            self.zone(front),
+            self.zone_of(proxy),
             self.events_settings()
         )
     }
 
-    /// Every second front is of an earlier build, where there is one, which may not know settings of today.
-    pub fn is_older(&self, front: usize) -> bool {
-        self.plan.older.is_some() && front % 2 == 1
+    /// Whether the proxy runs the older build, if there is one: every second proxy does. It may lack current settings.
+    pub fn is_older(&self, proxy: usize) -> bool {
+        self.options.older_program.is_some() && proxy % 2 == 1
     }
 
-    /// The front's configuration, as the platform writes it.
-    fn config(&self, front: usize) -> String {
+    /// The proxy's configuration file, as the platform writes it.
+    fn platform_config(&self, proxy: usize) -> String {
         let names = ["s-a", "s-b", "s-c"];
         let caches: Vec<(&str, SocketAddr)> = names
             .into_iter()
-            .zip(self.boxes.iter().map(|b| b.address))
+            .zip(self.caches.iter().map(|cache| cache.address))
             .collect();
         let site = Site {
             caches: &caches,
             parent: self.parent.address,
             origin: self.origin.address,
-            journal: self.journals[usize::from(front > 0)].address,
+            journal: self.journals[usize::from(proxy > 0)].address,
         };
         let mut config = site.config();
-        config["name"] = name(front).into();
-        config["listen"] = self.door(front).to_string().into();
+        config["name"] = proxy_name(proxy).into();
+        config["listen"] = self.client_address(proxy).to_string().into();
         config["limits"]["sockets"] = 256.into();
-        config["settings"]["balancers"] = self.plan.fronts.into();
-        config["settings"]["specifics"]["zone_balancers"] = vec![0, self.plan.fronts].into();
+        config["settings"]["balancers"] = self.options.proxies.into();
+        config["settings"]["specifics"]["zone_balancers"] = vec![0, self.options.proxies].into();
         config.to_string()
     }
 
-    pub fn start(&mut self, front: usize) -> io::Result<()> {
-        let (program, holder) = (self.program.clone(), self.holder.clone());
-        let mutant = self.plan.mutant.clone();
-        if let Some(relay) = self.event_relay(front) {
-            return relay.start(&program, &holder, mutant.as_deref());
+    /// Starts the process of a proxy or relay; a running one is left as it is.
+    ///
+    /// # Errors
+    ///
+    /// If its files cannot be written or its process cannot be started.
+    pub fn start(&mut self, proxy: usize) -> io::Result<()> {
+        let (program, rig_program) = (self.program.clone(), self.rig_program.clone());
+        let mutant = self.options.mutant.clone();
+        if let Some(relay) = self.event_relay(proxy) {
+            return relay.start(&program, &rig_program, mutant.as_deref());
         }
-        if self.fronts[front].child.is_some() {
+        if self.proxies[proxy].child.is_some() {
             return Ok(());
         }
         let program = self
-            .plan
-            .older
+            .options
+            .older_program
             .as_ref()
-            .filter(|_| self.is_older(front))
+            .filter(|_| self.is_older(proxy))
             .unwrap_or(&self.program);
         let folder = self.folder.path();
-        let (config, own) = (
-            folder.join(format!("{front}.json")),
-            folder.join(format!("{front}.textproto")),
+        let (config_path, settings_path) = (
+            folder.join(format!("{proxy}.json")),
+            folder.join(format!("{proxy}.textproto")),
         );
-        std::fs::write(&config, self.config(front))?;
-        std::fs::write(&own, self.settings(front))?;
+        std::fs::write(&config_path, self.platform_config(proxy))?;
+        std::fs::write(&settings_path, self.settings_text(proxy))?;
         let log = File::options()
             .create(true)
             .append(true)
-            .open(self.log(front))?;
-        let mut command = Command::new(&self.holder);
+            .open(self.log_path(proxy))?;
+        let mut command = Command::new(&self.rig_program);
         command
             .arg("hold")
             .arg(std::process::id().to_string())
             .arg(program);
         command
             .args(["serve", "--settings"])
-            .arg(&own)
-            .env("BALANCER_CONFIG", &config);
-        if let Some(mutant) = &self.plan.mutant {
+            .arg(&settings_path)
+            .env("BALANCER_CONFIG", &config_path);
+        if let Some(mutant) = &self.options.mutant {
             command.env("MEADOWRILL_MUTANT", mutant);
         }
         command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        let began = unix();
+        let started_at = unix_time();
         let child = command.spawn()?;
-        let front = &mut self.fronts[front];
-        (front.child, front.stopped, front.started) = (Some(child), false, began);
+        let proxy = &mut self.proxies[proxy];
+        (proxy.child, proxy.paused, proxy.started_at) = (Some(child), false, started_at);
         Ok(())
     }
 
-    /// The journal service of the first front (or that of all others as well) tells of something.
-    pub fn tell(&self, event: &Value, all: bool) {
-        let journals = &self.journals[..if all { 2 } else { 1 }];
+    /// Publishes an event in the journal of the first proxy and, with `to_all`, in that of all other proxies.
+    pub fn publish_event(&self, event: &Value, to_all: bool) {
+        let journals = &self.journals[..if to_all { 2 } else { 1 }];
         journals
             .iter()
             .for_each(|journal| journal.tell(event.clone()));
     }
 
-    /// An object is purged now, as the first front alone is told; the relay that publishes alone, where there is one.
-    pub fn purge(&self, item: &str, all: bool) {
+    /// Publishes a purge of an object: through the publishing relay alone if there are relays, otherwise to the first
+    /// proxy or, with `to_all`, to all proxies.
+    pub fn purge(&self, item: &str, to_all: bool) {
         let stamp = meadowrill_test_servers::now_ms();
-        self.boxes.iter().for_each(|b| b.purged(item, stamp));
+        self.caches
+            .iter()
+            .for_each(|cache| cache.purged(item, stamp));
         let event = json!({"expire": {"name": item, "stamp": stamp as u64}});
         if self.event_relays.is_empty() {
-            return self.tell(&event, all);
+            return self.publish_event(&event, to_all);
         }
-        self.published.tell(event);
+        self.publisher_journal.tell(event);
     }
 
-    pub fn requests(&self) -> Requests {
-        Requests {
-            caches: self.boxes.iter().map(Service::answered).sum(),
-            fills: self.boxes.iter().map(Service::fills).sum(),
+    /// Requests and fills since the start of the fleet.
+    pub fn request_counts(&self) -> RequestCounts {
+        RequestCounts {
+            caches: self.caches.iter().map(Service::answered).sum(),
+            fills: self.caches.iter().map(Service::fills).sum(),
             parent: self.parent.answered(),
             origin: self.origin.answered(),
         }
     }
 
-    /// Whether this front holds a lease of a relay, as it says itself; none where it does not answer.
-    pub fn leased(&self, front: usize) -> Option<bool> {
-        let told: Value = serde_json::from_str(&self.word(front, "fleet events json")?).ok()?;
-        Some(told["lease_left_us"].is_i64())
+    /// Whether the proxy reports that it holds a lease from a relay; none if it does not answer.
+    pub fn holds_lease(&self, proxy: usize) -> Option<bool> {
+        let status: Value =
+            serde_json::from_str(&self.operator_query(proxy, "fleet events json")?).ok()?;
+        Some(status["lease_left_us"].is_i64())
     }
 
-    pub fn old_let_through(&self) -> u64 {
-        self.boxes.iter().map(Service::old_let_through).sum()
+    /// Requests to caches that accepted a copy from before a purge after the time limit for that purge.
+    pub fn stale_copies_allowed(&self) -> u64 {
+        self.caches.iter().map(Service::old_let_through).sum()
     }
 
-    /// One of the caches drains, as the first front alone is told.
-    pub fn drain(&self, cache: usize, all: bool) {
-        let id = ["s-a", "s-b", "s-c"][cache % BOXES];
-        let machine = member(id, "std", self.boxes[cache % BOXES].address, "DRAINING");
-        self.tell(
-            &json!({"hosts": {"complete": false, "members": [machine]}}),
-            all,
+    /// Announces that a cache is draining, to the first proxy alone or, with `to_all`, to all proxies.
+    pub fn drain_cache(&self, cache: usize, to_all: bool) {
+        let id = ["s-a", "s-b", "s-c"][cache % CACHE_COUNT];
+        let draining = member(
+            id,
+            "std",
+            self.caches[cache % CACHE_COUNT].address,
+            "DRAINING",
+        );
+        self.publish_event(
+            &json!({"hosts": {"complete": false, "members": [draining]}}),
+            to_all,
         );
     }
 
-    /// What that cache has answered so far.
-    pub fn answered(&self, cache: usize) -> u64 {
-        self.boxes[cache % BOXES].answered()
+    /// Number of requests that the cache has answered so far.
+    pub fn cache_requests(&self, cache: usize) -> u64 {
+        self.caches[cache % CACHE_COUNT].answered()
     }
 
-    /// What a front's operators' socket answers to a word.
-    pub fn word(&self, front: usize, word: &str) -> Option<String> {
+    /// Answer of the proxy's operator socket to a query; none if it fails or the proxy is not running.
+    pub fn operator_query(&self, proxy: usize, query: &str) -> Option<String> {
         let ask = || -> io::Result<String> {
-            let mut stream = UnixStream::connect(self.socket(front))?;
+            let mut stream = UnixStream::connect(self.operator_socket(proxy))?;
             stream.set_read_timeout(Some(Duration::from_secs(2)))?;
-            stream.write_all(format!("{word}\n").as_bytes())?;
+            stream.write_all(format!("{query}\n").as_bytes())?;
             let mut text = String::new();
             stream.read_to_string(&mut text)?;
             Ok(text)
         };
-        ask().ok().filter(|_| self.runs(front))
+        ask().ok().filter(|_| self.is_running(proxy))
     }
 
-    /// A second process of that name, elsewhere; from here on it is the one that is asked.
-    pub fn twin(&mut self, front: usize) -> io::Result<()> {
-        let former = self.fronts[front].child.take();
-        self.twins.extend(former);
-        self.move_on(front);
-        self.start(front)
+    /// Starts a second process of the same name at the other address; later calls refer to the new process.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Fleet::start`].
+    pub fn start_duplicate(&mut self, proxy: usize) -> io::Result<()> {
+        let previous = self.proxies[proxy].child.take();
+        self.superseded.extend(previous);
+        self.switch_address(proxy);
+        self.start(proxy)
     }
 
-    /// Another address for its next start.
-    pub fn move_on(&mut self, front: usize) {
-        self.fronts[front].moved = !self.fronts[front].moved;
+    /// Changes the address at which the proxy listens after its next start.
+    pub fn switch_address(&mut self, proxy: usize) {
+        self.proxies[proxy].on_alternate_address = !self.proxies[proxy].on_alternate_address;
     }
 
-    fn signal(&self, front: usize, signal: Signal) {
-        if let Some(relay) = front.checked_sub(self.plan.fronts) {
+    fn signal(&self, proxy: usize, signal: Signal) {
+        if let Some(relay) = proxy.checked_sub(self.options.proxies) {
             return self.event_relays[relay].signal(signal);
         }
-        let child = self.fronts[front].child.as_ref();
+        let child = self.proxies[proxy].child.as_ref();
         if let Some(pid) = child.and_then(|child| Pid::from_raw(child.id() as i32)) {
-            // One that has ended meanwhile is what was wanted, or is seen by the checkers.
+            // Sending fails only to a process that has ended: that was intended, or the checks find it.
             let _ = kill_process(pid, signal);
         }
     }
 
-    pub fn kill(&mut self, front: usize) {
-        if let Some(relay) = self.event_relay(front) {
+    /// Sends SIGKILL and waits for the process to end.
+    pub fn kill(&mut self, proxy: usize) {
+        if let Some(relay) = self.event_relay(proxy) {
             return relay.kill();
         }
-        self.signal(front, Signal::KILL);
-        if let Some(mut child) = self.fronts[front].child.take() {
+        self.signal(proxy, Signal::KILL);
+        if let Some(mut child) = self.proxies[proxy].child.take() {
             let _ = child.wait();
         }
     }
 
-    /// SIGTERM; true once it has ended by itself.
-    pub fn terminate(&mut self, front: usize, most: Duration) -> bool {
-        self.signal(front, Signal::TERM);
-        let end = Instant::now() + most;
+    /// Sends SIGTERM. Returns whether the process ended within the time limit; otherwise it is killed.
+    pub fn terminate(&mut self, proxy: usize, timeout: Duration) -> bool {
+        self.signal(proxy, Signal::TERM);
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
-            let Some(child) = &mut self.fronts[front].child else {
+            let Some(child) = &mut self.proxies[proxy].child else {
                 return true;
             };
             if matches!(child.try_wait(), Ok(Some(_))) {
-                self.fronts[front].child = None;
+                self.proxies[proxy].child = None;
                 return true;
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        self.kill(front);
+        self.kill(proxy);
         false
     }
 
-    pub fn stop(&mut self, front: usize) {
-        self.signal(front, Signal::STOP);
-        self.fronts
-            .get_mut(front)
+    /// Sends SIGSTOP.
+    pub fn pause(&mut self, proxy: usize) {
+        self.signal(proxy, Signal::STOP);
+        self.proxies
+            .get_mut(proxy)
             .into_iter()
-            .for_each(|front| front.stopped = true);
+            .for_each(|proxy| proxy.paused = true);
     }
 
-    pub fn go_on(&mut self, front: usize) {
-        self.signal(front, Signal::CONT);
-        self.fronts
-            .get_mut(front)
+    /// Sends SIGCONT.
+    pub fn resume(&mut self, proxy: usize) {
+        self.signal(proxy, Signal::CONT);
+        self.proxies
+            .get_mut(proxy)
             .into_iter()
-            .for_each(|front| front.stopped = false);
+            .for_each(|proxy| proxy.paused = false);
     }
 
-    /// Started and not stopped.
-    pub fn runs(&self, front: usize) -> bool {
-        self.fronts[front].child.is_some() && !self.fronts[front].stopped
+    /// Whether the proxy has been started and is not paused.
+    pub fn is_running(&self, proxy: usize) -> bool {
+        self.proxies[proxy].child.is_some() && !self.proxies[proxy].paused
     }
 
-    pub fn started(&self, front: usize) -> Duration {
-        self.fronts[front].started
+    /// Time of the latest start, since the Unix epoch.
+    pub fn started_at(&self, proxy: usize) -> Duration {
+        self.proxies[proxy].started_at
     }
 
-    /// Those that ended without being told to.
+    /// Proxies whose process ended without being killed or terminated.
     pub fn crashed(&mut self) -> Vec<usize> {
-        let gone = |f: &mut Front| {
+        let has_exited = |f: &mut ProxyProcess| {
             f.child
                 .as_mut()
                 .is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
         };
-        (0..self.fronts.len())
-            .filter(|n| gone(&mut self.fronts[*n]))
+        (0..self.proxies.len())
+            .filter(|n| has_exited(&mut self.proxies[*n]))
             .collect()
     }
 
-    pub fn sight(&self, front: usize) -> Option<Sight> {
-        let seen: Value = serde_json::from_str(&self.word(front, "fleet json")?).ok()?;
-        let members = seen["members"].as_array()?;
+    /// The proxy's view of the fleet; none if it does not answer.
+    pub fn fleet_view(&self, proxy: usize) -> Option<FleetView> {
+        let status: Value =
+            serde_json::from_str(&self.operator_query(proxy, "fleet json")?).ok()?;
+        let members = status["members"].as_array()?;
         let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
-        let here = |m: &&Value| {
+        let is_present = |m: &&Value| {
             ["alive", "joining", "suspected"].contains(&m["state"].as_str().unwrap_or(""))
         };
-        Some(Sight {
-            digest: text(&seen["digest"]),
-            state: text(&seen["state"]),
-            here: members
+        Some(FleetView {
+            digest: text(&status["digest"]),
+            state: text(&status["state"]),
+            present: members
                 .iter()
-                .filter(here)
+                .filter(is_present)
                 .map(|m| text(&m["name"]))
                 .collect(),
             states: members
                 .iter()
                 .map(|m| (text(&m["name"]), text(&m["state"])))
                 .collect(),
-            starts: members
+            start_times: members
                 .iter()
                 .map(|m| (text(&m["name"]), m["start"].as_u64().unwrap_or(0)))
                 .collect(),
@@ -559,10 +599,10 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        (0..self.fronts.len()).for_each(|front| self.kill(front));
-        for twin in &mut self.twins {
-            let _ = twin.kill();
-            let _ = twin.wait();
+        (0..self.proxies.len()).for_each(|proxy| self.kill(proxy));
+        for process in &mut self.superseded {
+            let _ = process.kill();
+            let _ = process.wait();
         }
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,10 +1,11 @@
-//! Fleets of fronts under faults: models in one process, and processes of the program with relays between them.
+//! Fault injection into fleets of proxies: simulations in one process, and real processes with faulty links between
+//! them.
 
 #![allow(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
+    reason = "names, function sizes and documentation of this crate are still being revised"
 )]
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -20,13 +21,13 @@
 pub mod serving;
 pub mod shared;
 
-/// What the n-th front is called, in models and as a process.
-pub fn name(front: usize) -> String {
-    format!("front-{front}")
+/// Name of the proxy with this number, the same in simulations and for processes.
+pub fn proxy_name(proxy: usize) -> String {
+    format!("front-{proxy}")
 }
 
-/// Since the Unix epoch, by this machine's clock.
-pub fn unix() -> Duration {
+/// Time since the Unix epoch by the system clock.
+pub fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,10 +1,10 @@
-//! Plays scripts of faults against processes of the program.
+//! Command line of the fault-injection tool: plays scripts of faults against processes of the program.
 
 #![allow(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
+    reason = "names, function sizes and documentation of this crate are still being revised"
 )]
 
 use clap::{Parser, Subcommand};
@@ -19,41 +19,41 @@
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
-/// Starts fleets of meadowrill on loopback, breaks things between them, and checks what they make of it
+/// Starts fleets of meadowrill on loopback, injects faults, and checks how the fleets react
 #[derive(Debug, Parser)]
 #[command(name = "meadowrill-rig", version)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    subcommand: Subcommands,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
-    /// Play scripts, one after the other
+enum Subcommands {
+    /// Play scripts one after the other
     Play {
         files: Vec<PathBuf>,
-        /// Where what a failed run leaves behind is put
+        /// Folder for the logs and the timeline of each failed run
         #[arg(long, default_value = "rig-failures")]
         keep: PathBuf,
-        /// For builds with the feature `mutants`: the fault to play with
+        /// Mutant to activate, in builds with the feature `mutants`
         #[arg(long)]
         mutant: Option<String>,
-        /// A program built from an earlier version, for scripts that say `older`
+        /// Program of an earlier version, for scripts with the line `older`
         #[arg(long)]
         older: Option<PathBuf>,
     },
-    /// Play broken builds, each with the script that has to fail with it; needs a build with the feature `mutants`
+    /// Play each mutant with the script that has to fail for it; needs a build with the feature `mutants`
     Mutants {
-        /// Lines of a fault and a script beside the list
+        /// File with one mutant and one script per line; the scripts lie in the same folder
         #[arg(default_value = "crates/fault-injection/scripts/mutants.list")]
         list: PathBuf,
     },
-    /// Run the shared state in one process, by seeds: fails with the first thing that does not hold
+    /// Simulate the shared state in one process for each seed; fails at the first property that is violated
     Model {
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
-    /// Draw schedules by seeds and play them; one that fails is shrunk and kept
+    /// Generate random schedules from seeds and play them; one that fails is shrunk and stored
     Draw {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -64,45 +64,45 @@
         #[arg(long, default_value = "rig-failures")]
         keep: PathBuf,
     },
-    /// Distribute purges through relays to hollow subscribers under a scenario of faults, and check what they recorded
+    /// Distribute purges through relays to simulated subscribers under a fault scenario, and check what they recorded
     Events {
-        /// One of those that the library names, such as `calm` or `region-cut`
+        /// Name of a scenario, such as `calm` or `region-cut`
         scenario: String,
         #[arg(long, default_value_t = 300)]
         subscribers: usize,
-        /// Processes among which they are shared; one for each thousand if not told
+        /// Processes that share the subscribers; by default one per thousand
         #[arg(long)]
         processes: Option<usize>,
         #[arg(long, default_value_t = 8)]
         relays: usize,
-        /// Purges a second
+        /// Purges per second
         #[arg(long, default_value_t = 120)]
         rate: u32,
-        /// Seconds of `calm`
+        /// Duration of `calm` in seconds
         #[arg(long)]
         seconds: Option<u64>,
-        /// Short spans, as in tests
+        /// Use the short durations of the tests
         #[arg(long)]
         short: bool,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Subscribers that are broken on purpose
+        /// Break the subscribers on purpose in this way
         #[arg(long)]
         sabotage: Option<Sabotage>,
-        /// For builds with the feature `mutants`: the fault to play with
+        /// Mutant to activate, in builds with the feature `mutants`
         #[arg(long)]
         mutant: Option<String>,
-        /// Stands in `events { ... }` of each relay
+        /// Additional settings in `events { ... }` of each relay
         #[arg(long, default_value = "")]
         settings: String,
-        /// Where the relays' logs are put; nowhere if not told
+        /// Folder for the relays' logs; by default they are not stored
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// Hold hollow subscribers, as the driver of a run says by its standard input
+    /// Run simulated subscribers; the driver of the run controls them through standard input
     #[command(hide = true)]
     Subscribers { plan: String },
-    /// Run a program that ends when the process of that number does
+    /// Run a program that is killed when the process with this number ends
     #[command(hide = true)]
     Hold {
         parent: i32,
@@ -111,23 +111,23 @@
     },
 }
 
-fn hold(parent: i32, command: &[String]) -> ExitCode {
+fn exec_bound_to_parent(parent: i32, command: &[String]) -> ExitCode {
     use rustix::process::{getppid, set_parent_process_death_signal, Signal};
-    // Set before the look: a parent that ended in between is noticed by one or the other.
+    // The signal is set before the check, so that a parent that ends in between is noticed by one of them.
     let set = set_parent_process_death_signal(Some(Signal::KILL));
-    let there = getppid().is_some_and(|pid| pid.as_raw_nonzero().get() == parent);
-    if set.is_err() || !there || command.is_empty() {
+    let parent_is_alive = getppid().is_some_and(|pid| pid.as_raw_nonzero().get() == parent);
+    if set.is_err() || !parent_is_alive || command.is_empty() {
         return ExitCode::FAILURE;
     }
     eprintln!("{}", Command::new(&command[0]).args(&command[1..]).exec());
     ExitCode::FAILURE
 }
 
-fn subscribers(plan: &str) -> ExitCode {
-    let held = serde_json::from_str(plan)
+fn run_subscribers(plan: &str) -> ExitCode {
+    let result = serde_json::from_str(plan)
         .map_err(std::io::Error::other)
         .and_then(hold_subscribers);
-    match held {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("subscribers: {e}");
@@ -136,8 +136,8 @@
     }
 }
 
-/// Plays one run; what it found goes to standard output.
-fn events(setup: Setup) -> ExitCode {
+/// Plays one run and prints its failures and figures.
+fn run_events(setup: Setup) -> ExitCode {
     let what = format!(
         "{}, {} subscribers, seed {}",
         setup.scenario.name, setup.subscribers, setup.seed
@@ -148,9 +148,9 @@
             println!(
                 "{what}: {}",
                 if failures.is_empty() {
-                    "held"
+                    "passed"
                 } else {
-                    "did NOT hold"
+                    "FAILED"
                 }
             );
             failures.iter().for_each(|failure| println!("  {failure}"));
@@ -167,64 +167,64 @@
     }
 }
 
-/// How many broken builds were not found.
-fn mutants(list: &Path, here: &Path) -> std::io::Result<u32> {
-    let mut missed = 0;
+/// Plays all mutants of the list and returns how many were not detected.
+fn run_mutants(list: &Path, rig_program: &Path) -> std::io::Result<u32> {
+    let mut undetected = 0;
     for line in std::fs::read_to_string(list)?
         .lines()
         .filter(|line| !line.starts_with('#'))
     {
         let (mutant, script) = line.split_once(' ').unwrap_or((line, ""));
         if script == "model" {
-            let told = Command::new(here)
+            let output = Command::new(rig_program)
                 .arg("model")
                 .env("MEADOWRILL_MUTANT", mutant)
                 .output()?;
-            let said = String::from_utf8_lossy(&told.stdout).trim().to_string();
-            missed += u32::from(told.status.success());
-            let found = if told.status.success() {
-                "NOT found"
+            let report = String::from_utf8_lossy(&output.stdout).trim().to_string();
+            undetected += u32::from(output.status.success());
+            let verdict = if output.status.success() {
+                "NOT detected"
             } else {
-                "found"
+                "detected"
             };
-            println!("{mutant}: {found} by {script}: {said}");
+            println!("{mutant}: {verdict} by {script}: {report}");
             continue;
         }
         let text = std::fs::read_to_string(list.with_file_name(format!("{script}.txt")))?;
         let tools = Tools {
             mutant: Some(mutant.into()),
-            ..Tools::beside(here)
+            ..Tools::beside(rig_program)
         };
         match play(&text, &tools) {
-            Err(failed) if !failed.text.starts_with('+') => {
+            Err(failure) if !failure.step.starts_with('+') => {
                 println!(
-                    "{mutant}: found by {script}, line {}: {}: {}",
-                    failed.line, failed.text, failed.why
+                    "{mutant}: detected by {script}, line {}: {}: {}",
+                    failure.line, failure.step, failure.reason
                 );
             }
-            Err(failed) => {
-                missed += 1;
+            Err(failure) => {
+                undetected += 1;
                 println!(
                     "{mutant}: {script} could not be played: {}: {}",
-                    failed.text, failed.why
+                    failure.step, failure.reason
                 );
             }
             Ok(_) => {
-                missed += 1;
-                println!("{mutant}: NOT found by {script}");
+                undetected += 1;
+                println!("{mutant}: NOT detected by {script}");
             }
         }
     }
-    Ok(missed)
+    Ok(undetected)
 }
 
 fn main() -> ExitCode {
-    let here = std::env::current_exe().unwrap_or_default();
-    let mut bad = 0;
-    match Cli::parse().what {
-        What::Hold { parent, command } => return hold(parent, &command),
-        What::Subscribers { plan } => return subscribers(&plan),
-        What::Events {
+    let rig_program = std::env::current_exe().unwrap_or_default();
+    let mut failure_count = 0;
+    match Cli::parse().subcommand {
+        Subcommands::Hold { parent, command } => return exec_bound_to_parent(parent, &command),
+        Subcommands::Subscribers { plan } => return run_subscribers(&plan),
+        Subcommands::Events {
             scenario,
             subscribers,
             processes,
@@ -246,7 +246,7 @@
             if let Some(seconds) = seconds {
                 scenario.calm_after = Duration::from_secs(seconds);
             }
-            let mut setup = Setup::new(subscribers, scenario, &here);
+            let mut setup = Setup::new(subscribers, scenario, &rig_program);
             setup.processes = processes.unwrap_or(setup.processes);
             setup = Setup {
                 relays,
@@ -261,9 +261,9 @@
                 keep,
                 ..setup
             };
-            return events(setup);
+            return run_events(setup);
         }
-        What::Play {
+        Subcommands::Play {
             files,
             keep,
             mutant,
@@ -271,52 +271,53 @@
         } => {
             for file in files {
                 let stem = file.file_stem().unwrap_or_default().to_os_string();
-                let (keep, mutant, older) = (Some(keep.join(stem)), mutant.clone(), older.clone());
+                let (artifact_dir, mutant, older) =
+                    (Some(keep.join(stem)), mutant.clone(), older.clone());
                 let tools = Tools {
-                    keep,
+                    artifact_dir,
                     mutant,
                     older,
-                    ..Tools::beside(&here)
+                    ..Tools::beside(&rig_program)
                 };
-                let played = std::fs::read_to_string(&file).map(|text| play(&text, &tools));
-                match played {
+                let result = std::fs::read_to_string(&file).map(|text| play(&text, &tools));
+                match result {
                     Ok(Ok(figures)) => {
-                        println!("{}: held", file.display());
+                        println!("{}: passed", file.display());
                         figures
                             .iter()
                             .for_each(|(what, figure)| println!("  {what}: {figure:.3}"));
                     }
-                    Ok(Err(failed)) => {
-                        bad += 1;
+                    Ok(Err(failure)) => {
+                        failure_count += 1;
                         println!(
                             "{}, line {}: {}: {}",
                             file.display(),
-                            failed.line,
-                            failed.text,
-                            failed.why
+                            failure.line,
+                            failure.step,
+                            failure.reason
                         );
                     }
                     Err(e) => {
-                        bad += 1;
+                        failure_count += 1;
                         println!("{}: {e}", file.display());
                     }
                 }
             }
         }
-        What::Mutants { list } => match mutants(&list, &here) {
-            Ok(missed) => bad += missed,
+        Subcommands::Mutants { list } => match run_mutants(&list, &rig_program) {
+            Ok(undetected) => failure_count += undetected,
             Err(e) => {
-                bad += 1;
+                failure_count += 1;
                 println!("{}: {e}", list.display());
             }
         },
-        What::Model { seeds } => {
-            if let Some(wrong) = first_wrong(seeds) {
-                bad += 1;
-                println!("{wrong}");
+        Subcommands::Model { seeds } => {
+            if let Some(violation) = first_wrong(seeds) {
+                failure_count += 1;
+                println!("{violation}");
             }
         }
-        What::Draw {
+        Subcommands::Draw {
             seed,
             runs,
             fronts,
@@ -325,29 +326,29 @@
             for seed in seed..seed + runs {
                 let text = draw(seed, fronts);
                 let tools = Tools {
-                    keep: Some(keep.join(seed.to_string())),
-                    ..Tools::beside(&here)
+                    artifact_dir: Some(keep.join(seed.to_string())),
+                    ..Tools::beside(&rig_program)
                 };
-                let Err(failed) = play(&text, &tools) else {
-                    println!("seed {seed}: held");
+                let Err(failure) = play(&text, &tools) else {
+                    println!("seed {seed}: passed");
                     continue;
                 };
-                bad += 1;
+                failure_count += 1;
                 println!(
                     "seed {seed}, line {}: {}: {}",
-                    failed.line, failed.text, failed.why
+                    failure.line, failure.step, failure.reason
                 );
-                let quiet = Tools::beside(&here);
-                let short = shrink(&text, |text| play(text, &quiet).is_err());
+                let tools_without_artifacts = Tools::beside(&rig_program);
+                let short = shrink(&text, |text| play(text, &tools_without_artifacts).is_err());
                 let at = keep.join(format!("{seed}.txt"));
                 match std::fs::write(&at, &short) {
-                    Ok(()) => println!("shrunk, in {}:\n{short}", at.display()),
+                    Ok(()) => println!("shrunk to {}:\n{short}", at.display()),
                     Err(e) => println!("{}: {e}\n{short}", at.display()),
                 }
             }
         }
     }
-    if bad == 0 {
+    if failure_count == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/fault-injection/src/model.rs
+++ b/crates/fault-injection/src/model.rs
@@ -1,7 +1,7 @@
 //! A fleet in one process: real views, a network that loses, delays, doubles and cuts, processes that die, pause and
 //! start again; by seed, on a clock of its own. What sockets cannot reach in size or in number of runs.
 
-use crate::name;
+use crate::proxy_name;
 use meadowrill_membership::claim::MemberState;
 use meadowrill_membership::settings::{FleetSettings, SECOND};
 use meadowrill_membership::view::{Action, Change, MemberIdentity, View};
@@ -182,7 +182,7 @@
             plan.use_streams = config.streams;
             plan.zone = format!("zone-{}", n % 4);
             let me = MemberIdentity {
-                name: name(n),
+                name: proxy_name(n),
                 version: "0.1.0".into(),
                 start,
             };
@@ -451,7 +451,7 @@
         let side = |n: usize| self.sides.as_ref().map_or(0, |s| s[n]);
         let runs: Vec<(usize, String)> = (0..self.nodes.len())
             .filter(|n| self.runs(*n))
-            .map(|n| (n, name(n)))
+            .map(|n| (n, proxy_name(n)))
             .collect();
         runs.iter().all(|(n, _)| {
             let Some(peer) = &self.nodes[*n].peer else {
@@ -471,7 +471,7 @@
 
     /// Whether none that runs holds this one to be there.
     pub fn gone(&self, n: usize) -> bool {
-        let gone = name(n);
+        let gone = proxy_name(n);
         self.nodes
             .iter()
             .filter_map(|node| node.peer.as_ref())
--- a/crates/fault-injection/src/serving.rs
+++ b/crates/fault-injection/src/serving.rs
@@ -1,5 +1,5 @@
-//! Clients beside the faults: each asks one lookup after the other at some front, and goes to another where it gets no
-//! connection. What each asked and got is counted.
+//! Clients that send lookups during the faults. Each client sends one lookup after the other to one proxy, and goes to
+//! another proxy when it gets no connection. Requests and responses are counted.
 
 use meadowrill_test_servers::{ask, frame};
 use std::io::{ErrorKind, Read, Write};
@@ -9,48 +9,56 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-pub const ANSWER: u8 = 66;
-const PATIENCE: Duration = Duration::from_secs(4);
-const CONNECT: Duration = Duration::from_millis(300);
+/// Frame kind of a response.
+pub const RESPONSE_FRAME: u8 = 66;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// Requests of all clients, by outcome.
 #[derive(Debug, Default)]
 pub struct Counts {
-    pub asked: AtomicU64,
+    pub sent: AtomicU64,
     pub satisfied: AtomicU64,
-    pub nacked: AtomicU64,
+    pub rejected: AtomicU64,
     pub failed: AtomicU64,
-    /// The connection ended before the answer, and how many of these were at a front that was then brought down.
-    pub lost: AtomicU64,
-    /// No whole answer within the client's time.
-    pub late: AtomicU64,
-    /// A second answer to one lookup, or one to none.
-    pub twice: AtomicU64,
+    /// The connection ended before the response.
+    pub connection_lost: AtomicU64,
+    /// No complete response arrived within the client's time limit.
+    pub timed_out: AtomicU64,
+    /// Responses that belong to no open lookup, such as a second response to one.
+    pub unexpected: AtomicU64,
 }
 
+/// Running clients, which stop when this is dropped.
 pub struct Clients {
     pub counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    pub fn start(many: usize, doors: Vec<SocketAddr>, each: Duration) -> Clients {
-        let (counts, over) = (Arc::<Counts>::default(), Arc::new(AtomicBool::new(false)));
-        let threads = (0..many)
-            .map(|n| {
-                let (counts, over, doors) = (Arc::clone(&counts), Arc::clone(&over), doors.clone());
-                thread::spawn(move || client(n, &doors, each, &counts, &over))
+    /// Starts clients that pause after each lookup for half to one and a half of `mean_pause`.
+    pub fn start(client_count: usize, proxies: Vec<SocketAddr>, mean_pause: Duration) -> Clients {
+        let (counts, stopping) = (Arc::<Counts>::default(), Arc::new(AtomicBool::new(false)));
+        let threads = (0..client_count)
+            .map(|client_number| {
+                let (counts, stopping, proxies) =
+                    (Arc::clone(&counts), Arc::clone(&stopping), proxies.clone());
+                thread::spawn(move || {
+                    run_client(client_number, &proxies, mean_pause, &counts, &stopping)
+                })
             })
             .collect();
         Clients {
             counts,
-            over,
+            stopping,
             threads,
         }
     }
 
-    pub fn end(&mut self) {
-        self.over.store(true, Relaxed);
+    /// Stops all clients and waits for their last requests.
+    pub fn stop(&mut self) {
+        self.stopping.store(true, Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -59,86 +67,107 @@
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
 
-fn client(n: usize, doors: &[SocketAddr], each: Duration, counts: &Counts, over: &AtomicBool) {
-    let mut rng = fastrand::Rng::with_seed(n as u64);
-    let (mut stream, mut at) = (None::<TcpStream>, n % doors.len());
-    let mut number = 0u32;
-    while !over.load(Relaxed) {
-        let Some(open) = stream.as_mut() else {
-            match TcpStream::connect_timeout(&doors[at], CONNECT) {
-                Ok(mut open) => {
-                    let _ = open.set_nodelay(true);
-                    let _ = open.set_read_timeout(Some(PATIENCE));
-                    // Clients take in a front once it says that it is ready: before that it may not know of purges.
-                    let ready = open
+fn run_client(
+    client_number: usize,
+    proxies: &[SocketAddr],
+    mean_pause: Duration,
+    counts: &Counts,
+    stopping: &AtomicBool,
+) {
+    let mut rng = fastrand::Rng::with_seed(client_number as u64);
+    let (mut stream, mut proxy) = (None::<TcpStream>, client_number % proxies.len());
+    let mut request_number = 0u32;
+    while !stopping.load(Relaxed) {
+        let Some(connection) = stream.as_mut() else {
+            match TcpStream::connect_timeout(&proxies[proxy], CONNECT_TIMEOUT) {
+                Ok(mut connection) => {
+                    let _ = connection.set_nodelay(true);
+                    let _ = connection.set_read_timeout(Some(RESPONSE_TIMEOUT));
+                    // A client uses a proxy only once it reports that it is ready: before that it may lack purges.
+                    let ready = connection
                         .write_all(&frame(80, 0, &[0]))
-                        .and_then(|()| answer(&mut open));
+                        .and_then(|()| read_frame(&mut connection));
                     match ready {
-                        Ok((81, _, 0)) => stream = Some(open),
+                        Ok((81, _, 0)) => stream = Some(connection),
                         _ => {
                             thread::sleep(Duration::from_millis(20));
-                            at = rng.usize(0..doors.len());
+                            proxy = rng.usize(0..proxies.len());
                         }
                     }
                 }
-                // Nothing was asked yet: the client goes to another front.
-                Err(_) => at = rng.usize(0..doors.len()),
+                // No request was sent yet, so the client goes to another proxy.
+                Err(_) => proxy = rng.usize(0..proxies.len()),
             }
             continue;
         };
-        number += 1;
-        counts.asked.fetch_add(1, Relaxed);
+        request_number += 1;
+        counts.sent.fetch_add(1, Relaxed);
         let (txn, item) = (
-            format!("{n:08x}{number:08x}"),
+            format!("{client_number:08x}{request_number:08x}"),
             format!("{:016x}", rng.u64(0..400)),
         );
         let request = ask(
-            number,
+            request_number,
             "map",
             &[("txn", &txn), ("item", &item), ("slice", "0")],
             b"",
         );
-        let got = open.write_all(&request).and_then(|()| answer(open));
-        match got {
-            Ok((kind, of, code)) if kind == ANSWER && of == number => match code {
-                0 => counts.satisfied.fetch_add(1, Relaxed),
-                11 => counts.nacked.fetch_add(1, Relaxed),
-                _ => counts.failed.fetch_add(1, Relaxed),
-            },
-            // The front parts; what was asked meanwhile is still answered.
+        let response = connection
+            .write_all(&request)
+            .and_then(|()| read_frame(connection));
+        match response {
+            Ok((kind, stream_id, code))
+                if kind == RESPONSE_FRAME && stream_id == request_number =>
+            {
+                match code {
+                    0 => counts.satisfied.fetch_add(1, Relaxed),
+                    11 => counts.rejected.fetch_add(1, Relaxed),
+                    _ => counts.failed.fetch_add(1, Relaxed),
+                }
+            }
+            // The proxy is leaving, but it still answers the request that crossed its notice.
             Ok((90, ..)) => {
-                let rest = answer(open);
-                let good = matches!(rest, Ok((ANSWER, of, _)) if of == number);
-                let count = if good {
+                let next_frame = read_frame(connection);
+                let answered = matches!(next_frame, Ok((RESPONSE_FRAME, stream_id, _)) if stream_id == request_number);
+                let count = if answered {
                     &counts.satisfied
                 } else {
-                    &counts.lost
+                    &counts.connection_lost
                 };
                 stream = None;
-                at = rng.usize(0..doors.len());
+                proxy = rng.usize(0..proxies.len());
                 count.fetch_add(1, Relaxed)
             }
-            Ok(_) => counts.twice.fetch_add(1, Relaxed),
+            Ok(_) => counts.unexpected.fetch_add(1, Relaxed),
             Err(e) => {
-                let late = matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
+                let timed_out = matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
                 stream = None;
-                at = rng.usize(0..doors.len());
-                if late { &counts.late } else { &counts.lost }.fetch_add(1, Relaxed)
+                proxy = rng.usize(0..proxies.len());
+                if timed_out {
+                    &counts.timed_out
+                } else {
+                    &counts.connection_lost
+                }
+                .fetch_add(1, Relaxed)
             }
         };
-        let until = Instant::now() + each.mul_f64(0.5 + rng.f64());
-        while Instant::now() < until && !over.load(Relaxed) {
+        let next_request_at = Instant::now() + mean_pause.mul_f64(0.5 + rng.f64());
+        while Instant::now() < next_request_at && !stopping.load(Relaxed) {
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-/// Kind, stream and code of the next frame.
-pub fn answer(stream: &mut TcpStream) -> std::io::Result<(u8, u32, u8)> {
+/// Reads the next frame and returns its kind, its stream identifier and its code.
+///
+/// # Errors
+///
+/// If the connection ends, the read times out or the length of the frame is not valid.
+pub fn read_frame(stream: &mut TcpStream) -> std::io::Result<(u8, u32, u8)> {
     let mut head = [0; 9];
     stream.read_exact(&mut head)?;
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -147,6 +176,10 @@
     }
     let mut payload = vec![0; length - 5];
     stream.read_exact(&mut payload)?;
-    let of = u32::from_le_bytes([head[5], head[6], head[7], head[8]]);
-    Ok((head[4], of, payload.first().copied().unwrap_or(u8::MAX)))
+    let stream_id = u32::from_le_bytes([head[5], head[6], head[7], head[8]]);
+    Ok((
+        head[4],
+        stream_id,
+        payload.first().copied().unwrap_or(u8::MAX),
+    ))
 }
--- a/crates/fault-injection/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -2,7 +2,7 @@
 //! an origin that drops repeats for a while, and clients that come again elsewhere; by seed, on a clock of its own. The
 //! view of the fleet is played by what each could reach lately.
 
-use crate::name;
+use crate::proxy_name;
 use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
 use meadowrill_replication::map::Map;
 use meadowrill_replication::record_type::RecordType;
@@ -135,7 +135,7 @@
         let start = self.now as u64;
         let replica = Replica::new(
             self.plan.clone(),
-            &name(n),
+            &proxy_name(n),
             start,
             self.now,
             self.seed ^ n as u64,
@@ -359,7 +359,7 @@
             }
         }
         let peer = |(m, at): (&usize, &Micros)| Peer {
-            name: name(*m),
+            name: proxy_name(*m),
             incarnation: self.nodes[*m].start,
             alive: now < *at + DEAD,
             left: false,
