--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -138,7 +138,7 @@
 
 /// Plays one run and prints its failures and figures.
 fn run_events(setup: Setup) -> ExitCode {
-    let what = format!(
+    let description = format!(
         "{}, {} subscribers, seed {}",
         setup.scenario.name, setup.subscribers, setup.seed
     );
@@ -146,7 +146,7 @@
         Ok(outcome) => {
             let failures = outcome.failures();
             println!(
-                "{what}: {}",
+                "{description}: {}",
                 if failures.is_empty() {
                     "passed"
                 } else {
@@ -161,7 +161,7 @@
             ExitCode::from(u8::from(!failures.is_empty()))
         }
         Err(e) => {
-            println!("{what}: could not be played: {e}");
+            println!("{description}: could not be played: {e}");
             ExitCode::FAILURE
         }
     }
@@ -283,9 +283,9 @@
                 match result {
                     Ok(Ok(figures)) => {
                         println!("{}: passed", file.display());
-                        figures
-                            .iter()
-                            .for_each(|(what, figure)| println!("  {what}: {figure:.3}"));
+                        figures.iter().for_each(|(description, figure)| {
+                            println!("  {description}: {figure:.3}")
+                        });
                     }
                     Ok(Err(failure)) => {
                         failure_count += 1;
@@ -340,10 +340,10 @@
                 );
                 let tools_without_artifacts = Tools::beside(&rig_program);
                 let short = shrink(&text, |text| play(text, &tools_without_artifacts).is_err());
-                let at = keep.join(format!("{seed}.txt"));
-                match std::fs::write(&at, &short) {
-                    Ok(()) => println!("shrunk to {}:\n{short}", at.display()),
-                    Err(e) => println!("{}: {e}\n{short}", at.display()),
+                let path = keep.join(format!("{seed}.txt"));
+                match std::fs::write(&path, &short) {
+                    Ok(()) => println!("shrunk to {}:\n{short}", path.display()),
+                    Err(e) => println!("{}: {e}\n{short}", path.display()),
                 }
             }
         }
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -20,7 +20,8 @@
 //! - `expect leased WHO within S` and `expect unleased WHO within S`: proxies hold a relay's lease, or none.
 //! - `expect same [urgent] within S` (all proxies hold the same shared state, or the same purges, machines and
 //!   effects), `expect vouching within S` (all can vote on effects), `expect once [N]` (at most N keys ran twice at the
-//!   origin), `expect purged` (no request accepted an older copy half a second after a purge, or 2.9 s with relays), `expect drained CACHE`.
+//!   origin), `expect purged` (no request accepted an older copy half a second after a purge, or 2.9 s with relays),
+//!   `expect drained CACHE`.
 //! - `expect settled within S`, `expect dead WHO within S` (in all other running proxies' views), `expect known WHO
 //!   within S` (the latest start is in all other views), `expect nobody dead [but WHO]`, `expect swings N` (at most N
 //!   changes of member states), `expect served SHARE` (of the clients' requests, at least), `expect streamed N` (bytes
@@ -48,6 +49,7 @@
 /// The step or expectation that failed.
 #[derive(Clone, Debug)]
 pub struct StepFailure {
+    /// Line number in the script; 0 if the fleet could not be set up.
     pub line: usize,
     pub step: String,
     pub reason: String,
@@ -58,7 +60,9 @@
 
 /// Programs that a script runs, and where its artifacts are written.
 pub struct Tools {
+    /// The `meadowrill` executable.
     pub program: PathBuf,
+    /// The `meadowrill-rig` executable, which ends the processes when the run ends.
     pub rig_program: PathBuf,
     /// Folder in which the logs, the link counters and the timeline of a failed run are written.
     pub artifact_dir: Option<PathBuf>,
@@ -99,6 +103,7 @@
     figures: Figures,
 }
 
+/// Counters in the order of requests sent, satisfied, rejected, cut off and timed out, and unexpected responses.
 fn load_counts(counts: &Counts) -> [u64; 6] {
     let all = [
         &counts.sent,
@@ -203,6 +208,7 @@
 }
 
 impl ScriptRun {
+    /// Member numbers that a WHO of the script names.
     fn select_members(&self, words: &str) -> Result<Vec<usize>, String> {
         let proxy_count = self.fleet.options.proxies;
         if words == "all" {
--- a/crates/fault-injection/tests/model.rs
+++ b/crates/fault-injection/tests/model.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of real membership views in one process, by seed: starts, deaths, splits, pauses, lost and corrupted
-//! datagrams.
+//! Simulated fleets of real membership views in one process, by seed: starts, deaths, splits, pauses, lost and
+//! corrupted datagrams.
 
 use meadowrill_fault_injection::model::{Config, Fleet, Network};
 use meadowrill_fault_injection::proxy_name;
--- a/crates/fault-injection/tests/processes.rs
+++ b/crates/fault-injection/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Fleets of processes under faults: each test plays one file of the folder `scripts`. The program has to be built before,
-//! which a test of the whole workspace does.
+//! Fleets of processes under faults: each test plays one file of the folder `scripts`. The program has to be built
+//! before, which a test of the whole workspace does.
 
 use meadowrill_fault_injection::script::{play, Tools};
 use std::path::Path;
