--- a/crates/fault-injection/src/events.rs
+++ b/crates/fault-injection/src/events.rs
@@ -1,9 +1,10 @@
-//! The distribution of numbered events at the size of a fleet: relays as processes of the program, hollow subscribers on
-//! real sockets, faults between them, and checks of what was recorded.
+//! Tests of event distribution at the size of a fleet: relays run as processes of the program, simulated subscribers
+//! use real sockets, faults are injected between them, and the records of the subscribers are checked.
 //!
-//! The driver ([`run`]) tells purges to a stand-in journal service, which one relay publishes; it asks that relay, again
-//! and again, up to where all is done. Each hollow subscriber records when it applied what and when it held a lease. All
-//! processes read one clock, so the checks compare the records with what the publisher said.
+//! The driver ([`run`]) issues purges through a test journal service. One relay, the publisher, follows that service.
+//! The driver polls the publisher for the number of purges that are done, that is, in force everywhere. Each simulated
+//! subscriber records when it applied each purge and when it held a lease. All processes read one clock, so the checks
+//! can compare the records with the answers of the publisher.
 
 pub mod check;
 pub mod clock;
@@ -11,14 +12,14 @@
 pub mod done;
 pub mod faults;
 pub mod groups;
-pub mod hollow;
 pub mod layout;
 pub mod numbering;
 pub mod outcome;
 pub mod protocol;
+pub mod purge_generator;
 pub mod record;
 pub mod relays;
 pub mod run;
 pub mod scenario;
+pub mod simulated_subscriber;
 pub mod subscribers;
-pub mod teller;
--- a/crates/fault-injection/src/events/check.rs
+++ b/crates/fault-injection/src/events/check.rs
@@ -1,42 +1,49 @@
-//! What has to hold of every purge at every subscriber, judged from what was recorded, never from how it came about.
+//! Checks of every purge at every subscriber. They use the records only, never the internal state of relays and
+//! subscribers.
 
-use super::record::{Life, Span};
+use super::record::{IncarnationRecord, Span};
 use meadowrill_event_distribution::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Buckets of one millisecond; the last one takes all that is later.
+/// Buckets of one millisecond; the last one also counts everything later.
 const LAG_BUCKETS: usize = 4_000;
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// When one purge was told to the journal service's followers, and when the publisher first said that it is done. A
-/// purge's stamp is when it was told.
+/// When the journal service issued a purge, and when the publisher first reported it as done. The issue time is also
+/// the purge's stamp.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct PurgeTimes {
-    pub told: Micros,
-    pub done: Option<Micros>,
+    /// When the purge was issued.
+    #[serde(rename = "told")]
+    pub issued_at: Micros,
+    /// When the publisher first reported the purge as done, if it did.
+    #[serde(rename = "done")]
+    pub done_at: Option<Micros>,
 }
 
-/// The driver's side of a run.
+/// The driver's data of a run, which the records of subscribers are checked against.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Timeline {
-    /// By the purge's number.
+    /// All purges, by their numbers.
     pub purges: Vec<PurgeTimes>,
-    /// A purge has to be in force so long after it was told.
+    /// Longest time from the issue of a purge until it has to be in force.
     pub done_within: Micros,
-    /// The age of copies that is allowed without a lease.
-    pub copy_age: Micros,
-    /// When recording ended.
+    /// Oldest copies that may be served without a lease.
+    #[serde(rename = "copy_age")]
+    pub max_copy_age: Micros,
+    /// The end of the run; a lease that is held then requires every purge.
     pub end: Micros,
 }
 
-/// How late purges were applied by those that held a lease, in milliseconds.
+/// Histogram of the times, in milliseconds, from the issue of a purge until a subscriber applied it. Only
+/// subscribers that held a lease when the purge was issued are counted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Lags {
     counts: Vec<u64>,
 }
 
 impl Lags {
-    fn add(&mut self, lag: Micros) {
+    fn record_lag(&mut self, lag: Micros) {
         let bucket = usize::try_from(lag / MICROS_PER_MILLI)
             .unwrap_or(0)
             .min(LAG_BUCKETS - 1);
@@ -46,6 +53,7 @@
         self.counts[bucket] += 1;
     }
 
+    /// Adds the counts of another histogram.
     pub fn merge(&mut self, other: &Lags) {
         if other.counts.len() > self.counts.len() {
             self.counts.resize(other.counts.len(), 0);
@@ -55,7 +63,7 @@
         }
     }
 
-    /// In milliseconds, rounded up; none of nothing.
+    /// The lag in milliseconds, rounded up, at this share of all entries; `None` of an empty histogram.
     pub fn quantile(&self, share: f64) -> Option<u64> {
         let all: u64 = self.counts.iter().sum();
         let rank = ((all as f64 * share).ceil() as u64).max(1);
@@ -67,39 +75,46 @@
     }
 }
 
-/// What did not hold, counted by purge and life.
+/// Violations, counted for each purge and incarnation of a subscriber.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Findings {
-    /// A lease is held at the end, and the purge was not applied.
+    /// A lease was held at the end of the run, and the purge was not in force.
     pub lost: u64,
-    /// A lease was held later than `done_within` after the purge was told, and it was not in force.
-    pub unheard: u64,
-    /// A lease was held after the publisher had said that the purge is done, and it was not in force.
-    pub done_untrue: u64,
-    /// The publisher said that it is done while one without a lease lacked it whose copies may have been from before.
+    /// A lease was held later than `done_within` after the issue of the purge, and the purge was not in force.
+    #[serde(rename = "unheard")]
+    pub overdue: u64,
+    /// A lease was held after the publisher had reported the purge as done, and the purge was not in force.
+    #[serde(rename = "done_untrue")]
+    pub done_not_in_force: u64,
+    /// The publisher reported the purge as done while a subscriber without a lease lacked it and could still serve
+    /// copies from before the purge.
     pub done_too_soon: u64,
-    /// Purges that nobody told; moments without a lease and without a bound on the age of copies.
+    /// Purges received that cannot be of the run: purges of a group, or of an object id that encodes no valid number.
     pub unknown: u64,
+    /// Observations without a lease and without a bound on the age of copies.
     pub unbounded: u64,
-    /// The first of them, in words.
+    /// A description of the first violation.
     pub first: Option<String>,
+    /// How long subscribers took to apply purges.
     pub lags: Lags,
 }
 
 impl Findings {
-    pub fn wrong(&self) -> u64 {
+    /// The number of all violations.
+    pub fn violations(&self) -> u64 {
         self.lost
-            + self.unheard
-            + self.done_untrue
+            + self.overdue
+            + self.done_not_in_force
             + self.done_too_soon
             + self.unknown
             + self.unbounded
     }
 
+    /// Adds the findings of another group of subscribers.
     pub fn merge(&mut self, other: &Findings) {
         self.lost += other.lost;
-        self.unheard += other.unheard;
-        self.done_untrue += other.done_untrue;
+        self.overdue += other.overdue;
+        self.done_not_in_force += other.done_not_in_force;
         self.done_too_soon += other.done_too_soon;
         self.unknown += other.unknown;
         self.unbounded += other.unbounded;
@@ -107,73 +122,94 @@
         self.lags.merge(&other.lags);
     }
 
-    fn note(&mut self, what: impl FnOnce() -> String) {
+    fn describe_first(&mut self, description: impl FnOnce() -> String) {
         if self.first.is_none() {
-            self.first = Some(what());
+            self.first = Some(description());
         }
     }
 }
 
-/// Judges one life of the subscriber of that name.
-pub fn check_life(name: &str, life: &Life, timeline: &Timeline, findings: &mut Findings) {
-    findings.unknown += life.unknown;
-    findings.unbounded += life.unbounded;
-    if life.unknown + life.unbounded > 0 {
-        findings.note(|| {
+/// Checks one incarnation of the subscriber with this name.
+pub fn check_incarnation(
+    name: &str,
+    record: &IncarnationRecord,
+    timeline: &Timeline,
+    findings: &mut Findings,
+) {
+    findings.unknown += record.unknown_purges;
+    findings.unbounded += record.unbounded_observations;
+    if record.unknown_purges + record.unbounded_observations > 0 {
+        findings.describe_first(|| {
             format!(
-                "{name}: {} unknown purges, {} times unbounded",
-                life.unknown, life.unbounded
+                "{name}: {} unknown purges, {} times without a lease and an age bound",
+                record.unknown_purges, record.unbounded_observations
             )
         });
     }
     for (number, purge) in timeline.purges.iter().enumerate() {
-        check_purge(name, life, number, purge, timeline, findings);
+        check_purge(name, record, number, purge, timeline, findings);
     }
 }
 
 fn check_purge(
     name: &str,
-    life: &Life,
+    record: &IncarnationRecord,
     number: usize,
     purge: &PurgeTimes,
     timeline: &Timeline,
     findings: &mut Findings,
 ) {
-    let end = life.ended.unwrap_or(timeline.end);
-    if purge.told >= end {
+    let end = record.ended_at.unwrap_or(timeline.end);
+    if purge.issued_at >= end {
         return;
     }
-    let in_force = life.in_force(number, purge.told);
-    if let Some(at) = life.applied(number).filter(|_| life.leased_at(purge.told)) {
-        findings.lags.add(at - purge.told);
+    let in_force = record.in_force_since(number, purge.issued_at);
+    if let Some(at) = record
+        .applied_at(number)
+        .filter(|_| record.leased_at(purge.issued_at))
+    {
+        findings.lags.record_lag(at - purge.issued_at);
     }
-    if in_force.is_none() && life.ended.is_none() && life.leased_at(timeline.end) {
+    if in_force.is_none() && record.ended_at.is_none() && record.leased_at(timeline.end) {
         findings.lost += 1;
-        findings.note(|| format!("{name}: purge {number} lost, with a lease at the end"));
+        findings
+            .describe_first(|| format!("{name}: purge {number} lost: a lease was held at the end"));
     }
-    // What is recorded of a lease may be of after the end.
+    // A recorded lease may extend beyond the end.
     let until = in_force.unwrap_or(end).min(end);
-    let lacks_with_lease = |from: Micros| {
-        let lacking = Span { from, until };
-        from < until && life.leases().iter().any(|lease| lease.overlaps(lacking))
+    let leased_but_not_in_force = |from: Micros| {
+        let not_in_force = Span { from, until };
+        from < until
+            && record
+                .leases()
+                .iter()
+                .any(|lease| lease.overlaps(not_in_force))
     };
-    if lacks_with_lease(purge.told + timeline.done_within) {
-        findings.unheard += 1;
-        findings
-            .note(|| format!("{name}: purge {number} un-heard, in force {in_force:?}, {purge:?}"));
+    if leased_but_not_in_force(purge.issued_at + timeline.done_within) {
+        findings.overdue += 1;
+        findings.describe_first(|| {
+            format!("{name}: purge {number} overdue, in force {in_force:?}, {purge:?}")
+        });
     }
-    let Some(done) = purge.done else { return };
-    if lacks_with_lease(done) {
-        findings.done_untrue += 1;
-        findings.note(|| {
-            format!("{name}: purge {number} was not done, in force {in_force:?}, {purge:?}")
+    let Some(done_at) = purge.done_at else { return };
+    if leased_but_not_in_force(done_at) {
+        findings.done_not_in_force += 1;
+        findings.describe_first(|| {
+            format!(
+                "{name}: purge {number} done but not in force, in force {in_force:?}, {purge:?}"
+            )
         });
     }
-    let there = life.begun <= done && done < end;
-    let lacks = in_force.is_none_or(|at| at > done);
-    if there && lacks && !life.leased_at(done) && done - purge.told < timeline.copy_age {
+    let running = record.started_at <= done_at && done_at < end;
+    let lacks = in_force.is_none_or(|at| at > done_at);
+    if running
+        && lacks
+        && !record.leased_at(done_at)
+        && done_at - purge.issued_at < timeline.max_copy_age
+    {
         findings.done_too_soon += 1;
-        findings
-            .note(|| format!("{name}: purge {number} done before copies were too old, {purge:?}"));
+        findings.describe_first(|| {
+            format!("{name}: purge {number} done before older copies expired, {purge:?}")
+        });
     }
 }
--- a/crates/fault-injection/src/events/costs.rs
+++ b/crates/fault-injection/src/events/costs.rs
@@ -1,36 +1,43 @@
-//! What a subscriber and a relay cost, measured from outside.
+//! Resource usage of a subscriber and of a relay, measured from outside the process.
 
 use super::protocol::GroupReport;
 use super::relays::{ProcessUsage, RelayStatus};
 use meadowrill_event_distribution::settings::SECOND;
 
-/// What a process of its role costs a second, over the time of the purges.
+/// Resource usage of one member, with rates per second over the time of the purges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
+    /// Bytes sent per second, without headers.
     pub sent_bytes: f64,
+    /// Bytes received per second, without headers.
     pub received_bytes: f64,
+    /// Datagrams sent per second.
     pub sent: f64,
+    /// Datagrams received per second.
     pub received: f64,
-    /// Of one core.
+    /// Processor time as a share of one core.
     pub processor_share: f64,
+    /// Resident memory at the end.
     pub resident_bytes: f64,
 }
 
-/// Bytes of IP and UDP headers of a datagram.
+/// Bytes of the IP and UDP headers of a datagram.
 const HEADER_BYTES: f64 = 28.0;
 
 impl Costs {
-    /// With the headers of each datagram.
+    /// Bytes sent per second, with the headers of each datagram.
     pub fn sent_with_headers(&self) -> f64 {
         self.sent_bytes + self.sent * HEADER_BYTES
     }
 
+    /// Bytes received per second, with the headers of each datagram.
     pub fn received_with_headers(&self) -> f64 {
         self.received_bytes + self.received * HEADER_BYTES
     }
 }
 
 impl Costs {
+    /// Names and values of all costs; the names start with the role.
     pub fn figures(&self, role: &str) -> [(String, f64); 6] {
         [
             (
@@ -56,8 +63,8 @@
 }
 
 impl Costs {
-    /// The larger one of each.
-    pub fn dearest(&self, other: &Costs) -> Costs {
+    /// The maximum of each cost.
+    pub fn max_of_each(&self, other: &Costs) -> Costs {
         Costs {
             sent_bytes: self.sent_bytes.max(other.sent_bytes),
             received_bytes: self.received_bytes.max(other.received_bytes),
@@ -69,14 +76,16 @@
     }
 }
 
-/// Of one subscriber, on the average; its memory without what is recorded.
+/// Average costs of one subscriber. Its memory excludes the records, and the memory of the process before the first
+/// subscriber.
 pub fn subscriber_costs(before: &GroupReport, after: &GroupReport, seconds: f64) -> Costs {
-    let many = after.subscribers as f64;
-    let per_second = |before: u64, after: u64| after.saturating_sub(before) as f64 / seconds / many;
+    let count = after.subscribers as f64;
+    let per_second =
+        |before: u64, after: u64| after.saturating_sub(before) as f64 / seconds / count;
     let (first, last) = (before.traffic, after.traffic);
     let resident = after
         .resident_bytes
-        .saturating_sub(after.record_bytes + after.resident_at_first);
+        .saturating_sub(after.record_bytes + after.initial_resident_bytes);
     Costs {
         sent_bytes: per_second(first.sent_bytes, last.sent_bytes),
         received_bytes: per_second(first.received_bytes, last.received_bytes),
@@ -84,11 +93,12 @@
         received: per_second(first.received, last.received),
         processor_share: per_second(before.processor_micros, after.processor_micros)
             / SECOND as f64,
-        resident_bytes: resident as f64 / many,
+        resident_bytes: resident as f64 / count,
     }
 }
 
-/// Of one that was not started anew meanwhile; else the counters are of the time since.
+/// Costs of one relay between two samples. If the relay was restarted between them, the later counters cover only the
+/// time since the restart.
 pub fn relay_costs(
     (status, usage): &(RelayStatus, ProcessUsage),
     (status_after, usage_after): &(RelayStatus, ProcessUsage),
--- a/crates/fault-injection/src/events/done.rs
+++ b/crates/fault-injection/src/events/done.rs
@@ -1,7 +1,7 @@
-//! What the publisher says of `done`, as it is heard.
+//! Polls the publisher for the number of purges that are done, that is, in force everywhere.
 
 use super::clock::SharedClock;
-use super::relays::told_done;
+use super::relays::query_done_purges;
 use meadowrill_event_distribution::Micros;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -9,72 +9,76 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Between two questions to the publisher up to where all is done: what a time until done may be told too late by.
-pub const DONE_LOOK: Duration = Duration::from_millis(10);
+/// Interval between two polls. A measured time until a purge is done may be too long by this much.
+pub const DONE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The first moment at which the publisher was heard to say that so many purges are done.
+/// The first answer of the publisher with this number of done purges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DoneWord {
+pub struct DoneReport {
+    /// When the answer was received.
     pub at: Micros,
+    /// How many purges are done, counted from the first.
     pub purges: usize,
 }
 
-/// Asks the publisher again and again up to where all is done.
-pub struct DoneWatch {
-    over: Arc<AtomicBool>,
-    words: Arc<Mutex<Vec<DoneWord>>>,
+/// A thread that polls the publisher and stores each answer that shows progress.
+pub struct DonePoller {
+    stopping: Arc<AtomicBool>,
+    reports: Arc<Mutex<Vec<DoneReport>>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl DoneWatch {
-    pub fn start(socket: PathBuf, clock: SharedClock) -> DoneWatch {
-        let (over, words) = (
+impl DonePoller {
+    /// Starts to poll the operator socket of the publisher.
+    pub fn start(socket: PathBuf, clock: SharedClock) -> DonePoller {
+        let (stopping, reports) = (
             Arc::new(AtomicBool::new(false)),
-            Arc::<Mutex<Vec<DoneWord>>>::default(),
+            Arc::<Mutex<Vec<DoneReport>>>::default(),
         );
-        let (ended, all) = (Arc::clone(&over), Arc::clone(&words));
+        let (stop, all) = (Arc::clone(&stopping), Arc::clone(&reports));
         let thread = thread::spawn(move || {
-            while !ended.load(Relaxed) {
-                let purges = told_done(&socket);
+            while !stop.load(Relaxed) {
+                let purges = query_done_purges(&socket);
                 let at = clock.now();
                 if let (Some(purges), Ok(mut all)) = (purges, all.lock()) {
                     if all.last().is_none_or(|last| last.purges < purges) {
-                        all.push(DoneWord { at, purges });
+                        all.push(DoneReport { at, purges });
                     }
                 }
-                thread::sleep(DONE_LOOK);
+                thread::sleep(DONE_POLL_INTERVAL);
             }
         });
-        DoneWatch {
-            over,
-            words,
+        DonePoller {
+            stopping,
+            reports,
             thread: Some(thread),
         }
     }
 
-    /// How many purges are done by now.
+    /// How many purges are done, by the last answer.
     pub fn done(&self) -> usize {
-        self.words
+        self.reports
             .lock()
             .ok()
-            .and_then(|words| words.last().map(|word| word.purges))
+            .and_then(|reports| reports.last().map(|report| report.purges))
             .unwrap_or(0)
     }
 
-    pub fn end(&mut self) -> Vec<DoneWord> {
-        self.over.store(true, Relaxed);
+    /// Stops polling and returns all stored answers.
+    pub fn stop(&mut self) -> Vec<DoneReport> {
+        self.stopping.store(true, Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        self.words
+        self.reports
             .lock()
-            .map(|words| words.clone())
+            .map(|reports| reports.clone())
             .unwrap_or_default()
     }
 }
 
-impl Drop for DoneWatch {
+impl Drop for DonePoller {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
--- a/crates/fault-injection/src/events/groups.rs
+++ b/crates/fault-injection/src/events/groups.rs
@@ -1,7 +1,7 @@
-//! The driver's side of the processes of hollow subscribers.
+//! The driver's side of the processes of simulated subscribers.
 
 use super::check::{Findings, Timeline};
-use super::protocol::{Command as GroupCommand, GroupPlan, GroupReport, Reply, Return};
+use super::protocol::{Command as GroupCommand, GroupPlan, GroupReport, LeaseRecovery, Reply};
 use meadowrill_event_distribution::Micros;
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
@@ -9,8 +9,8 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Checks of many purges at many subscribers take a while.
-const ANSWER_MOST: Duration = Duration::from_secs(60);
+/// Long enough for checks of many purges at many subscribers.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct GroupProcess {
     child: Child,
@@ -18,13 +18,13 @@
 }
 
 impl GroupProcess {
-    fn start(plan: &GroupPlan, holder: &Path) -> io::Result<GroupProcess> {
+    fn start(plan: &GroupPlan, tool: &Path) -> io::Result<GroupProcess> {
         let text = serde_json::to_string(plan).map_err(io::Error::other)?;
-        let mut command = Command::new(holder);
+        let mut command = Command::new(tool);
         command
             .arg("hold")
             .arg(std::process::id().to_string())
-            .arg(holder)
+            .arg(tool)
             .args(["subscribers", &text]);
         let mut child = command
             .stdin(Stdio::piped())
@@ -33,7 +33,7 @@
         let output = child
             .stdout
             .take()
-            .ok_or_else(|| io::Error::other("no output"))?;
+            .ok_or_else(|| io::Error::other("subscriber process has no standard output"))?;
         let (sender, replies) = channel();
         std::thread::spawn(move || {
             let lines = BufReader::new(output).lines().map_while(Result::ok);
@@ -47,7 +47,7 @@
             .child
             .stdin
             .as_mut()
-            .ok_or_else(|| io::Error::other("no input"))?;
+            .ok_or_else(|| io::Error::other("subscriber process has no standard input"))?;
         input.write_all(line.as_bytes())?;
         input.flush()
     }
@@ -55,7 +55,7 @@
     fn reply(&self) -> io::Result<Reply> {
         let line = self
             .replies
-            .recv_timeout(ANSWER_MOST)
+            .recv_timeout(REPLY_TIMEOUT)
             .map_err(io::Error::other)?;
         serde_json::from_str(&line).map_err(io::Error::other)
     }
@@ -63,30 +63,30 @@
 
 impl Drop for GroupProcess {
     fn drop(&mut self) {
-        // One that has ended is what is wanted.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// All processes of hollow subscribers.
+/// All processes of simulated subscribers.
 pub struct Groups {
     processes: Vec<GroupProcess>,
 }
 
 impl Groups {
-    /// Shares the subscribers of the plan among so many processes.
-    pub fn start(plan: &GroupPlan, processes: usize, holder: &Path) -> io::Result<Groups> {
-        let border = |process: usize| plan.first + plan.many * process / processes;
+    /// Divides the subscribers of the plan among this many processes and starts them.
+    pub fn start(plan: &GroupPlan, processes: usize, tool: &Path) -> io::Result<Groups> {
+        let boundary = |process: usize| plan.first + plan.count * process / processes;
         let start = |process: usize| {
-            let (first, end) = (border(process), border(process + 1));
+            let (first, end) = (boundary(process), boundary(process + 1));
             GroupProcess::start(
                 &GroupPlan {
                     first,
-                    many: end - first,
+                    count: end - first,
                     ..plan.clone()
                 },
-                holder,
+                tool,
             )
         };
         Ok(Groups {
@@ -94,6 +94,7 @@
         })
     }
 
+    /// Sends the command to all processes.
     pub fn send(&mut self, command: &GroupCommand) -> io::Result<()> {
         let mut line = serde_json::to_string(command).map_err(io::Error::other)?;
         line.push('\n');
@@ -102,49 +103,58 @@
             .try_for_each(|process| process.send(&line))
     }
 
-    /// One reply of each; commands but these two are not answered.
+    /// Sends a report or check command and returns the reply of each process. Other commands are not answered.
     fn replies(&mut self, command: &GroupCommand) -> io::Result<Vec<Reply>> {
         self.send(command)?;
         self.processes.iter().map(GroupProcess::reply).collect()
     }
 
-    /// The sum over all processes.
+    /// The reports of all processes, added up.
     pub fn report(&mut self, purges: usize) -> io::Result<GroupReport> {
         let mut all = GroupReport::default();
         for reply in self.replies(&GroupCommand::Report { purges })? {
             match reply {
                 Reply::Report(report) => all.add(&report),
-                Reply::Checked { .. } => return Err(io::Error::other("not what was asked for")),
+                Reply::Checked { .. } => {
+                    return Err(io::Error::other(
+                        "unexpected reply from a subscriber process",
+                    ))
+                }
             }
         }
         Ok(all)
     }
 
+    /// Checks the records of all subscribers, and returns the lease recovery for each step of the scenario.
     pub fn check(
         &mut self,
         timeline: &Timeline,
-        marks: &[Micros],
-    ) -> io::Result<(Findings, Vec<Return>)> {
+        step_starts: &[Micros],
+    ) -> io::Result<(Findings, Vec<LeaseRecovery>)> {
         let command = GroupCommand::Check {
             timeline: timeline.clone(),
-            marks: marks.to_vec(),
+            step_starts: step_starts.to_vec(),
         };
-        let (mut findings, mut returns) =
-            (Findings::default(), vec![Return::default(); marks.len()]);
+        let (mut findings, mut recoveries) = (
+            Findings::default(),
+            vec![LeaseRecovery::default(); step_starts.len()],
+        );
         for reply in self.replies(&command)? {
             let Reply::Checked {
-                findings: some,
-                returns: back,
+                findings: group_findings,
+                recoveries: group_recoveries,
             } = reply
             else {
-                return Err(io::Error::other("not what was asked for"));
+                return Err(io::Error::other(
+                    "unexpected reply from a subscriber process",
+                ));
             };
-            findings.merge(&some);
-            returns
+            findings.merge(&group_findings);
+            recoveries
                 .iter_mut()
-                .zip(&back)
+                .zip(&group_recoveries)
                 .for_each(|(all, one)| all.add(one));
         }
-        Ok((findings, returns))
+        Ok((findings, recoveries))
     }
 }
--- a/crates/fault-injection/src/events/teller.rs
+++ b/crates/fault-injection/src/events/purge_generator.rs
@@ -1,4 +1,4 @@
-//! Purges at a steady rate, told by the stand-in journal service.
+//! Load generator: purges at a steady rate, issued through the test journal service.
 
 use super::clock::SharedClock;
 use super::numbering::object_of;
@@ -11,61 +11,62 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Tells purges at a steady rate until it is ended.
-pub struct Teller {
-    over: Arc<AtomicBool>,
-    told: Arc<Mutex<Vec<Micros>>>,
+/// A thread that issues purges at a steady rate until it is stopped.
+pub struct PurgeGenerator {
+    stopping: Arc<AtomicBool>,
+    issued_at: Arc<Mutex<Vec<Micros>>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Teller {
-    pub fn start(journal: Speaking, per_second: u32, clock: SharedClock) -> Teller {
-        let (over, told) = (
+impl PurgeGenerator {
+    /// Starts to issue `per_second` purges a second.
+    pub fn start(journal: Speaking, per_second: u32, clock: SharedClock) -> PurgeGenerator {
+        let (stopping, issued_at) = (
             Arc::new(AtomicBool::new(false)),
             Arc::<Mutex<Vec<Micros>>>::default(),
         );
-        let (ended, all) = (Arc::clone(&over), Arc::clone(&told));
+        let (stop, all) = (Arc::clone(&stopping), Arc::clone(&issued_at));
         let thread = thread::spawn(move || {
-            let begun = clock.now();
+            let started_at = clock.now();
             for number in 0u64.. {
-                let due = begun + number as Micros * SECOND / Micros::from(per_second);
+                let due = started_at + number as Micros * SECOND / Micros::from(per_second);
                 let wait = (due - clock.now()).max(0);
                 thread::sleep(Duration::from_micros(wait.unsigned_abs()));
-                if ended.load(Relaxed) {
+                if stop.load(Relaxed) {
                     return;
                 }
                 let now = clock.now();
                 if let Ok(mut all) = all.lock() {
                     all.push(now);
                 }
-                // Stamps of the service are in whole milliseconds.
+                // Stamps of the journal service are in whole milliseconds.
                 let stamp = now.div_euclid(MILLISECOND);
                 journal
                     .tell(json!({"expire": {"name": format!("{:016x}", object_of(number)), "stamp": stamp}}));
             }
         });
-        Teller {
-            over,
-            told,
+        PurgeGenerator {
+            stopping,
+            issued_at,
             thread: Some(thread),
         }
     }
 
-    /// When each purge was told.
-    pub fn end(&mut self) -> Vec<Micros> {
-        self.over.store(true, Relaxed);
+    /// Stops the generator and returns when each purge was issued, by its number.
+    pub fn stop(&mut self) -> Vec<Micros> {
+        self.stopping.store(true, Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        self.told
+        self.issued_at
             .lock()
-            .map(|told| told.clone())
+            .map(|issued_at| issued_at.clone())
             .unwrap_or_default()
     }
 }
 
-impl Drop for Teller {
+impl Drop for PurgeGenerator {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
--- a/crates/fault-injection/src/events/hollow.rs
+++ b/crates/fault-injection/src/events/simulated_subscriber.rs
@@ -1,10 +1,10 @@
-//! One hollow subscriber: a subscriber as it is in earnest, a socket, and a record in place of a front.
+//! One simulated subscriber: the subscriber of production, a socket, and a record in place of a proxy.
 
 use super::faults::DatagramFaults;
 use super::layout::{region_name, region_of, subscriber_name, zone_name, zone_of};
 use super::numbering::number_of;
 use super::protocol::{Sabotage, Traffic};
-use super::record::Life;
+use super::record::IncarnationRecord;
 use meadowrill_event_distribution::counters::Counters;
 use meadowrill_event_distribution::event::{Event, PurgeKey};
 use meadowrill_event_distribution::output::Output;
@@ -16,28 +16,37 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Longer than any datagram of the fleet.
-const DATAGRAM_MOST: usize = 2_048;
-/// Numbers above this are not of this run.
-const NUMBERS_MOST: u64 = 10_000_000;
-const FORGETS_ONE_IN: usize = 1_000;
-const APPLIES_LATER_BY: Micros = 3 * SECOND;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Numbers from this one on do not belong to a purge of the run.
+const PURGE_NUMBER_LIMIT: u64 = 10_000_000;
+/// [`Sabotage::ForgetsPurges`] drops purges with numbers divisible by this.
+const FORGOTTEN_PURGE_INTERVAL: usize = 1_000;
+/// Delay of [`Sabotage::AppliesLate`].
+const LATE_APPLY_DELAY: Micros = 3 * SECOND;
 
-pub struct HollowSubscriber {
+/// The subscriber, its faults and its records.
+pub struct SimulatedSubscriber {
     number: usize,
-    plan: DistributionSettings,
+    settings: DistributionSettings,
     seed: u64,
     sabotage: Option<Sabotage>,
     subscriber: Subscriber,
+    /// Another one after each restart.
     pub socket: UdpSocket,
+    /// Faults on its datagrams.
     pub faults: DatagramFaults,
+    /// Until when it does nothing, as under SIGSTOP; [`Micros::MIN`] if it is not stopped.
     pub stopped_until: Micros,
-    pub reads: bool,
+    /// Whether it reads datagrams.
+    pub is_reading: bool,
+    /// Datagrams of all incarnations.
     pub traffic: Traffic,
-    /// Datagrams that the kernel did not take.
+    /// Datagrams that the kernel did not accept.
     pub unsent: u64,
-    lives: Vec<Life>,
-    /// Counted in the lives before this one.
-    counted: Vec<Counters>,
+    /// The records of all incarnations; the last one is current.
+    records: Vec<IncarnationRecord>,
+    /// Counters of the earlier incarnations.
+    earlier_counters: Vec<Counters>,
     outputs: Vec<Output>,
 }
 
@@ -46,7 +55,7 @@
 }
 
 fn subscriber(
-    plan: &DistributionSettings,
+    settings: &DistributionSettings,
     number: usize,
     socket: &UdpSocket,
     now: Micros,
@@ -59,94 +68,103 @@
         region: region_name(region_of(number)),
         zone: zone_name(zone_of(number)),
     };
-    Ok(Subscriber::new(plan.clone(), identity, now, seed))
+    Ok(Subscriber::new(settings.clone(), identity, now, seed))
 }
 
-impl HollowSubscriber {
+impl SimulatedSubscriber {
+    /// Binds a socket and starts the subscriber.
     pub fn open(
-        plan: &DistributionSettings,
+        settings: &DistributionSettings,
         number: usize,
         now: Micros,
         seed: u64,
         sabotage: Option<Sabotage>,
-    ) -> io::Result<HollowSubscriber> {
+    ) -> io::Result<SimulatedSubscriber> {
         let socket = open_socket()?;
-        Ok(HollowSubscriber {
+        Ok(SimulatedSubscriber {
             number,
             seed,
             sabotage,
-            subscriber: subscriber(plan, number, &socket, now, seed)?,
-            plan: plan.clone(),
+            subscriber: subscriber(settings, number, &socket, now, seed)?,
+            settings: settings.clone(),
             socket,
             faults: DatagramFaults::new(seed),
             stopped_until: Micros::MIN,
-            reads: true,
+            is_reading: true,
             traffic: Traffic::default(),
             unsent: 0,
-            lives: vec![Life::begin(now)],
-            counted: Vec::new(),
+            records: vec![IncarnationRecord::start(now)],
+            earlier_counters: Vec::new(),
             outputs: Vec::new(),
         })
     }
 
-    /// Ends without a word and begins anew. The socket is another one.
+    /// Ends without notice to its relay and starts again, on another socket.
     pub fn restart(&mut self, now: Micros) -> io::Result<()> {
-        self.counted.push(self.subscriber.status(now).counters);
-        let life = self.life();
-        life.lose_lease(now);
-        life.ended = Some(now);
+        self.earlier_counters
+            .push(self.subscriber.status(now).counters);
+        let record = self.current_record();
+        record.end_lease(now);
+        record.ended_at = Some(now);
         self.socket = open_socket()?;
         self.seed = self.seed.wrapping_add(1);
-        self.subscriber = subscriber(&self.plan, self.number, &self.socket, now, self.seed)?;
-        self.lives.push(Life::begin(now));
+        self.subscriber = subscriber(&self.settings, self.number, &self.socket, now, self.seed)?;
+        self.records.push(IncarnationRecord::start(now));
         Ok(())
     }
 
+    /// Its name in findings.
     pub fn name(&self) -> String {
         subscriber_name(self.number)
     }
 
-    pub fn lives(&self) -> &[Life] {
-        &self.lives
+    /// The records of all incarnations.
+    pub fn records(&self) -> &[IncarnationRecord] {
+        &self.records
     }
 
-    pub fn latest_life(&self) -> &Life {
-        &self.lives[self.lives.len() - 1]
+    /// The record of the current incarnation.
+    pub fn latest_record(&self) -> &IncarnationRecord {
+        &self.records[self.records.len() - 1]
     }
 
-    fn life(&mut self) -> &mut Life {
-        let latest = self.lives.len() - 1;
-        &mut self.lives[latest]
+    fn current_record(&mut self) -> &mut IncarnationRecord {
+        let latest = self.records.len() - 1;
+        &mut self.records[latest]
     }
 
-    pub fn leased(&self, now: Micros) -> bool {
+    /// Whether it holds a lease.
+    pub fn has_lease(&self, now: Micros) -> bool {
         self.subscriber.has_lease(now)
     }
 
-    pub fn stopped(&self, now: Micros) -> bool {
+    /// Whether it does nothing now.
+    pub fn is_stopped(&self, now: Micros) -> bool {
         now < self.stopped_until
     }
 
+    /// When it has to be ticked next.
     pub fn next_wake(&self) -> Micros {
         self.subscriber.next_wake().max(self.stopped_until)
     }
 
-    /// Of all lives.
+    /// The counters of all incarnations.
     pub fn counters(&self, now: Micros) -> Vec<Counters> {
-        let mut all = self.counted.clone();
+        let mut all = self.earlier_counters.clone();
         all.push(self.subscriber.status(now).counters);
         all
     }
 
+    /// Runs what is due.
     pub fn tick(&mut self, now: Micros) {
         self.subscriber.tick(now, &mut self.outputs);
-        self.carry_out(now);
+        self.process_outputs(now);
     }
 
-    /// Takes in all datagrams that have arrived.
+    /// Handles all datagrams that have arrived.
     pub fn receive_all(&mut self, now: Micros) {
-        let mut bytes = [0; DATAGRAM_MOST];
-        while self.reads {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while self.is_reading {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes) else {
                 break;
             };
@@ -158,18 +176,18 @@
             self.traffic.received_bytes += length as u64;
             self.subscriber
                 .receive(now, &bytes[..length], &mut self.outputs);
-            self.carry_out(now);
+            self.process_outputs(now);
         }
     }
 
     fn relay_at(&self, address: SocketAddr) -> Option<usize> {
-        self.plan
+        self.settings
             .relays
             .iter()
             .position(|relay| relay.address == address)
     }
 
-    fn carry_out(&mut self, now: Micros) {
+    fn process_outputs(&mut self, now: Micros) {
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
             match output {
@@ -185,18 +203,20 @@
     fn apply(&mut self, key: PurgeKey, now: Micros) {
         let number = match key {
             PurgeKey::Object(object) => {
-                Some(number_of(object)).filter(|number| *number < NUMBERS_MOST)
+                Some(number_of(object)).filter(|number| *number < PURGE_NUMBER_LIMIT)
             }
             PurgeKey::Group(_) => None,
         };
         let Some(number) = number.map(|number| number as usize) else {
-            self.life().unknown += 1;
+            self.current_record().unknown_purges += 1;
             return;
         };
         match self.sabotage {
-            Some(Sabotage::ForgetsPurges) if number.is_multiple_of(FORGETS_ONE_IN) => {}
-            Some(Sabotage::AppliesLate) => self.life().apply(number, now + APPLIES_LATER_BY),
-            _ => self.life().apply(number, now),
+            Some(Sabotage::ForgetsPurges) if number.is_multiple_of(FORGOTTEN_PURGE_INTERVAL) => {}
+            Some(Sabotage::AppliesLate) => self
+                .current_record()
+                .record_applied(number, now + LATE_APPLY_DELAY),
+            _ => self.current_record().record_applied(number, now),
         }
     }
 
@@ -209,38 +229,38 @@
         }
     }
 
-    /// Keeps the record of leases, and of what bounds copies without one.
+    /// Records the lease, the purge floor, and whether the age of copies is bounded without a lease.
     fn record_lease(&mut self, now: Micros) {
         let bound = self.subscriber.freshness_bound(now);
         if let Some(stamp) = bound.not_before {
-            self.life().raise_floor(now, stamp);
+            self.current_record().raise_floor(now, stamp);
         }
         if !self.subscriber.has_lease(now) {
-            let copy_age = self.plan.max_copy_age;
+            let copy_age = self.settings.max_copy_age;
             let bounded = bound.max_age.is_some_and(|age| age <= copy_age);
             if !bounded || self.sabotage == Some(Sabotage::CopiesUnbounded) {
-                self.life().unbounded += 1;
+                self.current_record().unbounded_observations += 1;
             }
             if self.sabotage != Some(Sabotage::LeaseNeverEnds) {
-                self.life().lose_lease(now);
+                self.current_record().end_lease(now);
             }
             return;
         }
-        // Whether a later moment is leased too is asked first, as it costs less than the whole status.
-        let known = self.life().leased_until();
-        if known <= now || self.subscriber.has_lease(known) {
+        // The full status costs more than this check, so it is read only if the lease reaches beyond its recorded end.
+        let recorded_until = self.current_record().leased_until();
+        if recorded_until <= now || self.subscriber.has_lease(recorded_until) {
             self.extend_lease(now);
         }
     }
 
     fn extend_lease(&mut self, now: Micros) {
-        let Some(left) = self.subscriber.status(now).lease_remaining else {
+        let Some(remaining) = self.subscriber.status(now).lease_remaining else {
             return;
         };
         let until = match self.sabotage {
             Some(Sabotage::LeaseNeverEnds) => Micros::MAX,
-            _ => now + left,
+            _ => now + remaining,
         };
-        self.life().hold_lease(now, until);
+        self.current_record().record_lease(now, until);
     }
 }
--- a/crates/fault-injection/src/events/subscribers.rs
+++ b/crates/fault-injection/src/events/subscribers.rs
@@ -1,10 +1,10 @@
-//! A process of many hollow subscribers, each with a socket of its own, in one loop.
+//! A process of many simulated subscribers, each with its own socket, in one event loop.
 
-use super::check::{check_life, Findings, Timeline};
+use super::check::{check_incarnation, Findings, Timeline};
 use super::clock::SharedClock;
-use super::hollow::HollowSubscriber;
-use super::protocol::{Command, GroupPlan, GroupReport, Reply, Return};
-use super::record::Life;
+use super::protocol::{Command, GroupPlan, GroupReport, LeaseRecovery, Reply};
+use super::record::IncarnationRecord;
+use super::simulated_subscriber::SimulatedSubscriber;
 use meadowrill_event_distribution::settings::MILLISECOND;
 use meadowrill_event_distribution::Micros;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -15,22 +15,22 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-const EVENTS_MOST: usize = 1_024;
-/// The loop looks so often at least.
-const LOOK: Micros = 200 * MILLISECOND;
-const COMMANDS: Token = Token(usize::MAX);
+const MAX_POLL_EVENTS: usize = 1_024;
+/// Longest wait of the event loop.
+const MAX_POLL_WAIT: Micros = 200 * MILLISECOND;
+const COMMAND_TOKEN: Token = Token(usize::MAX);
 
-/// Holds the subscribers of the plan until standard input ends.
-pub fn hold_subscribers(plan: GroupPlan) -> io::Result<()> {
+/// Runs the subscribers of the plan until standard input ends.
+pub fn run_subscribers(plan: GroupPlan) -> io::Result<()> {
     let poll = Poll::new()?;
-    let commands = read_commands(Waker::new(poll.registry(), COMMANDS)?);
+    let commands = read_commands(Waker::new(poll.registry(), COMMAND_TOKEN)?);
     let mut group = Group::open(plan, poll)?;
-    let mut events = Events::with_capacity(EVENTS_MOST);
+    let mut events = Events::with_capacity(MAX_POLL_EVENTS);
     loop {
         group.wait(&mut events)?;
         loop {
             match commands.try_recv() {
-                Ok(command) => group.obey(command)?,
+                Ok(command) => group.execute(command)?,
                 Err(std::sync::mpsc::TryRecvError::Empty) => break,
                 Err(std::sync::mpsc::TryRecvError::Disconnected) => return Ok(()),
             }
@@ -39,13 +39,13 @@
     }
 }
 
-/// Reads commands in a thread of its own, which wakes the loop for each and for the end.
+/// Reads commands in a separate thread, which wakes the event loop for each command and at the end of input.
 fn read_commands(waker: Waker) -> Receiver<Command> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
             let Ok(command) = serde_json::from_str(&line) else {
-                eprintln!("no command: {line}");
+                eprintln!("invalid command on standard input: {line}");
                 break;
             };
             let woken = sender.send(command).is_ok() && waker.wake().is_ok();
@@ -54,13 +54,13 @@
             }
         }
         drop(sender);
-        // Without it the loop still looks now and then.
+        // If the wake fails, the event loop notices the end after its longest wait.
         let _ = waker.wake();
     });
     receiver
 }
 
-fn answer(reply: &Reply) -> io::Result<()> {
+fn write_reply(reply: &Reply) -> io::Result<()> {
     let mut line = serde_json::to_string(reply).map_err(io::Error::other)?;
     line.push('\n');
     let mut output = io::stdout().lock();
@@ -87,32 +87,32 @@
     plan: GroupPlan,
     clock: SharedClock,
     poll: Poll,
-    subscribers: Vec<HollowSubscriber>,
-    /// Due times by subscriber; those that no longer count are passed over.
-    wakes: BinaryHeap<Reverse<(Micros, usize)>>,
-    /// The earliest one in `wakes` of each.
-    wake_of: Vec<Micros>,
-    resident_at_first: u64,
+    subscribers: Vec<SimulatedSubscriber>,
+    /// Due times of subscribers. An entry that is no longer in `next_wakes` is skipped.
+    wake_queue: BinaryHeap<Reverse<(Micros, usize)>>,
+    /// The earliest entry of each subscriber in `wake_queue`.
+    next_wakes: Vec<Micros>,
+    initial_resident_bytes: u64,
 }
 
 impl Group {
     fn open(plan: GroupPlan, poll: Poll) -> io::Result<Group> {
         let clock = SharedClock::with_offset(plan.clock_offset);
-        let events_plan = plan.events_plan();
+        let settings = plan.distribution_settings();
         let mut group = Group {
-            resident_at_first: resident_bytes(),
+            initial_resident_bytes: resident_bytes(),
             clock,
             poll,
-            subscribers: Vec::with_capacity(plan.many),
-            wakes: BinaryHeap::new(),
-            wake_of: vec![Micros::MAX; plan.many],
+            subscribers: Vec::with_capacity(plan.count),
+            wake_queue: BinaryHeap::new(),
+            next_wakes: vec![Micros::MAX; plan.count],
             plan,
         };
-        for index in 0..group.plan.many {
+        for index in 0..group.plan.count {
             let number = group.plan.first + index;
             let seed = group.plan.seed ^ (number as u64) << 20;
             let (now, sabotage) = (group.clock.now(), group.plan.sabotage);
-            let subscriber = HollowSubscriber::open(&events_plan, number, now, seed, sabotage)?;
+            let subscriber = SimulatedSubscriber::open(&settings, number, now, seed, sabotage)?;
             group.subscribers.push(subscriber);
             group.register(index)?;
             group.schedule(index);
@@ -129,20 +129,20 @@
 
     fn schedule(&mut self, index: usize) {
         let wake = self.subscribers[index].next_wake();
-        if wake < self.wake_of[index] {
-            self.wake_of[index] = wake;
-            self.wakes.push(Reverse((wake, index)));
+        if wake < self.next_wakes[index] {
+            self.next_wakes[index] = wake;
+            self.wake_queue.push(Reverse((wake, index)));
         }
     }
 
-    /// Waits for datagrams, commands and the next due time, and takes in what has come.
+    /// Waits for datagrams, commands or the next due time, and handles the datagrams that have arrived.
     fn wait(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
         let next = self
-            .wakes
+            .wake_queue
             .peek()
             .map_or(Micros::MAX, |Reverse((at, _))| *at);
-        let wait = next.saturating_sub(now).clamp(0, LOOK);
+        let wait = next.saturating_sub(now).clamp(0, MAX_POLL_WAIT);
         match self
             .poll
             .poll(events, Some(Duration::from_micros(wait.unsigned_abs())))
@@ -150,7 +150,7 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
-        for event in events.iter().filter(|event| event.token() != COMMANDS) {
+        for event in events.iter().filter(|event| event.token() != COMMAND_TOKEN) {
             self.receive(event.token().0);
         }
         Ok(())
@@ -158,7 +158,7 @@
 
     fn receive(&mut self, index: usize) {
         let now = self.clock.now();
-        if !self.subscribers[index].stopped(now) {
+        if !self.subscribers[index].is_stopped(now) {
             self.subscribers[index].receive_all(now);
             self.schedule(index);
         }
@@ -168,26 +168,26 @@
         loop {
             let now = self.clock.now();
             let Some(Reverse((at, index))) = self
-                .wakes
+                .wake_queue
                 .peek()
                 .copied()
                 .filter(|Reverse((at, _))| *at <= now)
             else {
                 return;
             };
-            self.wakes.pop();
-            if at != self.wake_of[index] {
+            self.wake_queue.pop();
+            if at != self.next_wakes[index] {
                 continue;
             }
-            self.wake_of[index] = Micros::MAX;
+            self.next_wakes[index] = Micros::MAX;
             self.tick(index, now);
         }
     }
 
     fn tick(&mut self, index: usize, now: Micros) {
         let subscriber = &mut self.subscribers[index];
-        if !subscriber.stopped(now) {
-            // One that was stopped finds what came meanwhile; its socket was told to be readable long ago.
+        if !subscriber.is_stopped(now) {
+            // Reads the datagrams that arrived during a stop: the readiness event of the socket was ignored then.
             if std::mem::replace(&mut subscriber.stopped_until, Micros::MIN) != Micros::MIN {
                 subscriber.receive_all(now);
             }
@@ -196,9 +196,9 @@
         self.schedule(index);
     }
 
-    /// Those of the numbers that are held here, by their places.
-    fn held(&self, numbers: &[usize]) -> Vec<usize> {
-        let own = self.plan.first..self.plan.first + self.plan.many;
+    /// The indices of those of the subscribers that belong to this process.
+    fn local_indices(&self, numbers: &[usize]) -> Vec<usize> {
+        let own = self.plan.first..self.plan.first + self.plan.count;
         numbers
             .iter()
             .filter(|number| own.contains(number))
@@ -206,10 +206,10 @@
             .collect()
     }
 
-    fn obey(&mut self, command: Command) -> io::Result<()> {
+    fn execute(&mut self, command: Command) -> io::Result<()> {
         match command {
             Command::Restart { subscribers } => {
-                for index in self.held(&subscribers) {
+                for index in self.local_indices(&subscribers) {
                     self.restart(index)?;
                 }
             }
@@ -218,22 +218,22 @@
                 span_ms,
             } => {
                 let until = self.clock.now() + span_ms * MILLISECOND;
-                for index in self.held(&subscribers) {
+                for index in self.local_indices(&subscribers) {
                     self.subscribers[index].stopped_until = until;
                 }
             }
             Command::StopReading { subscribers } => {
-                for index in self.held(&subscribers) {
-                    self.subscribers[index].reads = false;
+                for index in self.local_indices(&subscribers) {
+                    self.subscribers[index].is_reading = false;
                 }
             }
             Command::CutOff {
                 subscribers,
                 relays,
             } => {
-                for index in self.held(&subscribers) {
+                for index in self.local_indices(&subscribers) {
                     let faults = &mut self.subscribers[index].faults;
-                    faults.cut_off = faults.cut_off.with(relays);
+                    faults.cut_off = faults.cut_off.union(relays);
                 }
             }
             Command::Lose { share } => {
@@ -242,11 +242,17 @@
                     .for_each(|subscriber| subscriber.faults.loss = share);
             }
             Command::Heal => self.heal(),
-            Command::Report { purges } => answer(&Reply::Report(self.report(purges)))?,
-            Command::Check { timeline, marks } => {
+            Command::Report { purges } => write_reply(&Reply::Report(self.report(purges)))?,
+            Command::Check {
+                timeline,
+                step_starts,
+            } => {
                 let findings = self.check(&timeline);
-                let returns = self.returns(&marks, timeline.end);
-                answer(&Reply::Checked { findings, returns })?;
+                let recoveries = self.lease_recoveries(&step_starts, timeline.end);
+                write_reply(&Reply::Checked {
+                    findings,
+                    recoveries,
+                })?;
             }
         }
         Ok(())
@@ -256,7 +262,7 @@
         let now = self.clock.now();
         self.subscribers[index].restart(now)?;
         self.register(index)?;
-        self.wake_of[index] = Micros::MAX;
+        self.next_wakes[index] = Micros::MAX;
         self.schedule(index);
         Ok(())
     }
@@ -265,7 +271,7 @@
         for index in 0..self.subscribers.len() {
             let subscriber = &mut self.subscribers[index];
             subscriber.faults.heal();
-            if !std::mem::replace(&mut subscriber.reads, true) {
+            if !std::mem::replace(&mut subscriber.is_reading, true) {
                 self.receive(index);
             }
         }
@@ -277,25 +283,25 @@
             subscribers: self.subscribers.len(),
             processor_micros: processor_micros(),
             resident_bytes: resident_bytes(),
-            resident_at_first: self.resident_at_first,
+            initial_resident_bytes: self.initial_resident_bytes,
             ..GroupReport::default()
         };
         for subscriber in &self.subscribers {
-            report.leased += usize::from(subscriber.leased(now));
+            report.leased += usize::from(subscriber.has_lease(now));
             report.complete +=
-                usize::from(subscriber.latest_life().count_applied(purges) == purges);
+                usize::from(subscriber.latest_record().count_applied(purges) == purges);
             report.traffic.add(subscriber.traffic);
             report.unsent += subscriber.unsent;
             report.record_bytes += subscriber
-                .lives()
+                .records()
                 .iter()
-                .map(|life| life.bytes() as u64)
+                .map(|record| record.heap_bytes() as u64)
                 .sum::<u64>();
             for counters in subscriber.counters(now) {
                 report.gaps += counters.gaps;
                 report.snapshots += counters.snapshots;
-                report.lapses += counters.expired_leases;
-                report.switches += counters.relay_changes;
+                report.expired_leases += counters.expired_leases;
+                report.relay_changes += counters.relay_changes;
                 report.rejected += counters.rejected.iter().sum::<u64>();
             }
         }
@@ -305,55 +311,56 @@
     fn check(&self, timeline: &Timeline) -> Findings {
         let mut findings = Findings::default();
         for subscriber in &self.subscribers {
-            for life in subscriber.lives() {
-                check_life(&subscriber.name(), life, timeline, &mut findings);
+            for record in subscriber.records() {
+                check_incarnation(&subscriber.name(), record, timeline, &mut findings);
             }
         }
         findings
     }
 
-    /// For each mark, up to the next one.
-    fn returns(&self, marks: &[Micros], end: Micros) -> Vec<Return> {
-        let ends = marks.iter().skip(1).copied().chain([end]);
-        let spans = marks.iter().copied().zip(ends);
+    /// The lease recovery for each step, up to the next one.
+    fn lease_recoveries(&self, step_starts: &[Micros], end: Micros) -> Vec<LeaseRecovery> {
+        let ends = step_starts.iter().skip(1).copied().chain([end]);
+        let spans = step_starts.iter().copied().zip(ends);
         spans
-            .map(|(from, until)| self.returned(from, until))
+            .map(|(from, until)| self.lease_recovery(from, until))
             .collect()
     }
 
-    fn returned(&self, from: Micros, until: Micros) -> Return {
+    fn lease_recovery(&self, from: Micros, until: Micros) -> LeaseRecovery {
         let mut without_lease = BTreeSet::new();
         let mut leased_after = 0;
         for (index, subscriber) in self.subscribers.iter().enumerate() {
             if let Some(at) = subscriber
-                .lives()
+                .records()
                 .iter()
-                .filter_map(|life| last_return(life, from, until))
+                .filter_map(|record| last_lease_recovery(record, from, until))
                 .max()
             {
                 without_lease.insert(index);
                 leased_after = leased_after.max(at - from);
             }
         }
-        Return {
+        LeaseRecovery {
             without_lease: without_lease.len() as u64,
             leased_after,
         }
     }
 }
 
-/// The end of the last time without a lease that reached into the span; none where a lease was held all along.
-fn last_return(life: &Life, from: Micros, until: Micros) -> Option<Micros> {
-    let end = life.ended.unwrap_or(until).min(until);
-    let begun = life.begun.max(from);
-    if begun >= end {
+/// When the last time without a lease that reaches into the span ended; `None` if a lease was held all the time, or the
+/// subscriber did not run.
+fn last_lease_recovery(record: &IncarnationRecord, from: Micros, until: Micros) -> Option<Micros> {
+    let end = record.ended_at.unwrap_or(until).min(until);
+    let start = record.started_at.max(from);
+    if start >= end {
         return None;
     }
-    let mut leased_until = life.begun;
+    let mut leased_until = record.started_at;
     let mut last = None;
-    for lease in life.leases() {
-        let gap_reaches_in = leased_until < end && lease.from > begun && lease.from > leased_until;
-        if gap_reaches_in {
+    for lease in record.leases() {
+        let gap_overlaps = leased_until < end && lease.from > start && lease.from > leased_until;
+        if gap_overlaps {
             last = Some(lease.from.min(end));
         }
         leased_until = lease.until;
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of proxy and relay processes, each with its own loopback address and generated settings files.
 
 use crate::events::relays::{
-    events_settings, RelayAddress, RelayPlace, RelayProcess, FLEET, PUBLISHER,
+    events_settings, RelayAddress, RelayConfig, RelayProcess, FLEET, PUBLISHER,
 };
 use crate::relay::{LinkRelays, MAX_MEMBERS};
 use crate::{proxy_name, unix_time};
@@ -199,7 +199,7 @@
             let listen = SocketAddr::new(self.ip(member).into(), FLEET_PORT);
             self.links.set_listen_address(member, listen);
             let zone = format!("zone-{}", self.zone_of(member));
-            let process = RelayProcess::new(&RelayPlace {
+            let process = RelayProcess::new(&RelayConfig {
                 folder: self.folder.path(),
                 name: &relay_name(relay),
                 region: &zone,
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -11,7 +11,7 @@
 use meadowrill_fault_injection::events::protocol::Sabotage;
 use meadowrill_fault_injection::events::run::{play_run, Setup};
 use meadowrill_fault_injection::events::scenario::{Length, Scenario, NAMES};
-use meadowrill_fault_injection::events::subscribers::hold_subscribers;
+use meadowrill_fault_injection::events::subscribers;
 use meadowrill_fault_injection::script::{draw, play, shrink, Tools};
 use meadowrill_fault_injection::shared::first_wrong;
 use std::os::unix::process::CommandExt;
@@ -126,7 +126,7 @@
 fn run_subscribers(plan: &str) -> ExitCode {
     let result = serde_json::from_str(plan)
         .map_err(std::io::Error::other)
-        .and_then(hold_subscribers);
+        .and_then(subscribers::run_subscribers);
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -258,7 +258,7 @@
             };
             setup = Setup {
                 relay_settings: settings,
-                keep,
+                log_directory: keep,
                 ..setup
             };
             return run_events(setup);
