--- a/crates/benchmarks/src/bin/counted.rs
+++ b/crates/benchmarks/src/bin/counted.rs
@@ -1,10 +1,10 @@
-//! The program with an allocator that counts.
+//! The program `meadowrill` with an allocator that counts allocations, for benchmarks of its costs.
 
 #![allow(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
+    reason = "some items have no docs, and some functions are long"
 )]
 
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -12,14 +12,14 @@
 use std::process::ExitCode;
 
 #[global_allocator]
-static COUNTING: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 fn counts() -> String {
-    let seen = COUNTING.stats();
-    let all = seen.allocations + seen.reallocations;
+    let stats = ALLOCATOR.stats();
+    let allocations = stats.allocations + stats.reallocations;
     format!(
-        "allocations {all}\nallocated_bytes {}\n",
-        seen.bytes_allocated
+        "allocations {allocations}\nallocated_bytes {}\n",
+        stats.bytes_allocated
     )
 }
 
--- a/crates/benchmarks/src/figures.rs
+++ b/crates/benchmarks/src/figures.rs
@@ -1,22 +1,23 @@
-//! Figures with their goals.
+//! Benchmark figures, checked against their goals.
 
 use std::fmt;
 use std::process::ExitCode;
 
+/// The bound that a figure is checked against.
 #[derive(Clone, Copy, Debug)]
 pub enum Goal {
     AtLeast(f64),
     AtMost(f64),
-    /// Told beside the others, to compare with.
+    /// No bound: the figure is printed for comparison.
     Baseline,
 }
 
 impl Goal {
     fn met(self, value: f64) -> bool {
-        // What is not a number meets no goal.
+        // NaN meets neither bound.
         match self {
-            Goal::AtLeast(least) => value >= least,
-            Goal::AtMost(most) => value <= most,
+            Goal::AtLeast(bound) => value >= bound,
+            Goal::AtMost(bound) => value <= bound,
             Goal::Baseline => true,
         }
     }
@@ -25,20 +26,22 @@
 impl fmt::Display for Goal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Goal::AtLeast(least) => write!(f, "at least {least}"),
-            Goal::AtMost(most) => write!(f, "at most {most}"),
+            Goal::AtLeast(bound) => write!(f, "at least {bound}"),
+            Goal::AtMost(bound) => write!(f, "at most {bound}"),
             Goal::Baseline => write!(f, "beside it"),
         }
     }
 }
 
+/// Prints figures and collects the names of those that miss their goals.
 #[derive(Debug, Default)]
 pub struct Figures {
     missed: Vec<String>,
 }
 
 impl Figures {
-    pub fn tell(&mut self, name: &str, value: f64, goal: Goal) {
+    /// Prints a figure with its goal; a figure that does not meet its goal is recorded as missed.
+    pub fn report(&mut self, name: &str, value: f64, goal: Goal) {
         let missed = !goal.met(value);
         println!(
             "{name}: {value:.4} ({goal}){}",
@@ -49,7 +52,8 @@
         }
     }
 
-    pub fn end(self) -> ExitCode {
+    /// Prints the names of the missed figures; the exit code is a failure if there are any.
+    pub fn finish(self) -> ExitCode {
         if self.missed.is_empty() {
             return ExitCode::SUCCESS;
         }
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,64 +1,65 @@
-//! `measure AREA`: lines `name: value (goal)`; exit code 1 when a goal is missed. Long, so not part of the tests, but for
-//! `measure guard`.
+//! `measure AREA` prints lines `name: value (goal)` and exits with code 1 when a goal is missed. It takes long, so only
+//! `measure guard` is part of the tests.
 
 #![allow(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not reached yet by the pass over names, sizes and docs"
+    reason = "some items have no docs, and some functions are long"
 )]
 
 use clap::{Parser, Subcommand};
 use meadowrill_benchmarks::figures::Figures;
-use meadowrill_benchmarks::{events, fleet, guard, path, replica, turns};
+use meadowrill_benchmarks::{admission, events, fleet, guard, path, replica};
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
 
 #[derive(Debug, Subcommand)]
 enum Area {
-    /// Distribution of purges through relays to hollow subscribers: growth, scenarios of faults, a full window
+    /// Distribution of purges through relays to simulated subscribers: growth, fault scenarios, a full window
     Events {
-        /// Only this many subscribers, at each scenario
+        /// Run each scenario with this number of subscribers only
         #[arg(long)]
         subscribers: Option<usize>,
-        /// Only this scenario
+        /// Run this scenario only
         #[arg(long)]
         scenario: Option<String>,
     },
-    /// The view of the fleet: in one process up to 1,000 members, and with processes of the program
+    /// Membership: models of up to 1,000 members in one process, and processes of the program
     Fleet {
-        /// Processes of the program
-        #[arg(long, default_value_t = 64)]
-        fronts: usize,
-        /// Only with processes, not the long models
+        /// Number of processes of the program
+        #[arg(long = "fronts", value_name = "FRONTS", default_value_t = 64)]
+        proxies: usize,
+        /// Run the processes only, not the models, which take long
         #[arg(long, conflicts_with = "models")]
         processes: bool,
-        /// Only the long models
+        /// Run the models only
         #[arg(long)]
         models: bool,
     },
-    /// What a hit costs
+    /// The cost of a cache hit
     Path,
-    /// What the fronts share: in one process and with processes of the program
+    /// State that proxies share: models in one process, and processes of the program
     Replica {
-        /// Random schedules in one process
+        /// Number of random schedules of the model
         #[arg(long, default_value_t = 1000)]
         schedules: u64,
     },
-    /// What each role's costs grow to at the size that is planned for (docs/CAPACITY.md)
+    /// Growth of each role's costs, extrapolated to the planned size (docs/CAPACITY.md)
     Scale {
         /// Options of the `scale` program
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         options: Vec<String>,
     },
-    /// Fair turns at the door
-    Turns,
-    /// Fails when a count of the ordinary path has risen by more than ten percent
+    /// Fair queueing in admission control
+    #[command(name = "turns")]
+    Admission,
+    /// Fails when a counted cost of a cache hit has risen by more than ten percent
     Guard {
-        /// Accepted counts
+        /// File with the accepted counts
         #[arg(long, default_value = "crates/benchmarks/counts.txt")]
         file: PathBuf,
-        /// Writes the file anew: for a rise that is meant
+        /// Rewrite the file, for an intended rise
         #[arg(long)]
         accept: bool,
     },
@@ -71,10 +72,11 @@
     area: Area,
 }
 
-/// The program beside this one whose allocator counts: that would weigh on the figures of other areas.
-fn scale(options: &[String]) -> ExitCode {
-    let here = std::env::current_exe().unwrap_or_default();
-    match Command::new(here.with_file_name("scale"))
+/// Runs the program `scale` next to this one. It is a separate program because its counting allocator would affect the
+/// figures of other areas.
+fn run_scale(options: &[String]) -> ExitCode {
+    let own_path = std::env::current_exe().unwrap_or_default();
+    match Command::new(own_path.with_file_name("scale"))
         .args(options)
         .status()
     {
@@ -97,7 +99,7 @@
             events::measure(&mut figures, subscribers, scenario.as_deref());
         }
         Area::Fleet {
-            fronts,
+            proxies,
             processes,
             models,
         } => {
@@ -105,25 +107,28 @@
                 fleet::model(&mut figures);
             }
             if !models {
-                fleet::processes(&mut figures, fronts);
+                fleet::processes(&mut figures, proxies);
             }
         }
         Area::Replica { schedules } => replica::measure(&mut figures, schedules),
         Area::Path => path::measure(&mut figures),
-        Area::Scale { options } => return scale(&options),
-        Area::Turns => turns::measure(&mut figures),
-        Area::Guard { file, accept } => match guard::guard(&file, accept) {
+        Area::Scale { options } => return run_scale(&options),
+        Area::Admission => admission::measure(&mut figures),
+        Area::Guard { file, accept } => match guard::check(&file, accept) {
             Ok(risen) if risen.is_empty() => return ExitCode::SUCCESS,
             Ok(risen) => {
-                eprintln!("risen by more than ten percent:\n{}", risen.join("\n"));
-                eprintln!("where that is meant: target/release/measure guard --accept");
+                eprintln!(
+                    "counts that have risen by more than ten percent:\n{}",
+                    risen.join("\n")
+                );
+                eprintln!("to accept an intended rise: target/release/measure guard --accept");
                 return ExitCode::FAILURE;
             }
-            Err(what) => {
-                eprintln!("measure: {what}");
+            Err(error) => {
+                eprintln!("measure: {error}");
                 return ExitCode::FAILURE;
             }
         },
     }
-    figures.end()
+    figures.finish()
 }
