--- a/crates/benchmarks/src/scale/journal.rs
+++ b/crates/benchmarks/src/scale/journal.rs
@@ -7,7 +7,7 @@
 use super::process::{list_members, ProxyProcess, ProxySetup};
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
-use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::journal::PublishingJournal;
 use serde_json::{json, Value};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -53,7 +53,7 @@
             sent += 1;
             let event = purge(sent);
             bytes += line(&event).len();
-            proxy.journal.tell(event);
+            proxy.journal.publish(event);
         }
         sleep(STEP);
     }
@@ -68,8 +68,8 @@
         without_backlog.resident_bytes(),
     );
     drop(without_backlog);
-    let journal = Speaking::start();
-    (1..=backlog).for_each(|n| journal.tell(purge(n)));
+    let journal = PublishingJournal::start();
+    (1..=backlog).for_each(|n| journal.publish(purge(n)));
     let proxy = ProxyProcess::start_with(ProxySetup::default(), journal);
     sleep(BACKLOG_DELAY);
     (
@@ -84,7 +84,7 @@
         || json!({"hosts": {"complete": true, "members": list_members(count)}, "pos": 2});
     let proxy = ProxyProcess::start(ProxySetup::default());
     let before = proxy.cpu_us_when_idle();
-    (0..LISTS_SENT).for_each(|_| proxy.journal.tell(list_event()));
+    (0..LISTS_SENT).for_each(|_| proxy.journal.publish(list_event()));
     let cpu_us = proxy.cpu_us_when_idle() - before;
     (
         line(&list_event()).len() as f64,
--- a/crates/benchmarks/src/scale/shared.rs
+++ b/crates/benchmarks/src/scale/shared.rs
@@ -6,7 +6,7 @@
 use super::results::{Budget, Method, Role, Slope};
 use super::target;
 use meadowrill_fault_injection::proxy_name;
-use meadowrill_fault_injection::shared::Shared;
+use meadowrill_fault_injection::shared::ReplicaFleet;
 use meadowrill_replication::map::{Map, MapLimits};
 use meadowrill_replication::record::{to_wire, Entry, Key};
 use meadowrill_replication::record_type::RecordType;
@@ -46,7 +46,7 @@
         bytes_per_second: target::BYTES_PER_S as u64,
         ..ReplicationSettings::default()
     };
-    let mut shared = Shared::new(proxies, settings, 3);
+    let mut shared = ReplicaFleet::new(proxies, settings, 3);
     shared.start_all();
     shared.run(WARM_UP);
     // The processor time of the model itself and of a fleet without purges is subtracted below.
@@ -59,7 +59,7 @@
             due -= STEPS_PER_S;
             object += 1;
             let publisher = object as usize % proxies;
-            shared.say(publisher, |replica, now| {
+            shared.update_replica(publisher, |replica, now| {
                 replica.publish_purge(now, Some(object), 0, now)
             });
         }
@@ -70,7 +70,7 @@
     let core = ((thread_time() - started_at).as_secs_f64() - idle_s) * per_proxy_and_s;
     let last_object = Some(object + 1);
     let at = shared.now;
-    shared.say(0, |replica, now| {
+    shared.update_replica(0, |replica, now| {
         replica.publish_purge(now, last_object, 0, now)
     });
     let (key, _) = records::purge_record(last_object, 0, at, SEC);
--- a/crates/fault-injection/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -1,6 +1,6 @@
-//! Plain protocols beside which the view is measured, on the same network.
+//! Baseline protocols with which the membership view is compared on the same network.
 
-use crate::model::{address, Config, Peer};
+use crate::model::{address, Config, MembershipProtocol};
 use meadowrill_membership::claim::{refute, Claim, MemberState};
 use meadowrill_membership::view::{Action, Change, ClaimSource};
 use meadowrill_membership::wire::{
@@ -9,60 +9,63 @@
 use meadowrill_membership::Micros;
 use std::collections::BTreeMap;
 
-/// Heartbeats to all: each tells each other once a period that it is there, and is dead after five missed ones.
+/// All-to-all heartbeats: each member sends one to every other member once per period, and is considered dead after
+/// five missed ones.
 pub struct Heartbeats {
-    me: usize,
-    many: usize,
+    own_number: usize,
+    proxies: usize,
     period: Micros,
-    at: Micros,
-    heard: BTreeMap<usize, Micros>,
+    next_send: Micros,
+    last_received: BTreeMap<usize, Micros>,
     names: Vec<String>,
-    sent: u64,
+    sent_bytes: u64,
 }
 
-const MISSED: Micros = 5;
-/// As large as a ping of the view.
-const LENGTH: usize = 70;
+/// Missed heartbeats after which a member is considered dead.
+const MISSED_HEARTBEATS: Micros = 5;
+/// The size of a ping of the membership view.
+const HEARTBEAT_BYTES: usize = 70;
 
 impl Heartbeats {
-    pub fn new(config: &Config, me: usize, now: Micros) -> Heartbeats {
-        let names = (0..config.many).map(crate::proxy_name).collect();
-        // Those that start together do not all speak at once.
-        let at = now + config.period * me as Micros / config.many as Micros;
+    pub fn new(config: &Config, own_number: usize, now: Micros) -> Heartbeats {
+        let names = (0..config.proxies).map(crate::proxy_name).collect();
+        // Spreads the heartbeats of members that start together over the period.
+        let next_send = now + config.period * own_number as Micros / config.proxies as Micros;
         Heartbeats {
-            me,
-            many: config.many,
+            own_number,
+            proxies: config.proxies,
             period: config.period,
-            at,
-            heard: BTreeMap::new(),
+            next_send,
+            last_received: BTreeMap::new(),
             names,
-            sent: 0,
+            sent_bytes: 0,
         }
     }
 }
 
-impl Peer for Heartbeats {
-    fn hear(&mut self, now: Micros, bytes: &[u8], _: &mut Vec<Action>) {
+impl MembershipProtocol for Heartbeats {
+    fn receive(&mut self, now: Micros, bytes: &[u8], _: &mut Vec<Action>) {
         if let Some(from) = bytes
             .first_chunk::<4>()
             .map(|b| u32::from_le_bytes(*b) as usize)
         {
-            if from < self.many && bytes.len() == LENGTH {
-                self.heard.insert(from, now);
+            if from < self.proxies && bytes.len() == HEARTBEAT_BYTES {
+                self.last_received.insert(from, now);
             }
         }
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if now < self.at {
+        if now < self.next_send {
             return;
         }
-        self.at = now + self.period;
-        self.heard.retain(|_, at| now - *at < MISSED * self.period);
-        let mut bytes = vec![0; LENGTH];
-        bytes[..4].copy_from_slice(&(self.me as u32).to_le_bytes());
-        for to in (0..self.many).filter(|to| *to != self.me) {
-            self.sent += LENGTH as u64;
+        self.next_send = now + self.period;
+        self.last_received
+            .retain(|_, at| now - *at < MISSED_HEARTBEATS * self.period);
+        let mut bytes = vec![0; HEARTBEAT_BYTES];
+        bytes[..4].copy_from_slice(&(self.own_number as u32).to_le_bytes());
+        for to in (0..self.proxies).filter(|to| *to != self.own_number) {
+            self.sent_bytes += HEARTBEAT_BYTES as u64;
             out.push(Action::SendDatagram {
                 to: address(to),
                 bytes: bytes.clone(),
@@ -70,78 +73,84 @@
         }
     }
 
-    fn next(&self) -> Micros {
-        self.at
+    fn next_timeout(&self) -> Micros {
+        self.next_send
     }
 
-    fn here(&self) -> Vec<&str> {
-        self.heard.keys().map(|n| self.names[*n].as_str()).collect()
+    fn present_members(&self) -> Vec<&str> {
+        self.last_received
+            .keys()
+            .map(|n| self.names[*n].as_str())
+            .collect()
     }
 
-    fn holds(&self, name: &str) -> bool {
-        self.here().contains(&name)
+    fn considers_present(&self, name: &str) -> bool {
+        self.present_members().contains(&name)
     }
 
     fn sent_bytes(&self) -> u64 {
-        self.sent
+        self.sent_bytes
     }
 }
 
-/// SWIM as published (Das, Gupta, Motivala 2002, with suspicion): a random order of targets, three helpers, a fixed wait,
-/// news on pings and acks. Each knows all others from the start; nothing doubts itself, nothing is compared.
+/// SWIM as published (Das, Gupta, Motivala 2002, with suspicion): a random order of targets, indirect probes through
+/// three helpers, a fixed suspicion timeout, and rumors piggybacked on pings and acks. Each member knows all others from
+/// the start; there is no local health and no anti-entropy.
 pub struct Swim {
-    me: usize,
+    own_number: usize,
     names: Vec<String>,
     period: Micros,
-    wait: Micros,
-    tells: u32,
-    at: Micros,
-    order: Vec<usize>,
+    suspicion_timeout: Micros,
+    transmissions: u32,
+    next_send: Micros,
+    target_order: Vec<usize>,
     incarnation: u64,
     claims: Vec<(Claim, Micros)>,
-    news: BTreeMap<usize, u32>,
-    /// The open probe: its number, target, when others are asked, and when it has failed.
+    rumors: BTreeMap<usize, u32>,
+    /// The open probe: its sequence number and target, when indirect probes are requested, and when it has failed.
     probe: Option<(u64, usize, Micros, Micros)>,
-    errands: BTreeMap<u64, (u64, usize)>,
-    seq: u64,
+    relayed_probes: BTreeMap<u64, (u64, usize)>,
+    sequence: u64,
     rng: fastrand::Rng,
-    sent: u64,
+    sent_bytes: u64,
 }
 
-/// Suspected for so many periods times the logarithm of the fleet's size; news told that often as well, as in the paper.
-const SUSPECTED: f64 = 3.0;
-const NEWS: usize = 20;
+/// Multiplied by a logarithm of the fleet size, it gives the suspicion timeout in periods (decimal logarithm) and the
+/// number of transmissions of a rumor (binary logarithm), as in the paper.
+const SUSPICION_FACTOR: f64 = 3.0;
+const MAX_RUMORS_PER_PACKET: usize = 20;
 
 impl Swim {
-    pub fn new(config: &Config, me: usize, now: Micros, seed: u64) -> Swim {
-        let mut rng = fastrand::Rng::with_seed(seed ^ me as u64);
-        let log = (config.many as f64).log10().max(1.0);
+    pub fn new(config: &Config, own_number: usize, now: Micros, seed: u64) -> Swim {
+        let mut rng = fastrand::Rng::with_seed(seed ^ own_number as u64);
+        let log = (config.proxies as f64).log10().max(1.0);
         Swim {
-            me,
-            names: (0..config.many).map(crate::proxy_name).collect(),
+            own_number,
+            names: (0..config.proxies).map(crate::proxy_name).collect(),
             period: config.period,
-            wait: (SUSPECTED * log * config.period as f64) as Micros,
-            tells: (SUSPECTED * (config.many as f64).log2()) as u32,
-            at: now + rng.i64(0..config.period),
-            order: Vec::new(),
+            suspicion_timeout: (SUSPICION_FACTOR * log * config.period as f64) as Micros,
+            transmissions: (SUSPICION_FACTOR * (config.proxies as f64).log2()) as u32,
+            next_send: now + rng.i64(0..config.period),
+            target_order: Vec::new(),
             incarnation: 0,
-            claims: vec![(Claim::alive(1), now); config.many],
-            news: BTreeMap::new(),
+            claims: vec![(Claim::alive(1), now); config.proxies],
+            rumors: BTreeMap::new(),
             probe: None,
-            errands: BTreeMap::new(),
-            seq: 0,
+            relayed_probes: BTreeMap::new(),
+            sequence: 0,
             rng,
-            sent: 0,
+            sent_bytes: 0,
         }
     }
 
-    fn send(&mut self, to: usize, said: Payload, out: &mut Vec<Action>) {
-        let mut told: Vec<(u32, usize)> = self.news.iter().map(|(n, left)| (*left, *n)).collect();
-        told.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
+    fn send(&mut self, to: usize, payload: Payload, out: &mut Vec<Action>) {
+        let mut pending: Vec<(u32, usize)> =
+            self.rumors.iter().map(|(n, left)| (*left, *n)).collect();
+        pending.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
         let mut records = Vec::new();
-        for (_, n) in told.into_iter().take(NEWS) {
-            let claim = if n == self.me {
-                self.own()
+        for (_, n) in pending.into_iter().take(MAX_RUMORS_PER_PACKET) {
+            let claim = if n == self.own_number {
+                self.own_claim()
             } else {
                 self.claims[n].0
             };
@@ -153,28 +162,28 @@
                 state,
                 ..Record::default()
             });
-            if let Some(left) = self.news.get_mut(&n) {
+            if let Some(left) = self.rumors.get_mut(&n) {
                 *left -= 1;
             }
         }
-        self.news.retain(|_, left| *left > 0);
-        let from = self.names[self.me].clone();
+        self.rumors.retain(|_, left| *left > 0);
+        let from = self.names[self.own_number].clone();
         let packet = Packet {
             sender: from,
-            payload: Some(said),
+            payload: Some(payload),
             records,
             ..Packet::default()
         };
         let mut bytes = Vec::new();
         wire::encode(&packet, &mut bytes);
-        self.sent += bytes.len() as u64;
+        self.sent_bytes += bytes.len() as u64;
         out.push(Action::SendDatagram {
             to: address(to),
             bytes,
         });
     }
 
-    fn own(&self) -> Claim {
+    fn own_claim(&self) -> Claim {
         Claim {
             incarnation: self.incarnation,
             ..Claim::alive(1)
@@ -188,18 +197,18 @@
             .filter(|n| *n < self.claims.len())
     }
 
-    fn take(&mut self, n: usize, claim: Claim, now: Micros, out: &mut Vec<Action>) {
-        if n == self.me {
-            if let Some(own) = refute(self.own(), claim) {
+    fn apply_claim(&mut self, n: usize, claim: Claim, now: Micros, out: &mut Vec<Action>) {
+        if n == self.own_number {
+            if let Some(own) = refute(self.own_claim(), claim) {
                 self.incarnation = own.incarnation;
-                self.news.insert(n, self.tells);
+                self.rumors.insert(n, self.transmissions);
             }
             return;
         }
         let former = self.claims[n].0;
         if claim.supersedes(&former) {
             self.claims[n] = (claim, now);
-            self.news.insert(n, self.tells);
+            self.rumors.insert(n, self.transmissions);
             let (from, to) = (Some(former.state), claim.state);
             let (name, by) = (self.names[n].clone(), String::new());
             let (start, incarnation) = (claim.start, claim.incarnation);
@@ -216,8 +225,8 @@
     }
 }
 
-impl Peer for Swim {
-    fn hear(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
+impl MembershipProtocol for Swim {
+    fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Vec<Action>) {
         let Ok(packet) = wire::decode(bytes, 0) else {
             return;
         };
@@ -226,7 +235,7 @@
         };
         for record in &packet.records {
             if let (Some(n), Some(claim)) = (self.number(&record.name), record.claim()) {
-                self.take(n, claim, now, out);
+                self.apply_claim(n, claim, now, out);
             }
         }
         match packet.payload {
@@ -237,23 +246,25 @@
                 }),
                 out,
             ),
-            Some(Payload::Ack(SequenceNumber { sequence: seq })) => {
-                if let Some((back, to)) = self.errands.remove(&seq) {
-                    self.send(to, Payload::Ack(SequenceNumber { sequence: back }), out);
-                } else if self.probe.is_some_and(|(open, ..)| open == seq) {
+            Some(Payload::Ack(SequenceNumber { sequence })) => {
+                if let Some((original, to)) = self.relayed_probes.remove(&sequence) {
+                    self.send(to, Payload::Ack(SequenceNumber { sequence: original }), out);
+                } else if self.probe.is_some_and(|(open, ..)| open == sequence) {
                     self.probe = None;
                 }
             }
-            Some(Payload::PingRequest(ask)) => {
-                if let Some(target) = self.number(&ask.target) {
-                    self.seq += 1;
-                    self.errands.insert(self.seq, (ask.sequence, from));
-                    self.errands.retain(|seq, _| seq + 1000 > self.seq);
+            Some(Payload::PingRequest(request)) => {
+                if let Some(target) = self.number(&request.target) {
+                    self.sequence += 1;
+                    self.relayed_probes
+                        .insert(self.sequence, (request.sequence, from));
+                    self.relayed_probes
+                        .retain(|sequence, _| sequence + 1000 > self.sequence);
                     self.send(
                         target,
                         Payload::Ping(Ping {
-                            sequence: self.seq,
-                            target: ask.target,
+                            sequence: self.sequence,
+                            target: request.target,
                         }),
                         out,
                     );
@@ -264,21 +275,21 @@
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if let Some((seq, target, ask, end)) = self.probe {
-            if now >= end {
+        if let Some((sequence, target, relay_after, deadline)) = self.probe {
+            if now >= deadline {
                 self.probe = None;
                 let claim = self.claims[target].0.with_state(MemberState::Suspected);
-                self.take(target, claim, now, out);
-            } else if now >= ask && ask > 0 {
-                self.probe = Some((seq, target, 0, end));
+                self.apply_claim(target, claim, now, out);
+            } else if now >= relay_after && relay_after > 0 {
+                self.probe = Some((sequence, target, 0, deadline));
                 for _ in 0..3 {
                     let helper = self.rng.usize(0..self.claims.len());
-                    if helper != self.me && self.claims[helper].0.state.is_present() {
+                    if helper != self.own_number && self.claims[helper].0.state.is_present() {
                         let target = self.names[target].clone();
                         self.send(
                             helper,
                             Payload::PingRequest(PingRequest {
-                                sequence: seq,
+                                sequence,
                                 target,
                                 address: String::new(),
                             }),
@@ -288,31 +299,33 @@
                 }
             }
         }
-        let over = |(claim, at): &(Claim, Micros)| {
-            claim.state == MemberState::Suspected && now - at >= self.wait
+        let expired = |(claim, at): &(Claim, Micros)| {
+            claim.state == MemberState::Suspected && now - at >= self.suspicion_timeout
         };
-        let over: Vec<usize> = (0..self.claims.len())
-            .filter(|n| over(&self.claims[*n]))
+        let expired: Vec<usize> = (0..self.claims.len())
+            .filter(|n| expired(&self.claims[*n]))
             .collect();
-        for n in over {
-            self.take(n, self.claims[n].0.with_state(MemberState::Dead), now, out);
+        for n in expired {
+            self.apply_claim(n, self.claims[n].0.with_state(MemberState::Dead), now, out);
         }
-        if now >= self.at {
-            self.at = now + self.period;
-            self.order.retain(|n| self.claims[*n].0.state.is_present());
-            if self.order.is_empty() {
-                let here = |n: &usize| *n != self.me && self.claims[*n].0.state.is_present();
-                self.order = (0..self.claims.len()).filter(here).collect();
-                self.rng.shuffle(&mut self.order);
+        if now >= self.next_send {
+            self.next_send = now + self.period;
+            self.target_order
+                .retain(|n| self.claims[*n].0.state.is_present());
+            if self.target_order.is_empty() {
+                let is_present =
+                    |n: &usize| *n != self.own_number && self.claims[*n].0.state.is_present();
+                self.target_order = (0..self.claims.len()).filter(is_present).collect();
+                self.rng.shuffle(&mut self.target_order);
             }
-            if let Some(target) = self.order.pop().filter(|_| self.probe.is_none()) {
-                self.seq += 1;
+            if let Some(target) = self.target_order.pop().filter(|_| self.probe.is_none()) {
+                self.sequence += 1;
                 let third = self.period / 3;
-                self.probe = Some((self.seq, target, now + third, now + self.period - 1));
+                self.probe = Some((self.sequence, target, now + third, now + self.period - 1));
                 self.send(
                     target,
                     Payload::Ping(Ping {
-                        sequence: self.seq,
+                        sequence: self.sequence,
                         target: String::new(),
                     }),
                     out,
@@ -321,26 +334,31 @@
         }
     }
 
-    fn next(&self) -> Micros {
-        self.probe.map_or(self.at, |(_, _, ask, end)| {
-            self.at.min(if ask > 0 { ask } else { end })
-        })
+    fn next_timeout(&self) -> Micros {
+        self.probe
+            .map_or(self.next_send, |(_, _, relay_after, deadline)| {
+                self.next_send.min(if relay_after > 0 {
+                    relay_after
+                } else {
+                    deadline
+                })
+            })
     }
 
-    fn here(&self) -> Vec<&str> {
-        let here = |n: &usize| *n != self.me && self.claims[*n].0.state.is_present();
+    fn present_members(&self) -> Vec<&str> {
+        let is_present = |n: &usize| *n != self.own_number && self.claims[*n].0.state.is_present();
         (0..self.claims.len())
-            .filter(here)
+            .filter(is_present)
             .map(|n| self.names[n].as_str())
             .collect()
     }
 
-    fn holds(&self, name: &str) -> bool {
+    fn considers_present(&self, name: &str) -> bool {
         self.number(name)
-            .is_some_and(|n| n != self.me && self.claims[n].0.state.is_present())
+            .is_some_and(|n| n != self.own_number && self.claims[n].0.state.is_present())
     }
 
     fn sent_bytes(&self) -> u64 {
-        self.sent
+        self.sent_bytes
     }
 }
--- a/crates/fault-injection/src/effects.rs
+++ b/crates/fault-injection/src/effects.rs
@@ -3,7 +3,7 @@
 //! the proxies.
 
 use crate::serving::{read_frame, RESPONSE_FRAME};
-use meadowrill_test_servers::ask;
+use meadowrill_test_servers::request_frame;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::io::Write;
@@ -236,7 +236,7 @@
                 ("item", &key_text[16..]),
                 ("slice", "0"),
             ];
-            let request = ask(self.last_request, "book", &fields, b"");
+            let request = request_frame(self.last_request, "book", &fields, b"");
             self.counts.sent.fetch_add(1, Relaxed);
             let response = stream
                 .write_all(&request)
--- a/crates/fault-injection/src/events/purge_generator.rs
+++ b/crates/fault-injection/src/events/purge_generator.rs
@@ -4,7 +4,7 @@
 use super::numbering::object_of;
 use meadowrill_event_distribution::settings::{MILLISECOND, SECOND};
 use meadowrill_event_distribution::Micros;
-use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::journal::PublishingJournal;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,11 @@
 
 impl PurgeGenerator {
     /// Starts to issue `per_second` purges a second.
-    pub fn start(journal: Speaking, per_second: u32, clock: SharedClock) -> PurgeGenerator {
+    pub fn start(
+        journal: PublishingJournal,
+        per_second: u32,
+        clock: SharedClock,
+    ) -> PurgeGenerator {
         let (stopping, issued_at) = (
             Arc::new(AtomicBool::new(false)),
             Arc::<Mutex<Vec<Micros>>>::default(),
@@ -42,7 +46,7 @@
                 // Stamps of the journal service are in whole milliseconds.
                 let stamp = now.div_euclid(MILLISECOND);
                 journal
-                    .tell(json!({"expire": {"name": format!("{:016x}", object_of(number)), "stamp": stamp}}));
+                    .publish(json!({"expire": {"name": format!("{:016x}", object_of(number)), "stamp": stamp}}));
             }
         });
         PurgeGenerator {
--- a/crates/fault-injection/src/events/relays.rs
+++ b/crates/fault-injection/src/events/relays.rs
@@ -3,7 +3,7 @@
 use super::layout::{region_name, region_of, relay_name, zone_name, zone_of};
 use crate::relay::Fault;
 use crate::relay::LinkRelays as NetworkEmulator;
-use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::journal::PublishingJournal;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -314,7 +314,7 @@
 /// All relays of a run, the emulated network between them, and the test journal service that the publisher follows.
 pub struct RelayFleet {
     /// The test journal service.
-    pub journal: Speaking,
+    pub journal: PublishingJournal,
     network: NetworkEmulator,
     processes: Vec<RelayProcess>,
     listen: Vec<SocketAddr>,
@@ -335,7 +335,7 @@
     ) -> io::Result<RelayFleet> {
         let port = TcpListener::bind("127.0.0.1:0")?;
         let [high, low] = port.local_addr()?.port().to_be_bytes();
-        let journal = Speaking::start();
+        let journal = PublishingJournal::start();
         let network = NetworkEmulator::start(count, seed)?;
         let folder = tempfile::tempdir()?;
         let address = |relay: usize| RelayAddress {
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -5,7 +5,7 @@
 };
 use crate::relay::{LinkRelays, MAX_MEMBERS};
 use crate::{proxy_name, unix_time};
-use meadowrill_test_servers::journal::Speaking;
+use meadowrill_test_servers::journal::PublishingJournal;
 use meadowrill_test_servers::program::{member, Site};
 use meadowrill_test_servers::service::{Directory, Service};
 use rustix::process::{kill_process, Pid, Signal};
@@ -103,10 +103,10 @@
     parent: Service,
     pub origin: Service,
     /// One journal service for the first proxy and one for all other proxies.
-    journals: [Speaking; 2],
+    journals: [PublishingJournal; 2],
     event_relays: Vec<RelayProcess>,
     /// Journal service that the publishing relay follows.
-    publisher_journal: Speaking,
+    publisher_journal: PublishingJournal,
     /// Earlier processes of names for which a second process has been started.
     superseded: Vec<Child>,
     /// Reserves the subnet for this run: its octets are the number of this port, which only one run can hold.
@@ -175,9 +175,9 @@
             caches,
             parent,
             origin,
-            journals: [Speaking::start(), Speaking::start()],
+            journals: [PublishingJournal::start(), PublishingJournal::start()],
             event_relays: Vec::new(),
-            publisher_journal: Speaking::start(),
+            publisher_journal: PublishingJournal::start(),
             superseded: Vec::new(),
             _subnet_port: subnet_port,
             options,
@@ -192,7 +192,7 @@
         }
         self.caches
             .iter()
-            .for_each(|cache| cache.heed_within(RELAYED_PURGE_DEADLINE));
+            .for_each(|cache| cache.set_purge_grace(RELAYED_PURGE_DEADLINE));
         let events = self.events_settings();
         for relay in 0..self.options.relays {
             let member = self.options.proxies + relay;
@@ -399,7 +399,7 @@
         let journals = &self.journals[..if to_all { 2 } else { 1 }];
         journals
             .iter()
-            .for_each(|journal| journal.tell(event.clone()));
+            .for_each(|journal| journal.publish(event.clone()));
     }
 
     /// Publishes a purge of an object: through the publishing relay alone if there are relays, otherwise to the first
@@ -408,21 +408,21 @@
         let stamp = meadowrill_test_servers::now_ms();
         self.caches
             .iter()
-            .for_each(|cache| cache.purged(item, stamp));
+            .for_each(|cache| cache.record_purge(item, stamp));
         let event = json!({"expire": {"name": item, "stamp": stamp as u64}});
         if self.event_relays.is_empty() {
             return self.publish_event(&event, to_all);
         }
-        self.publisher_journal.tell(event);
+        self.publisher_journal.publish(event);
     }
 
     /// Requests and fills since the start of the fleet.
     pub fn request_counts(&self) -> RequestCounts {
         RequestCounts {
-            caches: self.caches.iter().map(Service::answered).sum(),
+            caches: self.caches.iter().map(Service::responses).sum(),
             fills: self.caches.iter().map(Service::fills).sum(),
-            parent: self.parent.answered(),
-            origin: self.origin.answered(),
+            parent: self.parent.responses(),
+            origin: self.origin.responses(),
         }
     }
 
@@ -435,7 +435,10 @@
 
     /// Requests to caches that accepted a copy from before a purge after the time limit for that purge.
     pub fn stale_copies_allowed(&self) -> u64 {
-        self.caches.iter().map(Service::old_let_through).sum()
+        self.caches
+            .iter()
+            .map(Service::outdated_copies_allowed)
+            .sum()
     }
 
     /// Announces that a cache is draining, to the first proxy alone or, with `to_all`, to all proxies.
@@ -455,7 +458,7 @@
 
     /// Number of requests that the cache has answered so far.
     pub fn cache_requests(&self, cache: usize) -> u64 {
-        self.caches[cache % CACHE_COUNT].answered()
+        self.caches[cache % CACHE_COUNT].responses()
     }
 
     /// Answer of the proxy's operator socket to a query; none if it fails or the proxy is not running.
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -13,7 +13,7 @@
 use meadowrill_fault_injection::events::scenario::{Length, Scenario, NAMES};
 use meadowrill_fault_injection::events::subscribers;
 use meadowrill_fault_injection::script::{draw, play, shrink, Tools};
-use meadowrill_fault_injection::shared::first_wrong;
+use meadowrill_fault_injection::shared::first_violation;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -312,7 +312,7 @@
             }
         },
         Subcommands::Model { seeds } => {
-            if let Some(violation) = first_wrong(seeds) {
+            if let Some(violation) = first_violation(seeds) {
                 failure_count += 1;
                 println!("{violation}");
             }
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -585,7 +585,7 @@
                 if !effects.wait_until_sent(Duration::from_secs(40)) {
                     return Err("not all scheduled requests were sent".into());
                 }
-                let runs = self.fleet.origin.runs();
+                let runs = self.fleet.origin.executions();
                 let repeated = runs.values().filter(|n| **n > 1).count();
                 let maximum: usize = word(1).parse().unwrap_or(0);
                 let summary = effects.counts.summary();
--- a/crates/fault-injection/src/serving.rs
+++ b/crates/fault-injection/src/serving.rs
@@ -1,7 +1,7 @@
 //! Clients that send lookups during the faults. Each client sends one lookup after the other to one proxy, and goes to
 //! another proxy when it gets no connection. Requests and responses are counted.
 
-use meadowrill_test_servers::{ask, frame};
+use meadowrill_test_servers::{frame, request_frame};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -110,7 +110,7 @@
             format!("{client_number:08x}{request_number:08x}"),
             format!("{:016x}", rng.u64(0..400)),
         );
-        let request = ask(
+        let request = request_frame(
             request_number,
             "map",
             &[("txn", &txn), ("item", &item), ("slice", "0")],
--- a/crates/fault-injection/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -1,6 +1,7 @@
-//! Shared state in one process: real replicas, a network that loses and is cut, fronts that die, pause and start again,
-//! an origin that drops repeats for a while, and clients that come again elsewhere; by seed, on a clock of its own. The
-//! view of the fleet is played by what each could reach lately.
+//! Shared state in one process: real replicas, a network that loses messages and is partitioned, proxies that die,
+//! pause and restart, an origin that ignores repeats of a key for a time, and clients that retry at other proxies. It
+//! runs on a simulated clock and is deterministic by seed. In place of the membership view, a proxy considers another
+//! one alive if it could reach it recently.
 
 use crate::proxy_name;
 use meadowrill_replication::ledger::{Decision, RequestOutcome, RequestTerms};
@@ -12,259 +13,266 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const BEGIN: Micros = 1_700_000_000 * SEC;
-/// One that was not reached for so long is held to be dead; each looks this often.
-const DEAD: Micros = 800_000;
-const LOOK: Micros = 100_000;
-/// On the way, at least and at most more.
+const START_TIME: Micros = 1_700_000_000 * SEC;
+/// Time without contact after which a proxy is considered dead, and the interval of membership updates.
+const DEATH_TIMEOUT: Micros = 800_000;
+const MEMBERSHIP_INTERVAL: Micros = 100_000;
+/// Minimum transit time of a message, and the bound of the random time that is added to it.
 const DELAY: Micros = 500;
 const JITTER: Micros = 3000;
-/// The origin: how long a run takes, and how long it drops repeats of a key.
-const RUN: Micros = 4000;
-pub const WINDOW: Micros = 3 * SEC;
-/// Clients: how long they wait, and the latency budget.
-pub const PATIENCE: Micros = 2 * SEC;
-pub const BUDGET: Micros = 500_000;
+/// Time of an execution at the origin, and the time during which the origin ignores repeats of a key.
+const EXECUTION_TIME: Micros = 4000;
+pub const DEDUP_WINDOW: Micros = 3 * SEC;
+/// How long clients wait, and their latency budget.
+pub const CLIENT_TIMEOUT: Micros = 2 * SEC;
+pub const LATENCY_BUDGET: Micros = 500_000;
 
 struct Node {
     replica: Option<Replica>,
     start: u64,
-    paused: Micros,
-    kept: Vec<Vec<u8>>,
-    armed: Micros,
-    /// When each other was reached last.
-    reached: BTreeMap<usize, Micros>,
+    paused_until: Micros,
+    queued: Vec<Vec<u8>>,
+    scheduled_tick: Micros,
+    /// When each other proxy was reachable last.
+    last_reached: BTreeMap<usize, Micros>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum Event {
     Tick(usize, u64),
-    Arrive(usize, Vec<u8>),
-    Look(usize, u64),
+    Deliver(usize, Vec<u8>),
+    UpdateMembership(usize, u64),
     Resume(usize),
-    /// A send has come to the origin.
-    Run(usize, u64, u64),
-    /// Its answer has come back, or its time is up.
-    Ended(usize, u64, u64, bool),
-    /// A client asks.
-    Ask(usize, u64),
+    /// An attempt has arrived at the origin.
+    Execute(usize, u64, u64),
+    /// The response has arrived, or the attempt has timed out.
+    RequestEnded(usize, u64, u64, bool),
+    /// A client sends a request.
+    SendRequest(usize, u64),
 }
 
-/// A lookup at one front: its key, and whether its client still waits.
+/// An open request at a proxy: the start number of the proxy, and the key.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenRequest {
     start: u64,
     key: u64,
 }
 
+/// Counts of the requests of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    pub asked: u64,
+pub struct RequestCounts {
+    pub requests: u64,
     pub served: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
-    /// Of keys: how often each ran at the origin.
-    pub runs: BTreeMap<u64, u32>,
-    /// Lookups that got two words.
-    pub twice: u64,
+    /// Number of executions at the origin by key.
+    pub executions: BTreeMap<u64, u32>,
+    /// Decisions on requests that had already ended.
+    pub duplicate_decisions: u64,
 }
 
-impl Seen {
-    pub fn ran_twice(&self) -> usize {
-        self.runs.values().filter(|n| **n > 1).count()
+impl RequestCounts {
+    /// Number of keys that were executed more than once.
+    pub fn executed_twice(&self) -> usize {
+        self.executions.values().filter(|n| **n > 1).count()
     }
 }
 
-pub struct Shared {
+/// A simulated fleet of proxies that replicate the shared state.
+pub struct ReplicaFleet {
     pub now: Micros,
-    pub plan: ReplicationSettings,
+    pub settings: ReplicationSettings,
     pub loss: f64,
-    pub seen: Seen,
+    pub counts: RequestCounts,
     nodes: Vec<Node>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Next)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     serial: u64,
     rng: fastrand::Rng,
-    sides: Option<Vec<u8>>,
-    open: BTreeMap<u64, Open>,
-    tokens: u64,
-    /// When the origin ran each key last.
-    ran_at: BTreeMap<u64, Micros>,
-    /// Share of answers that are lost on the way from the origin.
-    pub answers_lost: f64,
+    partitions: Option<Vec<u8>>,
+    open_requests: BTreeMap<u64, OpenRequest>,
+    last_token: u64,
+    /// When the origin executed each key last.
+    last_executed: BTreeMap<u64, Micros>,
+    /// Share of responses of the origin that are lost.
+    pub response_loss: f64,
     seed: u64,
 }
 
-impl Shared {
-    pub fn new(many: usize, plan: ReplicationSettings, seed: u64) -> Shared {
+impl ReplicaFleet {
+    pub fn new(proxies: usize, settings: ReplicationSettings, seed: u64) -> ReplicaFleet {
         let node = |_| Node {
             replica: None,
             start: 0,
-            paused: 0,
-            kept: Vec::new(),
-            armed: 0,
-            reached: BTreeMap::new(),
+            paused_until: 0,
+            queued: Vec::new(),
+            scheduled_tick: 0,
+            last_reached: BTreeMap::new(),
         };
-        Shared {
-            now: BEGIN,
-            plan,
+        ReplicaFleet {
+            now: START_TIME,
+            settings,
             loss: 0.0,
-            seen: Seen::default(),
-            nodes: (0..many).map(node).collect(),
+            counts: RequestCounts::default(),
+            nodes: (0..proxies).map(node).collect(),
             queue: BinaryHeap::new(),
             serial: 0,
             rng: fastrand::Rng::with_seed(seed),
-            sides: None,
-            open: BTreeMap::new(),
-            tokens: 0,
-            ran_at: BTreeMap::new(),
-            answers_lost: 0.0,
+            partitions: None,
+            open_requests: BTreeMap::new(),
+            last_token: 0,
+            last_executed: BTreeMap::new(),
+            response_loss: 0.0,
             seed,
         }
     }
 
-    pub fn many(&self) -> usize {
+    pub fn proxies(&self) -> usize {
         self.nodes.len()
     }
 
-    fn at(&mut self, at: Micros, next: Next) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.serial += 1;
-        self.queue.push(Reverse((at, self.serial, next)));
+        self.queue.push(Reverse((at, self.serial, event)));
     }
 
     pub fn start(&mut self, n: usize) {
         let start = self.now as u64;
         let replica = Replica::new(
-            self.plan.clone(),
+            self.settings.clone(),
             &proxy_name(n),
             start,
             self.now,
             self.seed ^ n as u64,
         );
-        let reached = BTreeMap::new();
+        let last_reached = BTreeMap::new();
         self.nodes[n] = Node {
             replica: Some(replica),
             start,
-            paused: 0,
-            kept: Vec::new(),
-            armed: 0,
-            reached,
+            paused_until: 0,
+            queued: Vec::new(),
+            scheduled_tick: 0,
+            last_reached,
         };
-        self.at(self.now, Next::Look(n, start));
-        self.arm(n);
+        self.schedule(self.now, Event::UpdateMembership(n, start));
+        self.schedule_tick(n);
     }
 
     pub fn start_all(&mut self) {
-        (0..self.many()).for_each(|n| self.start(n));
+        (0..self.proxies()).for_each(|n| self.start(n));
     }
 
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].replica = None;
     }
 
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.nodes[n].replica.is_some()
     }
 
     pub fn pause(&mut self, n: usize, span: Micros) {
-        self.nodes[n].paused = self.now + span;
-        self.at(self.now + span, Next::Resume(n));
+        self.nodes[n].paused_until = self.now + span;
+        self.schedule(self.now + span, Event::Resume(n));
     }
 
     pub fn split(&mut self, side: impl Fn(usize) -> u8) {
-        self.sides = Some((0..self.many()).map(side).collect());
+        self.partitions = Some((0..self.proxies()).map(side).collect());
     }
 
     pub fn heal(&mut self) {
-        self.sides = None;
+        self.partitions = None;
     }
 
     pub fn replica(&self, n: usize) -> Option<&Replica> {
         self.nodes[n].replica.as_ref()
     }
 
-    /// Something that a front itself says.
-    pub fn say<T>(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros) -> T) -> Option<T> {
+    /// Applies `step` to the replica of a proxy, such as the publication of a record; `None` if the proxy does not run.
+    pub fn update_replica<T>(
+        &mut self,
+        n: usize,
+        step: impl FnOnce(&mut Replica, Micros) -> T,
+    ) -> Option<T> {
         let now = self.now;
-        let said = self.nodes[n]
+        let result = self.nodes[n]
             .replica
             .as_mut()
             .map(|replica| step(replica, now));
-        self.arm(n);
-        said
+        self.schedule_tick(n);
+        result
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        self.sides.as_ref().is_none_or(|s| s[from] == s[to])
+        self.partitions.as_ref().is_none_or(|s| s[from] == s[to])
     }
 
-    fn arm(&mut self, n: usize) {
+    fn schedule_tick(&mut self, n: usize) {
         let Some(replica) = &self.nodes[n].replica else {
             return;
         };
         let at = replica.next_wake().max(self.now + 1);
-        if self.nodes[n].armed != at {
-            self.nodes[n].armed = at;
+        if self.nodes[n].scheduled_tick != at {
+            self.nodes[n].scheduled_tick = at;
             let start = self.nodes[n].start;
-            self.at(at, Next::Tick(n, start));
+            self.schedule(at, Event::Tick(n, start));
         }
     }
 
-    fn step(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros, &mut Vec<Action>)) {
+    fn run_replica(&mut self, n: usize, step: impl FnOnce(&mut Replica, Micros, &mut Vec<Action>)) {
         let now = self.now;
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         if let Some(replica) = &mut self.nodes[n].replica {
-            step(replica, now, &mut acts);
+            step(replica, now, &mut actions);
         }
-        for act in acts {
-            match act {
-                Action::SendDatagram { to, bytes } => self.post(n, &to, bytes, self.loss),
-                Action::SendStream { to, bytes } => self.post(n, &to, bytes, 0.0),
-                Action::Decision(word) => self.word(n, word),
+        for action in actions {
+            match action {
+                Action::SendDatagram { to, bytes } => self.send_message(n, &to, bytes, self.loss),
+                Action::SendStream { to, bytes } => self.send_message(n, &to, bytes, 0.0),
+                Action::Decision(decision) => self.apply_decision(n, decision),
                 _ => {}
             }
         }
-        self.arm(n);
+        self.schedule_tick(n);
     }
 
-    fn post(&mut self, from: usize, to: &str, bytes: Vec<u8>, loss: f64) {
+    fn send_message(&mut self, from: usize, to: &str, bytes: Vec<u8>, loss: f64) {
         let Some(to) = to
             .strip_prefix("front-")
             .and_then(|n| n.parse::<usize>().ok())
         else {
             return;
         };
-        if to < self.many() && self.reaches(from, to) && self.rng.f64() >= loss {
+        if to < self.proxies() && self.reaches(from, to) && self.rng.f64() >= loss {
             let at = self.now + DELAY + self.rng.i64(0..JITTER);
-            self.at(at, Next::Arrive(to, bytes));
+            self.schedule(at, Event::Deliver(to, bytes));
         }
     }
 
-    /// A client asks at a front; true if that runs.
-    pub fn ask(&mut self, n: usize, key: u64) {
-        self.at(self.now, Next::Ask(n, key));
+    /// Schedules a request of a client at a proxy; a proxy that does not run ignores it.
+    pub fn send_request(&mut self, n: usize, key: u64) {
+        self.schedule(self.now, Event::SendRequest(n, key));
     }
 
-    fn asks(&mut self, n: usize, key: u64) {
-        if !self.runs(n) || self.now < self.nodes[n].paused {
+    fn begin_request(&mut self, n: usize, key: u64) {
+        if !self.is_running(n) || self.now < self.nodes[n].paused_until {
             return;
         }
-        self.seen.asked += 1;
-        self.tokens += 1;
-        let (token, start) = (self.tokens, self.nodes[n].start);
-        self.open.insert(token, Open { start, key });
+        self.counts.requests += 1;
+        self.last_token += 1;
+        let (token, start) = (self.last_token, self.nodes[n].start);
+        self.open_requests.insert(token, OpenRequest { start, key });
         let terms = RequestTerms {
-            deadline: self.now + PATIENCE,
-            latency_budget: BUDGET,
-            dedup_window: WINDOW,
+            deadline: self.now + CLIENT_TIMEOUT,
+            latency_budget: LATENCY_BUDGET,
+            dedup_window: DEDUP_WINDOW,
         };
-        let name = key.to_be_bytes();
-        let has = self.plan.ledger.is_some();
-        if has {
-            self.step(n, |replica, now, acts| {
-                replica.begin_request(now, token, &name, terms, acts);
+        let key_bytes = key.to_be_bytes();
+        let has_ledger = self.settings.ledger.is_some();
+        if has_ledger {
+            self.run_replica(n, |replica, now, actions| {
+                replica.begin_request(now, token, &key_bytes, terms, actions);
             });
         } else {
-            self.word(
+            self.apply_decision(
                 n,
                 Decision::Admit {
                     token,
@@ -275,62 +283,64 @@
         }
     }
 
-    fn word(&mut self, n: usize, word: Decision) {
-        match word {
+    fn apply_decision(&mut self, n: usize, decision: Decision) {
+        match decision {
             Decision::Admit { token, .. } => {
-                let Some(open) = self.open.get(&token) else {
-                    return self.seen.twice += 1;
+                let Some(request) = self.open_requests.get(&token) else {
+                    return self.counts.duplicate_decisions += 1;
                 };
-                let start = open.start;
+                let start = request.start;
                 let at = self.now + DELAY + self.rng.i64(0..JITTER);
-                self.at(at, Next::Run(n, start, token));
+                self.schedule(at, Event::Execute(n, start, token));
+            }
+            Decision::Replay { token, .. } => self.end_request(token, |counts| &mut counts.served),
+            Decision::Fail { token } => self.end_request(token, |counts| &mut counts.failed),
+            Decision::Reject { token, .. } => {
+                self.end_request(token, |counts| &mut counts.rejected)
             }
-            Decision::Replay { token, .. } => self.final_word(token, |seen| &mut seen.served),
-            Decision::Fail { token } => self.final_word(token, |seen| &mut seen.failed),
-            Decision::Reject { token, .. } => self.final_word(token, |seen| &mut seen.refused),
         }
     }
 
-    fn final_word(&mut self, token: u64, count: impl FnOnce(&mut Seen) -> &mut u64) {
-        match self.open.remove(&token) {
-            Some(_) => *count(&mut self.seen) += 1,
-            None => self.seen.twice += 1,
+    fn end_request(&mut self, token: u64, count: impl FnOnce(&mut RequestCounts) -> &mut u64) {
+        match self.open_requests.remove(&token) {
+            Some(_) => *count(&mut self.counts) += 1,
+            None => self.counts.duplicate_decisions += 1,
         }
     }
 
-    /// The send is at the origin, whatever became of the front since.
-    fn run_at_origin(&mut self, n: usize, start: u64, token: u64) {
-        let Some(key) = self.open.get(&token).map(|open| open.key) else {
+    /// The attempt is at the origin, whether or not the proxy still runs.
+    fn execute_at_origin(&mut self, n: usize, start: u64, token: u64) {
+        let Some(key) = self.open_requests.get(&token).map(|request| request.key) else {
             return;
         };
-        let fresh = self
-            .ran_at
+        let expired = self
+            .last_executed
             .get(&key)
-            .is_none_or(|at| self.now > at + WINDOW);
-        if fresh {
-            self.ran_at.insert(key, self.now);
-            *self.seen.runs.entry(key).or_default() += 1;
+            .is_none_or(|at| self.now > at + DEDUP_WINDOW);
+        if expired {
+            self.last_executed.insert(key, self.now);
+            *self.counts.executions.entry(key).or_default() += 1;
         }
-        let lost = self.rng.f64() < self.answers_lost;
+        let lost = self.rng.f64() < self.response_loss;
         let at = self.now
             + if lost {
-                PATIENCE - 100_000
+                CLIENT_TIMEOUT - 100_000
             } else {
-                RUN + DELAY
+                EXECUTION_TIME + DELAY
             };
-        self.at(at, Next::Ended(n, start, token, !lost));
+        self.schedule(at, Event::RequestEnded(n, start, token, !lost));
     }
 
-    fn ended(&mut self, n: usize, start: u64, token: u64, good: bool) {
-        if !self.runs(n) || self.nodes[n].start != start {
-            self.open.remove(&token);
+    fn finish_request(&mut self, n: usize, start: u64, token: u64, succeeded: bool) {
+        if !self.is_running(n) || self.nodes[n].start != start {
+            self.open_requests.remove(&token);
             return;
         }
-        if self.now < self.nodes[n].paused {
-            let at = self.nodes[n].paused + 1;
-            return self.at(at, Next::Ended(n, start, token, good));
+        if self.now < self.nodes[n].paused_until {
+            let at = self.nodes[n].paused_until + 1;
+            return self.schedule(at, Event::RequestEnded(n, start, token, succeeded));
         }
-        let end = if good {
+        let outcome = if succeeded {
             RequestOutcome::Ran {
                 current: false,
                 body: vec![7; 20],
@@ -338,40 +348,40 @@
         } else {
             RequestOutcome::MayHaveRun
         };
-        self.step(n, |replica, now, acts| {
-            replica.finish_request(now, token, end, acts)
+        self.run_replica(n, |replica, now, actions| {
+            replica.finish_request(now, token, outcome, actions)
         });
-        self.final_word(token, |seen| {
-            if good {
-                &mut seen.served
+        self.end_request(token, |counts| {
+            if succeeded {
+                &mut counts.served
             } else {
-                &mut seen.failed
+                &mut counts.failed
             }
         });
     }
 
-    /// What the view of the fleet would say.
-    fn look(&mut self, n: usize) {
+    /// Updates the membership of a replica, in place of the membership view.
+    fn update_membership(&mut self, n: usize) {
         let now = self.now;
-        for m in (0..self.many()).filter(|m| *m != n) {
-            if self.reaches(n, m) && self.runs(m) && now >= self.nodes[m].paused {
-                self.nodes[n].reached.insert(m, now);
+        for m in (0..self.proxies()).filter(|m| *m != n) {
+            if self.reaches(n, m) && self.is_running(m) && now >= self.nodes[m].paused_until {
+                self.nodes[n].last_reached.insert(m, now);
             }
         }
         let peer = |(m, at): (&usize, &Micros)| Peer {
             name: proxy_name(*m),
             incarnation: self.nodes[*m].start,
-            alive: now < *at + DEAD,
+            alive: now < *at + DEATH_TIMEOUT,
             left: false,
             zone: format!("zone-{}", m % 2),
             round_trip: Some(1000.0),
             replicates: true,
-            votes: self.plan.ledger.is_some(),
+            votes: self.settings.ledger.is_some(),
         };
-        let peers: Vec<Peer> = self.nodes[n].reached.iter().map(peer).collect();
-        let joined = !peers.is_empty() || self.many() == 1;
-        self.step(n, |replica, now, acts| {
-            replica.update_membership(now, joined, peers, acts)
+        let peers: Vec<Peer> = self.nodes[n].last_reached.iter().map(peer).collect();
+        let joined = !peers.is_empty() || self.proxies() == 1;
+        self.run_replica(n, |replica, now, actions| {
+            replica.update_membership(now, joined, peers, actions)
         });
     }
 
@@ -379,76 +389,85 @@
         self.run_until(self.now + span, |_| false);
     }
 
-    /// Runs so long, or until that holds; looked at every 20 ms.
-    pub fn run_until(&mut self, end: Micros, done: impl Fn(&Shared) -> bool) -> Option<Micros> {
-        let mut look = self.now;
+    /// Runs until `end`, or until `done` holds, which is checked every 20 ms. Returns the time at which it held.
+    pub fn run_until(
+        &mut self,
+        end: Micros,
+        done: impl Fn(&ReplicaFleet) -> bool,
+    ) -> Option<Micros> {
+        let mut next_check = self.now;
         while let Some(Reverse((at, ..))) = self.queue.peek() {
             let at = *at;
             if at > end {
                 break;
             }
-            while look <= at {
+            while next_check <= at {
                 if done(self) {
                     return Some(self.now);
                 }
-                look += 20_000;
+                next_check += 20_000;
             }
-            let Some(Reverse((_, _, next))) = self.queue.pop() else {
+            let Some(Reverse((_, _, event))) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.take(at, next);
+            self.handle_event(at, event);
         }
         self.now = end;
         done(self).then_some(end)
     }
 
-    fn take(&mut self, at: Micros, next: Next) {
-        match next {
-            Next::Arrive(n, bytes) => {
-                if self.now < self.nodes[n].paused {
-                    return self.nodes[n].kept.push(bytes);
+    fn handle_event(&mut self, at: Micros, event: Event) {
+        match event {
+            Event::Deliver(n, bytes) => {
+                if self.now < self.nodes[n].paused_until {
+                    return self.nodes[n].queued.push(bytes);
                 }
-                self.step(n, |replica, now, acts| {
-                    replica.receive_message(now, &bytes, acts)
+                self.run_replica(n, |replica, now, actions| {
+                    replica.receive_message(now, &bytes, actions)
                 });
             }
-            Next::Look(n, start) => {
-                if self.nodes[n].start == start && self.runs(n) {
-                    if self.now >= self.nodes[n].paused {
-                        self.look(n);
+            Event::UpdateMembership(n, start) => {
+                if self.nodes[n].start == start && self.is_running(n) {
+                    if self.now >= self.nodes[n].paused_until {
+                        self.update_membership(n);
                     }
-                    self.at(self.now + LOOK, Next::Look(n, start));
+                    self.schedule(
+                        self.now + MEMBERSHIP_INTERVAL,
+                        Event::UpdateMembership(n, start),
+                    );
                 }
             }
-            Next::Resume(n) => {
-                self.step(n, |replica, now, acts| {
-                    replica.resume_after_pause(now, acts)
+            Event::Resume(n) => {
+                self.run_replica(n, |replica, now, actions| {
+                    replica.resume_after_pause(now, actions)
                 });
-                self.nodes[n].armed = 0;
-                self.step(n, |replica, now, acts| replica.tick(now, acts));
-                let kept = std::mem::take(&mut self.nodes[n].kept);
-                for bytes in kept {
-                    self.step(n, |replica, now, acts| {
-                        replica.receive_message(now, &bytes, acts)
+                self.nodes[n].scheduled_tick = 0;
+                self.run_replica(n, |replica, now, actions| replica.tick(now, actions));
+                let queued = std::mem::take(&mut self.nodes[n].queued);
+                for bytes in queued {
+                    self.run_replica(n, |replica, now, actions| {
+                        replica.receive_message(now, &bytes, actions)
                     });
                 }
             }
-            Next::Tick(n, start) => {
+            Event::Tick(n, start) => {
                 let node = &mut self.nodes[n];
-                if node.start == start && node.armed == at && at >= node.paused {
-                    node.armed = 0;
-                    self.step(n, |replica, now, acts| replica.tick(now, acts));
+                if node.start == start && node.scheduled_tick == at && at >= node.paused_until {
+                    node.scheduled_tick = 0;
+                    self.run_replica(n, |replica, now, actions| replica.tick(now, actions));
                 }
             }
-            Next::Run(n, start, token) => self.run_at_origin(n, start, token),
-            Next::Ended(n, start, token, good) => self.ended(n, start, token, good),
-            Next::Ask(n, key) => self.asks(n, key),
+            Event::Execute(n, start, token) => self.execute_at_origin(n, start, token),
+            Event::RequestEnded(n, start, token, succeeded) => {
+                self.finish_request(n, start, token, succeeded)
+            }
+            Event::SendRequest(n, key) => self.begin_request(n, key),
         }
     }
 
-    /// Whether all that run hold the same.
-    pub fn equal(&self) -> bool {
+    /// Whether all running replicas have the same digest.
+    pub fn has_converged(&self) -> bool {
         let mut digests = self
             .nodes
             .iter()
@@ -466,8 +485,8 @@
             .sum()
     }
 
-    /// Whether all that run have caught up and vouch.
-    pub fn vouching(&self) -> bool {
+    /// Whether all running replicas have caught up and, with a ledger, can vote.
+    pub fn all_caught_up(&self) -> bool {
         self.nodes
             .iter()
             .filter_map(|n| n.replica.as_ref())
@@ -482,119 +501,130 @@
     }
 }
 
-/// What the state says has to hold in one process, for broken builds: the first thing that does not.
-pub fn first_wrong(seeds: u64) -> Option<String> {
-    let plan = ReplicationSettings {
+/// Checks the guarantees of the shared state in one process, to detect mutants; returns the first violation.
+pub fn first_violation(seeds: u64) -> Option<String> {
+    let settings = ReplicationSettings {
         ledger: Some(meadowrill_replication::settings::LedgerSettings::default()),
         ..ReplicationSettings::default()
     };
     for seed in 0..seeds {
-        let mut shared = Shared::new(12, ReplicationSettings::default(), seed);
-        shared.start_all();
-        shared.run(5 * SEC);
-        let stamp = shared.now;
-        shared.say(3, |replica, now| {
+        let mut fleet = ReplicaFleet::new(12, ReplicationSettings::default(), seed);
+        fleet.start_all();
+        fleet.run(5 * SEC);
+        let stamp = fleet.now;
+        fleet.update_replica(3, |replica, now| {
             replica.publish_purge(now, Some(seed), 0, stamp)
         });
-        // The same object again, from another that has not heard yet: the latest stands at all.
-        shared.say(7, |replica, now| {
+        // The same object again, with an earlier time, from a proxy that has not received the purge: the latest purge
+        // must remain everywhere.
+        fleet.update_replica(7, |replica, now| {
             replica.publish_purge(now, Some(seed), 0, stamp - 5 * SEC)
         });
-        shared.run(SEC / 2);
-        let latest = |m: &Map| {
+        fleet.run(SEC / 2);
+        let has_latest = |m: &Map| {
             m.of_type(RecordType::Purge)
                 .all(|(_, e)| e.rank.0 == stamp as u64)
         };
-        if !shared
+        if !fleet
             .maps()
-            .all(|map| map.of_type(RecordType::Purge).count() == 1 && latest(map))
+            .all(|map| map.of_type(RecordType::Purge).count() == 1 && has_latest(map))
         {
             return Some(format!(
-                "seed {seed}: a purge is not known to all after half a second"
+                "seed {seed}: a purge has not reached all proxies after 0.5 s"
             ));
         }
-        let faults = Faults {
-            many: 8,
+        let scenario = FaultScenario {
+            proxies: 8,
             seconds: 30,
             keys_per_s: 50,
             kills: true,
-            splits: true,
+            partitions: true,
             pauses: true,
         };
-        let mut run = effects(faults, plan.clone(), seed);
-        if run.seen.ran_twice() > 0 {
+        let mut faulty_fleet = run_with_random_faults(scenario, settings.clone(), seed);
+        if faulty_fleet.counts.executed_twice() > 0 {
             return Some(format!(
-                "seed {seed}: {} marks ran twice",
-                run.seen.ran_twice()
+                "seed {seed}: {} idempotency keys were executed twice",
+                faulty_fleet.counts.executed_twice()
             ));
         }
-        if run.run_until(run.now + 5 * SEC, Shared::equal).is_none() {
-            return Some(format!("seed {seed}: not equal 5 s after the last lookup"));
+        if faulty_fleet
+            .run_until(faulty_fleet.now + 5 * SEC, ReplicaFleet::has_converged)
+            .is_none()
+        {
+            return Some(format!(
+                "seed {seed}: the replicas have not converged 5 s after the last lookup"
+            ));
         }
     }
     None
 }
 
-/// What a run of random faults is made of.
+/// Parameters of a run with random faults.
 #[derive(Clone, Copy, Debug)]
-pub struct Faults {
-    pub many: usize,
+pub struct FaultScenario {
+    pub proxies: usize,
     pub seconds: u32,
     pub keys_per_s: u32,
     pub kills: bool,
-    pub splits: bool,
+    pub partitions: bool,
     pub pauses: bool,
 }
 
-/// Keyed lookups whose clients come again at another front at once, after 1 s and after 6 s, while faults are drawn.
-pub fn effects(faults: Faults, plan: ReplicationSettings, seed: u64) -> Shared {
-    let mut shared = Shared::new(faults.many, plan, seed);
+/// Sends keyed lookups during random faults: each client sends four requests at random proxies, the second one within
+/// 200 ms of the first, the third 1 s later and the fourth another 6 s later.
+pub fn run_with_random_faults(
+    scenario: FaultScenario,
+    settings: ReplicationSettings,
+    seed: u64,
+) -> ReplicaFleet {
+    let mut fleet = ReplicaFleet::new(scenario.proxies, settings, seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    shared.start_all();
-    shared.run_until(shared.now + 10 * SEC, Shared::vouching);
-    (shared.loss, shared.answers_lost) = (0.05, 0.1);
-    let mut down: Vec<(usize, Micros)> = Vec::new();
-    for _ in 0..faults.seconds * 10 {
-        for _ in 0..faults.keys_per_s / 10 {
+    fleet.start_all();
+    fleet.run_until(fleet.now + 10 * SEC, ReplicaFleet::all_caught_up);
+    (fleet.loss, fleet.response_loss) = (0.05, 0.1);
+    let mut stopped: Vec<(usize, Micros)> = Vec::new();
+    for _ in 0..scenario.seconds * 10 {
+        for _ in 0..scenario.keys_per_s / 10 {
             let key = rng.u64(..);
-            let mut at = shared.now + rng.i64(0..100_000);
+            let mut at = fleet.now + rng.i64(0..100_000);
             for wait in [0, rng.i64(0..200_000), SEC, 6 * SEC] {
                 at += wait;
-                let n = rng.usize(0..faults.many);
-                shared.at(at, Next::Ask(n, key));
+                let n = rng.usize(0..scenario.proxies);
+                fleet.schedule(at, Event::SendRequest(n, key));
             }
         }
-        // At most one is down at a time: a claim that two of three hold outlives that.
-        let now = shared.now;
-        if let Some(at) = down.iter().position(|(_, until)| now >= *until) {
-            let (n, _) = down.remove(at);
-            shared.start(n);
+        // At most one proxy is stopped at a time: a claim that two of three replicas hold survives that.
+        let now = fleet.now;
+        if let Some(at) = stopped.iter().position(|(_, until)| now >= *until) {
+            let (n, _) = stopped.remove(at);
+            fleet.start(n);
         }
-        let settled = down.is_empty() && shared.vouching();
+        let all_ready = stopped.is_empty() && fleet.all_caught_up();
         match rng.usize(0..40) {
-            0 if faults.kills && settled => {
-                let n = rng.usize(0..faults.many);
-                shared.kill(n);
-                down.push((n, now + rng.i64(100_000..4 * SEC)));
+            0 if scenario.kills && all_ready => {
+                let n = rng.usize(0..scenario.proxies);
+                fleet.kill(n);
+                stopped.push((n, now + rng.i64(100_000..4 * SEC)));
             }
-            1 if faults.splits && shared.sides.is_none() => {
-                let cut = rng.usize(1..faults.many);
-                shared.split(|n| u8::from(n >= cut));
+            1 if scenario.partitions && fleet.partitions.is_none() => {
+                let boundary = rng.usize(1..scenario.proxies);
+                fleet.split(|n| u8::from(n >= boundary));
             }
-            2 | 3 => shared.heal(),
-            4 if faults.pauses => {
+            2 | 3 => fleet.heal(),
+            4 if scenario.pauses => {
                 let span = rng.i64(50_000..3 * SEC);
-                shared.pause(rng.usize(0..faults.many), span);
+                fleet.pause(rng.usize(0..scenario.proxies), span);
             }
             _ => {}
         }
-        shared.run(SEC / 10);
+        fleet.run(SEC / 10);
     }
-    shared.heal();
-    for (n, _) in down {
-        shared.start(n);
+    fleet.heal();
+    for (n, _) in stopped {
+        fleet.start(n);
     }
-    (shared.loss, shared.answers_lost) = (0.0, 0.0);
-    shared.run(8 * SEC);
-    shared
+    (fleet.loss, fleet.response_loss) = (0.0, 0.0);
+    fleet.run(8 * SEC);
+    fleet
 }
--- a/crates/proxy/src/proxy/tests.rs
+++ b/crates/proxy/src/proxy/tests.rs
@@ -7,7 +7,9 @@
 use meadowrill_event_distribution::settings::{
     DistributionSettings, Identity, RelayAddress, RelayLimits,
 };
-use meadowrill_test_servers::{ask, config, header, ok, Cache, Journal, Seen, HANG, OBJECT};
+use meadowrill_test_servers::{
+    config, header, ok, request_frame, Cache, CacheEvent, Journal, HANG_TIMEOUT, OBJECT,
+};
 use slog::{o, Discard};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -138,7 +140,7 @@
 
     /// Runs rounds with the publisher until `holds` returns true.
     fn step_until(&mut self, condition: &str, mut holds: impl FnMut(&mut TestBed) -> bool) {
-        let end = Instant::now() + HANG;
+        let end = Instant::now() + HANG_TIMEOUT;
         while !holds(self) {
             assert!(Instant::now() < end, "timed out waiting for {condition}");
             self.publisher.step();
@@ -148,7 +150,7 @@
 
     fn send_request(&mut self, stream: u32) {
         self.client
-            .write_all(&ask(stream, "map", &[("item", OBJECT)], b""))
+            .write_all(&request_frame(stream, "map", &[("item", OBJECT)], b""))
             .unwrap();
     }
 
@@ -163,7 +165,7 @@
 
     /// The next request that the cache received: the number of its connection, and the maximum age of a copy.
     fn request(&mut self) -> Option<(usize, Option<u64>)> {
-        let Ok(Seen::Request(connection, head, _)) = self.cache.seen.try_recv() else {
+        let Ok(CacheEvent::Request(connection, head, _)) = self.cache.events.try_recv() else {
             return None;
         };
         Some((
@@ -204,7 +206,7 @@
         .lease_duration;
     bed.run_round(ready_events, 2 * lease);
     let mut request = None;
-    let end = Instant::now() + HANG;
+    let end = Instant::now() + HANG_TIMEOUT;
     while request.is_none() {
         assert!(Instant::now() < end, "no request");
         bed.round();
