--- a/crates/test-servers/src/load.rs
+++ b/crates/test-servers/src/load.rs
@@ -1,7 +1,8 @@
-//! Load: clients that ask in a closed loop, each connection one lookup at a time, and what they got.
+//! Load: clients that send lookups in a closed loop, with a fixed number of open lookups per connection, and counters
+//! of the results.
 
-use crate::client::{ask, Frame};
-use crate::{Client, HANG};
+use crate::client::{request_frame, Frame};
+use crate::{Client, HANG_TIMEOUT};
 use hdrhistogram::Histogram;
 use rustix::net::{bind, connect, socket, AddressFamily, SocketType};
 use std::collections::BTreeMap;
@@ -11,39 +12,41 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The type of a frame that answers a lookup.
-const ANSWER: u8 = 66;
+/// Kind of a frame that responds to a lookup.
+const RESPONSE_FRAME: u8 = 66;
 
-/// What one who was turned away does.
+/// What a client does after a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manners {
-    /// Stays away as long as it was told, then asks again.
-    Returns,
-    /// Asks again at once.
-    Hammers,
+pub enum RetryBehavior {
+    /// Waits for the advised time, then retries.
+    HonorsRetryAfter,
+    /// Retries immediately.
+    RetriesImmediately,
 }
 
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Address that it comes from, on loopback.
+    /// Source address of the connections, on loopback.
     pub from: IpAddr,
     pub connections: usize,
-    pub manners: Manners,
-    /// Lookups that a connection has open at a time; of those who return when told, one.
+    pub retry_behavior: RetryBehavior,
+    /// Open lookups per connection; must be 1 with [`RetryBehavior::HonorsRetryAfter`].
     pub pipelined: u32,
-    /// Time between an answer and the next lookup.
-    pub think: Duration,
-    /// Latency budget; what the client gives up after stands in the lookup.
-    pub budget: Duration,
-    pub limit: Duration,
-    /// The longest time that the front may tell: it stands for no turn.
-    pub cap: Duration,
-    /// Lookups of one connection at the most.
-    pub most: u64,
-    /// Further fields of each lookup; `{n}` in a value is another number each time.
-    pub more: Vec<(String, String)>,
-    /// Objects that are asked for in turn, the first part of each.
-    pub objects: u32,
+    /// Time between a successful response and the next lookup.
+    pub think_time: Duration,
+    /// A successful response within this time counts as [`Counts::within_budget`].
+    pub latency_budget: Duration,
+    /// Time after which a client gives up, as sent in the lookup.
+    pub deadline: Duration,
+    /// Longest retry time that the proxy advises; this value means that the retry has no reservation.
+    pub max_retry_after: Duration,
+    /// Maximum number of lookups per connection.
+    pub max_requests: u64,
+    /// Additional fields of each lookup; `{n}` in a value is replaced by a number that differs per lookup.
+    pub extra_fields: Vec<(String, String)>,
+    /// Number of objects that are requested in turn, the first part of each.
+    pub object_count: u32,
 }
 
 impl Default for Load {
@@ -51,51 +54,52 @@
         Load {
             from: "127.0.0.1".parse().unwrap(),
             connections: 1,
-            manners: Manners::Returns,
+            retry_behavior: RetryBehavior::HonorsRetryAfter,
             pipelined: 1,
-            think: Duration::ZERO,
-            budget: Duration::from_millis(500),
-            limit: Duration::from_millis(3000),
-            cap: Duration::from_millis(1000),
-            most: u64::MAX,
-            more: Vec::new(),
-            objects: 600,
+            think_time: Duration::ZERO,
+            latency_budget: Duration::from_millis(500),
+            deadline: Duration::from_millis(3000),
+            max_retry_after: Duration::from_millis(1000),
+            max_requests: u64::MAX,
+            extra_fields: Vec::new(),
+            object_count: 600,
         }
     }
 }
 
-/// Counted so far, readable while it goes on.
+/// Counters of a load, readable while it runs.
 #[derive(Debug, Default)]
 pub struct Counts {
-    pub asked: AtomicU64,
-    pub satisfied: AtomicU64,
-    pub in_budget: AtomicU64,
-    pub nacked: AtomicU64,
+    pub requests: AtomicU64,
+    pub successful: AtomicU64,
+    pub within_budget: AtomicU64,
+    pub rejected: AtomicU64,
     pub failed: AtomicU64,
-    /// Returns at a time that was advised, and how many of them were satisfied.
-    pub returned: AtomicU64,
-    pub got_in: AtomicU64,
-    /// Connections that the front ended.
+    /// Retries at an advised time, and how many of them were successful.
+    pub advised_retries: AtomicU64,
+    pub successful_retries: AtomicU64,
+    /// Connections that the proxy closed.
     pub closed: AtomicU64,
-    /// Nacks with the longest time that may be told.
-    pub told_cap: AtomicU64,
-    /// Nacks with no time to come back.
-    pub unadvised: AtomicU64,
+    /// Rejections that advise [`Load::max_retry_after`] or more.
+    pub capped_retry_after: AtomicU64,
+    /// Rejections without a retry time.
+    pub without_retry_after: AtomicU64,
 }
 
 impl Counts {
-    pub fn of(count: &AtomicU64) -> u64 {
+    pub fn value(count: &AtomicU64) -> u64 {
         count.load(Relaxed)
     }
 }
 
-pub struct Running {
+/// A load that runs in threads of its own.
+pub struct RunningLoad {
     pub counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Histogram<u64>>>,
 }
 
-/// A connection from an address of its own choice.
+/// Connects from the source address `from`.
 pub fn connect_from(from: IpAddr, to: SocketAddr) -> TcpStream {
     let family = if to.is_ipv4() {
         AddressFamily::INET
@@ -107,37 +111,37 @@
     connect(&fd, &to).unwrap();
     let stream = TcpStream::from(fd);
     stream.set_nodelay(true).unwrap();
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream
 }
 
-/// The time to come back that an answer tells.
-pub fn later(answer: &Frame) -> Option<Duration> {
-    let (fields, _) = answer.parts();
-    let later = fields.iter().find(|(name, _)| name == "later")?;
-    later.1.parse().ok().map(Duration::from_millis)
+/// The retry time that a response advises.
+pub fn retry_after(response: &Frame) -> Option<Duration> {
+    let (fields, _) = response.fields_and_body();
+    let retry_after = fields.iter().find(|(name, _)| name == "later")?;
+    retry_after.1.parse().ok().map(Duration::from_millis)
 }
 
 impl Load {
-    /// Asks until [`Running::end`].
-    pub fn start(&self, to: SocketAddr) -> Running {
-        let (counts, over) = (
+    /// Sends lookups until [`RunningLoad::finish`].
+    pub fn start(&self, to: SocketAddr) -> RunningLoad {
+        let (counts, stop) = (
             Arc::new(Counts::default()),
             Arc::new(AtomicBool::new(false)),
         );
-        let connection = |at: usize| {
-            let (load, counts, over) = (self.clone(), Arc::clone(&counts), Arc::clone(&over));
-            thread::spawn(move || load.ask(at, to, &counts, &over))
+        let spawn = |connection: usize| {
+            let (load, counts, stop) = (self.clone(), Arc::clone(&counts), Arc::clone(&stop));
+            thread::spawn(move || load.run_connection(connection, to, &counts, &stop))
         };
-        let threads = (0..self.connections).map(connection).collect();
-        Running {
+        let threads = (0..self.connections).map(spawn).collect();
+        RunningLoad {
             counts,
-            over,
+            stop,
             threads,
         }
     }
 
-    /// Loads from different networks never use the same id.
+    /// Part of the request id that differs between loads from different networks.
     fn host(&self) -> u8 {
         match self.from {
             IpAddr::V4(from) => from.octets()[2] ^ from.octets()[3].rotate_left(4),
@@ -145,106 +149,121 @@
         }
     }
 
-    /// A lookup as this load asks it, with the fields that it adds.
-    fn lookup(&self, at: usize, stream: u32) -> Vec<u8> {
-        let object = stream.wrapping_add(at as u32 * 37) % self.objects;
+    /// Encodes a lookup with the additional fields of this load.
+    fn lookup(&self, connection: usize, stream: u32) -> Vec<u8> {
+        let object = stream.wrapping_add(connection as u32 * 37) % self.object_count;
         let item = format!(
             "{:016x}",
             u64::from(object + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         );
         let (limit, txn) = (
-            self.limit.as_millis().to_string(),
-            format!("{:06x}{:02x}{stream:08x}", at + 1, self.host()),
+            self.deadline.as_millis().to_string(),
+            format!("{:06x}{:02x}{stream:08x}", connection + 1, self.host()),
         );
-        let named =
-            |value: &String| value.replace("{n}", &(at as u32 * 1_000_000 + stream).to_string());
+        let numbered = |value: &String| {
+            value.replace("{n}", &(connection as u32 * 1_000_000 + stream).to_string())
+        };
         let more: Vec<_> = self
-            .more
+            .extra_fields
             .iter()
-            .map(|(name, value)| (name.as_str(), named(value)))
+            .map(|(name, value)| (name.as_str(), numbered(value)))
             .collect();
-        let told = [
+        let fields = [
             ("limit", limit.as_str()),
             ("item", &item),
             ("slice", "0"),
             ("txn", &txn),
         ];
-        let told: Vec<_> = told
+        let fields: Vec<_> = fields
             .into_iter()
             .chain(more.iter().map(|(n, v)| (*n, v.as_str())))
             .collect();
-        ask(stream, "map", &told, b"")
+        request_frame(stream, "map", &fields, b"")
     }
 
-    fn ask(&self, at: usize, to: SocketAddr, counts: &Counts, over: &AtomicBool) -> Histogram<u64> {
-        let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
+    fn run_connection(
+        &self,
+        connection: usize,
+        to: SocketAddr,
+        counts: &Counts,
+        stop: &AtomicBool,
+    ) -> Histogram<u64> {
+        let mut response_times = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
         let mut client = Client(connect_from(self.from, to));
-        let (mut asked, mut stream) = (BTreeMap::new(), 0);
-        let mut returns = false;
-        while !over.load(Relaxed) && u64::from(stream) < self.most {
-            while asked.len() < self.pipelined as usize {
+        let (mut open_requests, mut stream) = (BTreeMap::new(), 0);
+        let mut is_advised_retry = false;
+        while !stop.load(Relaxed) && u64::from(stream) < self.max_requests {
+            while open_requests.len() < self.pipelined as usize {
                 stream += 1;
-                asked.insert(stream, Instant::now());
-                client.write(&self.lookup(at, stream));
-                counts.asked.fetch_add(1, Relaxed);
+                open_requests.insert(stream, Instant::now());
+                client.write(&self.lookup(connection, stream));
+                counts.requests.fetch_add(1, Relaxed);
             }
-            let answer = client.hear().filter(|frame| frame.kind == ANSWER);
-            let Some((answer, since)) =
-                answer.and_then(|a| asked.remove(&a.stream).map(|since| (a, since)))
+            let response = client
+                .read_frame()
+                .filter(|frame| frame.kind == RESPONSE_FRAME);
+            let Some((response, since)) =
+                response.and_then(|a| open_requests.remove(&a.stream).map(|since| (a, since)))
             else {
-                // Closed, or asked to bring no more: the front may do so where nothing is open.
+                // The proxy closed the connection or asked for no further lookups: it may do so while none is open.
                 counts.closed.fetch_add(1, Relaxed);
                 client = Client(connect_from(self.from, to));
-                asked.clear();
+                open_requests.clear();
                 continue;
             };
-            let took = since.elapsed();
-            let satisfied = answer.code() == 0;
-            counts.returned.fetch_add(u64::from(returns), Relaxed);
+            let elapsed = since.elapsed();
+            let successful = response.code() == 0;
+            counts
+                .advised_retries
+                .fetch_add(u64::from(is_advised_retry), Relaxed);
             counts
-                .got_in
-                .fetch_add(u64::from(returns && satisfied), Relaxed);
-            returns = false;
-            match answer.code() {
+                .successful_retries
+                .fetch_add(u64::from(is_advised_retry && successful), Relaxed);
+            is_advised_retry = false;
+            match response.code() {
                 0 => {
-                    counts.satisfied.fetch_add(1, Relaxed);
+                    counts.successful.fetch_add(1, Relaxed);
                     counts
-                        .in_budget
-                        .fetch_add(u64::from(took <= self.budget), Relaxed);
-                    times.saturating_record(took.as_micros() as u64);
-                    if !self.think.is_zero() {
-                        thread::sleep(self.think);
+                        .within_budget
+                        .fetch_add(u64::from(elapsed <= self.latency_budget), Relaxed);
+                    response_times.saturating_record(elapsed.as_micros() as u64);
+                    if !self.think_time.is_zero() {
+                        thread::sleep(self.think_time);
                     }
                 }
                 11 => {
-                    counts.nacked.fetch_add(1, Relaxed);
-                    let later = later(&answer);
+                    counts.rejected.fetch_add(1, Relaxed);
+                    let retry_after = retry_after(&response);
                     counts
-                        .unadvised
-                        .fetch_add(u64::from(later.is_none()), Relaxed);
-                    if self.manners == Manners::Returns {
-                        // Without advice: a little, as any client would.
-                        thread::sleep(later.unwrap_or(Duration::from_millis(20)));
-                        returns = later.is_some_and(|later| later < self.cap);
-                        let capped = later.is_some_and(|later| later >= self.cap);
-                        counts.told_cap.fetch_add(u64::from(capped), Relaxed);
+                        .without_retry_after
+                        .fetch_add(u64::from(retry_after.is_none()), Relaxed);
+                    if self.retry_behavior == RetryBehavior::HonorsRetryAfter {
+                        // Without an advised time: a short default wait.
+                        thread::sleep(retry_after.unwrap_or(Duration::from_millis(20)));
+                        is_advised_retry = retry_after
+                            .is_some_and(|retry_after| retry_after < self.max_retry_after);
+                        let capped = retry_after
+                            .is_some_and(|retry_after| retry_after >= self.max_retry_after);
+                        counts
+                            .capped_retry_after
+                            .fetch_add(u64::from(capped), Relaxed);
                     }
                 }
                 _ => drop(counts.failed.fetch_add(1, Relaxed)),
             }
         }
-        times
+        response_times
     }
 }
 
-impl Running {
-    /// Ends it; the times of those that were satisfied, in microseconds.
-    pub fn end(self) -> (Arc<Counts>, Histogram<u64>) {
-        self.over.store(true, Relaxed);
-        let mut all = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
+impl RunningLoad {
+    /// Stops the load; returns the counters and the response times of successful lookups, in microseconds.
+    pub fn finish(self) -> (Arc<Counts>, Histogram<u64>) {
+        self.stop.store(true, Relaxed);
+        let mut merged = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
         for thread in self.threads {
-            all.add(thread.join().unwrap()).unwrap();
+            merged.add(thread.join().unwrap()).unwrap();
         }
-        (self.counts, all)
+        (self.counts, merged)
     }
 }
--- a/crates/test-servers/src/service.rs
+++ b/crates/test-servers/src/service.rs
@@ -1,5 +1,6 @@
-//! A cache, parent or origin with a capacity: so many workers, each lookup so long, a queue in the order of arrival.
-//! It keeps what it was told to retain and fills what it lacks from the source that a request names.
+//! A cache, parent or origin with a limited capacity: a number of workers, a service time per lookup and a queue in the
+//! order of arrival. It caches objects whose request asks to retain them, and fills a miss from the source that the
+//! request names.
 
 use crate::header;
 use crate::program::KEY_TTL;
@@ -12,153 +13,162 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Where the machines are, by id: shared by those that fill from each other.
+/// Addresses of the servers by id; shared by servers that fill from each other.
 pub type Directory = Arc<Mutex<BTreeMap<String, SocketAddr>>>;
 
-/// Objects that one machine keeps; the least path goes first, which no test leans on.
-const HELD: usize = 100_000;
+/// Maximum number of cached objects; the object with the smallest path is evicted first, on which no test relies.
+const MAX_CACHED_OBJECTS: usize = 100_000;
 
-struct Machine {
-    /// When each worker is free again.
+struct ServerState {
+    /// When each worker becomes free.
     workers: Mutex<BinaryHeap<Reverse<Instant>>>,
-    each_us: AtomicU64,
+    service_time_us: AtomicU64,
     size: usize,
-    /// When each copy was issued, in milliseconds since the Unix epoch. None: it has everything.
-    held: Option<Mutex<BTreeMap<String, u128>>>,
+    /// When each cached copy was issued, in milliseconds since the Unix epoch. `None`: the server has every object.
+    cached: Option<Mutex<BTreeMap<String, u128>>>,
     directory: Directory,
-    inside: AtomicUsize,
-    most_inside: AtomicUsize,
-    answered: AtomicU64,
+    in_progress: AtomicUsize,
+    peak_in_progress: AtomicUsize,
+    responses: AtomicU64,
     fills: AtomicU64,
-    /// Of one that has everything: what ran by mark, when it began last, and how often.
-    runs: Mutex<BTreeMap<String, (Instant, u32)>>,
-    /// Objects that were purged, by when; and requests that would have let an older copy through.
+    /// For a server that has every object: the last execution and the number of executions by idempotency key.
+    executions: Mutex<BTreeMap<String, (Instant, u32)>>,
+    /// Purge times of objects in milliseconds since the Unix epoch, and the number of requests that allowed an older
+    /// copy.
     purged: Mutex<BTreeMap<String, u128>>,
-    old_let_through: AtomicU64,
-    /// How long after a purge requests may still let older copies through.
-    heed_ms: AtomicU64,
+    outdated_copies_allowed: AtomicU64,
+    /// How long after a purge requests may still allow older copies.
+    purge_grace_ms: AtomicU64,
 }
 
-/// How long after a purge requests may still let older copies through, if nothing else is told.
-const HEED_MS: u64 = 500;
-/// What clocks and the way to here may add to the age that a request allows.
-const SLACK: u128 = 50;
+/// Default of [`Service::set_purge_grace`].
+const PURGE_GRACE_MS: u64 = 500;
+/// Tolerance for the clocks and for the transit time of a request.
+const AGE_TOLERANCE_MS: u128 = 50;
 
+/// A server on loopback with a limited capacity. Clones share the state.
 #[derive(Clone)]
 pub struct Service {
     pub address: SocketAddr,
-    machine: Arc<Machine>,
+    state: Arc<ServerState>,
 }
 
 impl Service {
-    /// `empty` ones hold nothing at first; the others, as an origin does, have everything.
+    /// Starts a server. With `empty` it is a cache without objects; otherwise it has every object, as an origin does.
     pub fn start(
         workers: usize,
-        each: Duration,
+        service_time: Duration,
         size: usize,
         empty: bool,
         directory: &Directory,
     ) -> Service {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let machine = Arc::new(Machine {
+        let state = Arc::new(ServerState {
             workers: Mutex::new((0..workers).map(|_| Reverse(Instant::now())).collect()),
-            each_us: AtomicU64::new(each.as_micros() as u64),
+            service_time_us: AtomicU64::new(service_time.as_micros() as u64),
             size,
-            held: empty.then(Default::default),
+            cached: empty.then(Default::default),
             directory: Arc::clone(directory),
-            inside: AtomicUsize::new(0),
-            most_inside: AtomicUsize::new(0),
-            answered: AtomicU64::new(0),
-            runs: Mutex::default(),
+            in_progress: AtomicUsize::new(0),
+            peak_in_progress: AtomicUsize::new(0),
+            responses: AtomicU64::new(0),
+            executions: Mutex::default(),
             purged: Mutex::default(),
-            old_let_through: AtomicU64::new(0),
-            heed_ms: AtomicU64::new(HEED_MS),
+            outdated_copies_allowed: AtomicU64::new(0),
+            purge_grace_ms: AtomicU64::new(PURGE_GRACE_MS),
             fills: AtomicU64::new(0),
         });
-        let served = Arc::clone(&machine);
+        let shared_state = Arc::clone(&state);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let machine = Arc::clone(&served);
-                thread::spawn(move || machine.serve(stream));
+                let state = Arc::clone(&shared_state);
+                thread::spawn(move || state.serve(stream));
             }
         });
-        Service { address, machine }
+        Service { address, state }
     }
 
-    /// From now on each lookup takes so long.
-    pub fn each(&self, each: Duration) {
-        self.machine.each_us.store(each.as_micros() as u64, Relaxed);
+    /// Sets the service time of the following lookups.
+    pub fn set_service_time(&self, service_time: Duration) {
+        self.state
+            .service_time_us
+            .store(service_time.as_micros() as u64, Relaxed);
     }
 
-    pub fn answered(&self) -> u64 {
-        self.machine.answered.load(Relaxed)
+    /// The number of responses, including those with status 404.
+    pub fn responses(&self) -> u64 {
+        self.state.responses.load(Relaxed)
     }
 
+    /// The number of misses that were filled from a source, including failed ones.
     pub fn fills(&self) -> u64 {
-        self.machine.fills.load(Relaxed)
+        self.state.fills.load(Relaxed)
     }
 
-    /// How often each mark ran, at one that has everything.
-    pub fn runs(&self) -> BTreeMap<String, u32> {
-        self.machine
-            .runs
+    /// The number of executions by idempotency key, at a server that has every object.
+    pub fn executions(&self) -> BTreeMap<String, u32> {
+        self.state
+            .executions
             .lock()
             .unwrap()
             .iter()
-            .map(|(mark, (_, n))| (mark.clone(), *n))
+            .map(|(idempotency_key, (_, n))| (idempotency_key.clone(), *n))
             .collect()
     }
 
-    /// From now on requests for this object are looked at: whether they let copies of before through.
-    pub fn purged(&self, item: &str, stamp_ms: u128) {
-        self.machine
+    /// Records a purge: requests for this object are then checked for whether they allow copies from before the purge.
+    pub fn record_purge(&self, item: &str, stamp_ms: u128) {
+        self.state
             .purged
             .lock()
             .unwrap()
             .insert(item.into(), stamp_ms);
     }
 
-    /// From now on requests may let older copies through for so long after a purge.
-    pub fn heed_within(&self, span: Duration) {
-        self.machine.heed_ms.store(span.as_millis() as u64, Relaxed);
+    /// Sets how long after a purge requests may still allow older copies.
+    pub fn set_purge_grace(&self, span: Duration) {
+        self.state
+            .purge_grace_ms
+            .store(span.as_millis() as u64, Relaxed);
     }
 
-    pub fn old_let_through(&self) -> u64 {
-        self.machine.old_let_through.load(Relaxed)
+    /// The number of requests that allowed a copy from before a purge after that time.
+    pub fn outdated_copies_allowed(&self) -> u64 {
+        self.state.outdated_copies_allowed.load(Relaxed)
     }
 
-    /// The most that were here at one time since the last call.
-    pub fn most_inside(&self) -> usize {
-        self.machine.most_inside.swap(0, Relaxed)
+    /// The maximum number of concurrent lookups since the last call.
+    pub fn take_peak_concurrency(&self) -> usize {
+        self.state.peak_in_progress.swap(0, Relaxed)
     }
 }
 
-struct Answer {
-    note: &'static str,
-    /// How long the source of a miss took.
+struct Response {
+    cache_status: &'static str,
+    /// How long a fill from the source took.
     source_ms: Option<u128>,
-    /// When the copy was issued.
+    /// When the copy was issued, in milliseconds since the Unix epoch.
     issued_ms: u128,
 }
 
-impl Answer {
-    fn hit(issued_ms: u128) -> Answer {
-        Answer {
-            note: "TCP_HIT",
+impl Response {
+    fn hit(issued_ms: u128) -> Response {
+        Response {
+            cache_status: "TCP_HIT",
             source_ms: None,
             issued_ms,
         }
     }
 }
 
-/// The age of copies that a request allows, in milliseconds.
+/// The age of copies that a request allows, in milliseconds; unlimited without the header field.
 fn oldest_ms(head: &str) -> u128 {
-    let told = header(head, "Oldest-Ms").and_then(|ms| ms.parse::<u64>().ok());
-    u128::from(told.unwrap_or(u64::MAX))
+    let allowed = header(head, "Oldest-Ms").and_then(|ms| ms.parse::<u64>().ok());
+    u128::from(allowed.unwrap_or(u64::MAX))
 }
 
-impl Machine {
+impl ServerState {
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let Ok(read) = stream.try_clone() else { return };
@@ -178,14 +188,14 @@
             if head.is_empty() || reader.read_exact(&mut body).is_err() {
                 return;
             }
-            let now = self.inside.fetch_add(1, Relaxed) + 1;
-            self.most_inside.fetch_max(now, Relaxed);
-            let answer = self.answer(&head);
-            self.inside.fetch_sub(1, Relaxed);
-            self.answered.fetch_add(1, Relaxed);
-            let written = answer.map(|Answer { note, source_ms, issued_ms }| {
+            let now = self.in_progress.fetch_add(1, Relaxed) + 1;
+            self.peak_in_progress.fetch_max(now, Relaxed);
+            let response = self.respond(&head);
+            self.in_progress.fetch_sub(1, Relaxed);
+            self.responses.fetch_add(1, Relaxed);
+            let written = response.map(|Response { cache_status, source_ms, issued_ms }| {
                 let head = format!(
-                    "HTTP/1.1 200 OK\r\nX-Cache: {note}\r\nVersion: 1\r\nIssued-At: {}\r\n{}Content-Length: {}\r\n\r\n",
+                    "HTTP/1.1 200 OK\r\nX-Cache: {cache_status}\r\nVersion: 1\r\nIssued-At: {}\r\n{}Content-Length: {}\r\n\r\n",
                     issued_ms,
                     source_ms.map_or(String::new(), |ms| format!("Source-Ms: {ms}\r\n")),
                     self.size
@@ -201,61 +211,63 @@
         }
     }
 
-    /// None for a miss without a source.
-    fn answer(&self, head: &str) -> Option<Answer> {
+    /// Responds after the service time; `None` for a miss that cannot be filled.
+    fn respond(&self, head: &str) -> Option<Response> {
         let path = head.split(' ').nth(1).unwrap_or_default().to_string();
-        self.look_at_age(&path, head);
-        let each = Duration::from_micros(self.each_us.load(Relaxed));
+        self.check_allowed_age(&path, head);
+        let service_time = Duration::from_micros(self.service_time_us.load(Relaxed));
         let until = {
             let mut workers = self.workers.lock().unwrap();
             let free = workers
                 .pop()
                 .map_or_else(Instant::now, |Reverse(at)| at.max(Instant::now()));
-            workers.push(Reverse(free + each));
-            free + each
+            workers.push(Reverse(free + service_time));
+            free + service_time
         };
         thread::sleep(until.saturating_duration_since(Instant::now()));
-        let mark = header(head, "Idempotency-Key");
-        let Some(held) = &self.held else {
-            mark.into_iter().for_each(|mark| self.run(mark));
-            return Some(Answer::hit(crate::now_ms()));
+        let idempotency_key = header(head, "Idempotency-Key");
+        let Some(cached) = &self.cached else {
+            idempotency_key
+                .into_iter()
+                .for_each(|idempotency_key| self.execute(idempotency_key));
+            return Some(Response::hit(crate::now_ms()));
         };
-        let issued_ms = held.lock().unwrap().get(&path).copied();
+        let issued_ms = cached.lock().unwrap().get(&path).copied();
         if let Some(issued_ms) =
             issued_ms.filter(|issued| *issued + oldest_ms(head) >= crate::now_ms())
         {
-            return Some(Answer::hit(issued_ms));
+            return Some(Response::hit(issued_ms));
         }
         let source = header(head, "Upstream")?;
         let address = self.directory.lock().unwrap().get(source).copied()?;
         self.fills.fetch_add(1, Relaxed);
         let start = Instant::now();
-        let issued_ms = self.fetch(address, &path, head, mark)?;
+        let issued_ms = self.fetch(address, &path, head, idempotency_key)?;
         if header(head, "Retain").is_some_and(|rank| rank != "0") {
-            let mut held = held.lock().unwrap();
-            held.insert(path, issued_ms);
-            if held.len() > HELD {
-                held.pop_first();
+            let mut cached = cached.lock().unwrap();
+            cached.insert(path, issued_ms);
+            if cached.len() > MAX_CACHED_OBJECTS {
+                cached.pop_first();
             }
         }
-        Some(Answer {
-            note: "TCP_MISS",
+        Some(Response {
+            cache_status: "TCP_MISS",
             source_ms: Some(start.elapsed().as_millis()),
             issued_ms,
         })
     }
 
-    /// Has the effect, but for a repeat that comes soon after.
-    fn run(&self, mark: &str) {
-        let mut runs = self.runs.lock().unwrap();
+    /// Executes the side effect, except for a repeat within [`KEY_TTL`] of the last execution.
+    fn execute(&self, idempotency_key: &str) {
+        let mut executions = self.executions.lock().unwrap();
         let now = Instant::now();
-        let (at, many) = runs.entry(mark.into()).or_insert((now, 0));
-        if *many == 0 || now > *at + KEY_TTL {
-            (*at, *many) = (now, *many + 1);
+        let (at, count) = executions.entry(idempotency_key.into()).or_insert((now, 0));
+        if *count == 0 || now > *at + KEY_TTL {
+            (*at, *count) = (now, *count + 1);
         }
     }
 
-    fn look_at_age(&self, path: &str, head: &str) {
+    fn check_allowed_age(&self, path: &str, head: &str) {
         let Some(item) = path.split('/').nth(3) else {
             return;
         };
@@ -263,26 +275,30 @@
             return;
         };
         let since = crate::now_ms().saturating_sub(stamp);
-        if since > u128::from(self.heed_ms.load(Relaxed)) && oldest_ms(head) > since + SLACK {
-            self.old_let_through.fetch_add(1, Relaxed);
+        if since > u128::from(self.purge_grace_ms.load(Relaxed))
+            && oldest_ms(head) > since + AGE_TOLERANCE_MS
+        {
+            self.outdated_copies_allowed.fetch_add(1, Relaxed);
         }
     }
 
-    /// As from a parent that passes on what the origin has; when that was issued.
+    /// Requests the object in the way of a parent that fills from the origin; returns when the copy was issued.
     fn fetch(
         &self,
         address: SocketAddr,
         path: &str,
-        asked: &str,
-        mark: Option<&str>,
+        request_head: &str,
+        idempotency_key: Option<&str>,
     ) -> Option<u128> {
-        let mut stream = TcpStream::connect_timeout(&address, crate::HANG).ok()?;
-        let mark = mark.map_or(String::new(), |mark| format!("Idempotency-Key: {mark}\r\n"));
-        let oldest =
-            header(asked, "Oldest-Ms").map_or(String::new(), |ms| format!("Oldest-Ms: {ms}\r\n"));
-        let origin = format!("Upstream: s-o\r\nRetain: 1\r\n{oldest}{mark}");
+        let mut stream = TcpStream::connect_timeout(&address, crate::HANG_TIMEOUT).ok()?;
+        let idempotency_key = idempotency_key.map_or(String::new(), |idempotency_key| {
+            format!("Idempotency-Key: {idempotency_key}\r\n")
+        });
+        let oldest = header(request_head, "Oldest-Ms")
+            .map_or(String::new(), |ms| format!("Oldest-Ms: {ms}\r\n"));
+        let headers = format!("Upstream: s-o\r\nRetain: 1\r\n{oldest}{idempotency_key}");
         stream
-            .write_all(format!("GET {path} HTTP/1.1\r\n{origin}\r\n").as_bytes())
+            .write_all(format!("GET {path} HTTP/1.1\r\n{headers}\r\n").as_bytes())
             .ok()?;
         let (mut reader, mut line, mut length) = (BufReader::new(stream), String::new(), 0);
         reader
