--- a/crates/event-distribution/tests/regressions/main.rs
+++ b/crates/event-distribution/tests/regressions/main.rs
@@ -1,4 +1,5 @@
-//! Faults that were found by reading or by drawn schedules, each in as few datagrams as show it.
+//! Regression tests for faults that were found by code review or by random schedules. Each test reproduces its fault
+//! with as few datagrams as possible.
 
 mod fixtures;
 #[path = "../simulation/mod.rs"]
