--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -7,7 +7,7 @@
 use crate::slab::NONE;
 use meadowrill_routing::interface::Micros;
 
-/// Number of slots of the wheel. Timers more than one turn ahead share their slots with earlier timers.
+/// Number of slots of the wheel. Timers more than one revolution ahead share their slots with earlier timers.
 const SLOT_COUNT: usize = 512;
 
 /// A timer, linked into the list of its slot.
@@ -120,7 +120,7 @@
     }
 
     /// Removes and returns one timer that is due. The caller repeats the call until there is none. A clock that jumps
-    /// ahead costs at most one turn of the wheel.
+    /// ahead costs at most one revolution of the wheel.
     pub fn pop_due(&mut self, now: Micros) -> Option<u32> {
         let last = now.div_euclid(self.granularity);
         if self.count == 0 {
@@ -152,8 +152,8 @@
         std::iter::successors(at(self.heads[slot]), move |(_, timer)| at(timer.next))
     }
 
-    /// Returns when `pop_due` has to be called next. This is the earliest deadline, unless a timer more than one turn
-    /// ahead is in an earlier slot than the earliest deadline: the result is then later.
+    /// Returns when `pop_due` has to be called next. This is the earliest deadline, unless a timer more than one
+    /// revolution ahead is in an earlier slot than the earliest deadline: the result is then later.
     pub fn next_deadline(&self) -> Option<Micros> {
         if self.count == 0 {
             return None;
--- a/crates/admission/src/timer_wheel/tests.rs
+++ b/crates/admission/src/timer_wheel/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_clock_jump_of_a_year_costs_one_turn_of_the_wheel() {
+fn a_clock_jump_of_a_year_costs_one_revolution_of_the_wheel() {
     let mut wheel = TimerWheel::new(1000, 0);
     (0..100).for_each(|i| wheel.set(i, Micros::from(i) * 10_000));
     let year = 365 * 86_400 * 1_000_000;
--- a/crates/benchmarks/src/events.rs
+++ b/crates/benchmarks/src/events.rs
@@ -72,8 +72,8 @@
     failures
         .iter()
         .for_each(|failure| println!("{label}: {failure}"));
-    let held = f64::from(u8::from(failures.is_empty()));
-    figures.report(&format!("{label}: held"), held, Goal::AtLeast(1.0));
+    let passed = f64::from(u8::from(failures.is_empty()));
+    figures.report(&format!("{label}: held"), passed, Goal::AtLeast(1.0));
     Some(outcome)
 }
 
--- a/crates/benchmarks/src/fleet.rs
+++ b/crates/benchmarks/src/fleet.rs
@@ -70,12 +70,12 @@
         );
         let begin = fleet.now;
         fleet.kill(members / 2);
-        let gone = fleet
+        let detection_time = fleet
             .run_until(begin + 30 * SECOND, |f| f.is_absent_everywhere(members / 2))
             .map(|at| at - begin);
         figures.report(
             &format!("model, {members}: a death known to all, s"),
-            seconds(gone),
+            seconds(detection_time),
             Goal::AtMost(4.0),
         );
         fleet.start(members / 2);
@@ -157,12 +157,12 @@
     );
     let begin = fleet.now;
     fleet.kill(members / 2);
-    let gone = fleet
+    let detection_time = fleet
         .run_until(begin + 60 * SECOND, |f| f.is_absent_everywhere(members / 2))
         .map(|at| at - begin);
     figures.report(
         &format!("{name}: a death known to all, s"),
-        seconds(gone),
+        seconds(detection_time),
         Goal::Baseline,
     );
 }
@@ -183,7 +183,7 @@
     let header = format!("fronts {proxies}\nperiod {period}\ncontacts 3\n");
     let run_script = |script: &str, name: &str, figures: &mut Figures| -> Vec<(String, f64)> {
         let result = play(&(header.clone() + script), &tools);
-        let held = result.as_ref().map_or(0.0, |_| 1.0);
+        let passed = result.as_ref().map_or(0.0, |_| 1.0);
         if let Err(failed) = &result {
             println!(
                 "{name}: line {}: {}: {}",
@@ -192,7 +192,7 @@
         }
         figures.report(
             &format!("processes, {proxies}: {name} held"),
-            held,
+            passed,
             Goal::AtLeast(1.0),
         );
         result.unwrap_or_default()
--- a/crates/benchmarks/src/path.rs
+++ b/crates/benchmarks/src/path.rs
@@ -334,7 +334,7 @@
     figures.report(name, ratios[1], Goal::AtMost(1.2));
 }
 
-/// Compares the p99 of steady hits during a burst of lookups for objects that are requested once with the p99 during a
+/// Compares the p99 of steady hits during a burst of requests for objects that are requested once with the p99 during a
 /// load of other hits. The figure is the median ratio of three pairs of runs.
 fn burst(figures: &mut Figures) {
     let p99 = |object_count: u32| {
--- a/crates/benchmarks/src/scale/decisions.rs
+++ b/crates/benchmarks/src/scale/decisions.rs
@@ -36,10 +36,10 @@
 const OBJECTS: u64 = 2_000;
 
 const PROXIES: [usize; 6] = [30, 100, 300, 1_000, 2_500, 5_000];
-/// Lookups a second of all proxies together, as in docs/slow-start.md.
-const TOTAL_LOOKUPS_PER_S: f64 = 150.0;
-/// Lookups a second of each proxy at these caches, which are six of 660.
-const LOOKUPS_PER_S_EACH: f64 = target::LOOKUPS_PER_S * CACHES as f64 / target::CACHES;
+/// Requests a second of all proxies together, as in docs/slow-start.md.
+const TOTAL_REQUESTS_PER_S: f64 = 150.0;
+/// Requests a second of each proxy at these caches, which are six of 660.
+const REQUESTS_PER_S_EACH: f64 = target::REQUESTS_PER_S * CACHES as f64 / target::CACHES;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CacheEvent {
@@ -333,7 +333,7 @@
     let model = Model::new(
         1,
         proxies,
-        LOOKUPS_PER_S_EACH * proxies as f64,
+        REQUESTS_PER_S_EACH * proxies as f64,
         CacheEvent::Dies,
     )
     .run(span);
@@ -376,11 +376,11 @@
 /// The slopes of a cold cache.
 pub(super) fn cold() -> Vec<Slope> {
     let low_rate =
-        PROXIES.map(|proxies| (proxies as f64, measure_ramp(proxies, TOTAL_LOOKUPS_PER_S)));
+        PROXIES.map(|proxies| (proxies as f64, measure_ramp(proxies, TOTAL_REQUESTS_PER_S)));
     let usual_rate = PROXIES.map(|proxies| {
         (
             proxies as f64,
-            measure_ramp(proxies, LOOKUPS_PER_S_EACH * proxies as f64),
+            measure_ramp(proxies, REQUESTS_PER_S_EACH * proxies as f64),
         )
     });
     let points = |measured: &[(f64, Ramp)], value: fn(&Ramp) -> f64| {
--- a/crates/benchmarks/src/scale/module.rs
+++ b/crates/benchmarks/src/scale/module.rs
@@ -12,8 +12,8 @@
 const WITHIN_BOUND: [u64; 5] = [2_000, 5_000, 10_000, 20_000, 50_000];
 const BEYOND_BOUND: [u64; 5] = [100_000, 200_000, 300_000, 400_000, 500_000];
 const CACHES: usize = 18;
-/// Time between two lookups.
-const LOOKUP_INTERVAL: Micros = 1_000;
+/// Time between two requests.
+const REQUEST_INTERVAL: Micros = 1_000;
 const ATTEMPT_TIME: Micros = 5_000;
 
 fn entry(endpoint: EndpointIndex) -> EndpointEntry {
@@ -44,10 +44,10 @@
         &mut actions,
     );
     for n in 0..objects {
-        let now = n as Micros * LOOKUP_INTERVAL;
+        let now = n as Micros * REQUEST_INTERVAL;
         let id = n as u32;
         let object = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let lookup = Request {
+        let request = Request {
             id,
             object,
             part: 0,
@@ -57,7 +57,7 @@
             deadline: now + 4_000_000,
         };
         actions.clear();
-        router.handle_event(now, Event::RequestArrived(lookup), &mut actions);
+        router.handle_event(now, Event::RequestArrived(request), &mut actions);
         let started = actions.iter().find_map(|action| match action {
             Action::StartAttempt { endpoint, .. } => Some(*endpoint),
             _ => None,
@@ -76,7 +76,7 @@
             load_report: Vec::new(),
         };
         router.handle_event(
-            now + ATTEMPT_TIME.min(LOOKUP_INTERVAL),
+            now + ATTEMPT_TIME.min(REQUEST_INTERVAL),
             Event::AttemptEnded(outcome),
             &mut actions,
         );
@@ -109,7 +109,7 @@
         BEYOND_BOUND.map(measure_memory).to_vec(),
     );
     // The objects that a proxy sees within the 300 s for which the router remembers them, if none is requested twice.
-    let objects_seen = target::LOOKUPS_PER_S * 300.0;
+    let objects_seen = target::REQUESTS_PER_S * 300.0;
     vec![
         slope(
             "module-memory",
--- a/crates/benchmarks/src/scale/sockets.rs
+++ b/crates/benchmarks/src/scale/sockets.rs
@@ -81,7 +81,7 @@
         sockets: MANY_DESCRIPTORS,
         ..ProxySetup::default()
     });
-    // The total rate of lookups is about the same for many clients as for few.
+    // The total rate of requests is about the same for many clients as for few.
     let think_time = Duration::from_micros(connections as u64 * 100);
     let load = Load {
         connections,
--- a/crates/benchmarks/src/scale/target.rs
+++ b/crates/benchmarks/src/scale/target.rs
@@ -10,8 +10,8 @@
 pub(super) const RESTARTS_PER_DAY: f64 = 1_400.0;
 pub(super) const CONFIGURATION_CHANGES_PER_DAY: f64 = 9_800.0;
 pub(super) const DAY_S: f64 = 86_400.0;
-/// Lookups a second at one proxy; 5.2 million at all proxies together.
-pub(super) const LOOKUPS_PER_S: f64 = 1_040.0;
+/// Requests a second at one proxy; 5.2 million at all proxies together.
+pub(super) const REQUESTS_PER_S: f64 = 1_040.0;
 
 /// Budgets for the control work of a proxy: share of a core, bytes of memory, bytes sent a second.
 pub(super) const CORE_SHARE: f64 = 0.04;
--- a/crates/event-distribution/src/distributor/leasing.rs
+++ b/crates/event-distribution/src/distributor/leasing.rs
@@ -43,7 +43,7 @@
         subscription: &mut Subscription,
         source: &FeedSource,
     ) -> Option<LeaseGrant> {
-        let request = subscription.take_unanswered()?;
+        let request = subscription.mark_answered()?;
         let duration = source.max_lease.min(self.settings.lease_duration);
         let eligible = if duration > 0 {
             self.eligible_position(now, subscription, source.log)
--- a/crates/event-distribution/src/distributor/snapshot.rs
+++ b/crates/event-distribution/src/distributor/snapshot.rs
@@ -42,7 +42,7 @@
         }
         if let Some(subscription) = self.subscriptions.get_mut(&heartbeat.name) {
             // The parts are the answer to the heartbeat.
-            let _ = subscription.take_unanswered();
+            let _ = subscription.mark_answered();
         }
     }
 }
--- a/crates/event-distribution/src/distributor/subscription.rs
+++ b/crates/event-distribution/src/distributor/subscription.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns the number of the unanswered heartbeat, and marks it as answered.
-    pub(super) fn take_unanswered(&mut self) -> Option<u32> {
+    pub(super) fn mark_answered(&mut self) -> Option<u32> {
         self.unanswered_since.take().map(|_| self.request)
     }
 
--- a/crates/event-distribution/src/subscriber.rs
+++ b/crates/event-distribution/src/subscriber.rs
@@ -273,7 +273,7 @@
         busy: Busy,
         out: &mut Vec<Output>,
     ) -> Result<(), RejectReason> {
-        self.heartbeats.take_answered(busy.request)?;
+        self.heartbeats.record_answer(busy.request)?;
         if self.relays.len() > 1 && (busy.full || self.relays.has_former_grantor()) {
             let next = self.relays.next_relay();
             self.change_relay(now, next, out);
--- a/crates/event-distribution/src/subscriber/batches.rs
+++ b/crates/event-distribution/src/subscriber/batches.rs
@@ -152,7 +152,7 @@
         grant: LeaseGrant,
         out: &mut Vec<Output>,
     ) -> Result<(), RejectReason> {
-        let request = self.heartbeats.take_answered(grant.request)?;
+        let request = self.heartbeats.record_answer(grant.request)?;
         let is_too_far = self.role == Role::Relay && grant.hops >= MAX_RELAY_HOPS;
         if grant.lease_micros == 0 || is_too_far {
             self.heartbeats
--- a/crates/event-distribution/src/subscriber/heartbeat.rs
+++ b/crates/event-distribution/src/subscriber/heartbeat.rs
@@ -150,8 +150,9 @@
         self.resend = resend;
     }
 
-    /// Takes the request that the relay has answered.
-    pub(super) fn take_answered(
+    /// Removes and returns the outstanding request that the relay has answered, and resets the counts of unanswered
+    /// heartbeats.
+    pub(super) fn record_answer(
         &mut self,
         number: u32,
     ) -> Result<OutstandingRequest, RejectReason> {
--- a/crates/event-distribution/src/subscriber/snapshot.rs
+++ b/crates/event-distribution/src/subscriber/snapshot.rs
@@ -25,7 +25,7 @@
             .ok_or(RejectReason::OutOfBounds)?;
         self.check_epoch(writer, part.request)?;
         let events = decode_events(&part.events)?;
-        let is_answer = self.heartbeats.take_answered(part.request).is_ok();
+        let is_answer = self.heartbeats.record_answer(part.request).is_ok();
         if !is_answer && self.fetch.is_none() {
             return Err(RejectReason::Unexpected);
         }
--- a/crates/fault-injection/src/baselines.rs
+++ b/crates/fault-injection/src/baselines.rs
@@ -94,8 +94,8 @@
 }
 
 /// SWIM as published (Das, Gupta, Motivala 2002, with suspicion): a random order of targets, indirect probes through
-/// three helpers, a fixed suspicion timeout, and rumors piggybacked on pings and acks. Each member knows all others from
-/// the start; there is no local health and no anti-entropy.
+/// three helpers, a fixed suspicion timeout, and rumors piggybacked on pings and acks. Each member knows all others
+/// from the start; there is no local health and no anti-entropy.
 pub struct Swim {
     own_number: usize,
     names: Vec<String>,
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -131,7 +131,7 @@
     entries.iter().filter(is_false).cloned().collect()
 }
 
-/// Time from `since` until each proxy first held the member dead; proxies that never did are absent.
+/// Time from `since` until each proxy first considered the member dead; proxies that never did are absent.
 pub fn death_detection_times(
     entries: &[LogEntry],
     member: usize,
@@ -164,7 +164,7 @@
 }
 
 /// Why the running proxies of the current build differ in their shared state, or none if they agree. With
-/// `urgent_only`, only the records that do not change with each lookup are compared.
+/// `urgent_only`, only the records that do not change with each request are compared.
 pub fn shared_state_difference(fleet: &Fleet, urgent_only: bool) -> Option<String> {
     let mut digests = BTreeMap::new();
     for proxy in (0..fleet.options.proxies).filter(|n| fleet.is_running(*n) && !fleet.is_older(*n))
--- a/crates/fault-injection/src/effects.rs
+++ b/crates/fault-injection/src/effects.rs
@@ -1,4 +1,4 @@
-//! Clients that send keyed lookups during the faults. Each idempotency key is sent to a random proxy and, whatever the
+//! Clients that send keyed requests during the faults. Each idempotency key is sent to a random proxy and, whatever the
 //! outcome, again at once, after one second and after six seconds in all. The test origin counts which keys ran, not
 //! the proxies.
 
--- a/crates/fault-injection/src/events/run.rs
+++ b/crates/fault-injection/src/events/run.rs
@@ -93,7 +93,7 @@
 }
 
 impl PublisherOutage {
-    fn publishes_again(&self) -> Micros {
+    fn publication_resumes_at(&self) -> Micros {
         self.until
             + if self.all_relays_down {
                 RECOVERY_TIMEOUT
@@ -300,12 +300,12 @@
     fn rolling_restart(&mut self, per_second: usize, seconds: usize) -> io::Result<()> {
         let order = self.draw_subscribers(self.setup.subscribers);
         let started_at = self.clock.now();
-        for turn in 0..per_second * seconds {
-            let due = started_at + turn as Micros * SECOND / per_second as Micros;
+        for index in 0..per_second * seconds {
+            let due = started_at + index as Micros * SECOND / per_second as Micros;
             thread::sleep(Duration::from_micros(
                 (due - self.clock.now()).max(0).unsigned_abs(),
             ));
-            let subscribers = vec![order[turn % order.len()]];
+            let subscribers = vec![order[index % order.len()]];
             self.groups.send(&Command::Restart { subscribers })?;
         }
         Ok(())
@@ -406,13 +406,13 @@
         };
         let overlaps_deadline = |outage: &&PublisherOutage| {
             purge.issued_at + DONE_WITHIN > outage.from
-                && purge.issued_at < outage.publishes_again()
+                && purge.issued_at < outage.publication_resumes_at()
         };
         let counts_from = self
             .outages
             .iter()
             .find(overlaps_deadline)
-            .map_or(purge.issued_at, PublisherOutage::publishes_again);
+            .map_or(purge.issued_at, PublisherOutage::publication_resumes_at);
         done_at - counts_from > DONE_WITHIN
     }
 
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -463,7 +463,7 @@
 
     /// Answer of the proxy's operator socket to a query; none if it fails or the proxy is not running.
     pub fn operator_query(&self, proxy: usize, query: &str) -> Option<String> {
-        let ask = || -> io::Result<String> {
+        let query_socket = || -> io::Result<String> {
             let mut stream = UnixStream::connect(self.operator_socket(proxy))?;
             stream.set_read_timeout(Some(Duration::from_secs(2)))?;
             stream.write_all(format!("{query}\n").as_bytes())?;
@@ -471,7 +471,7 @@
             stream.read_to_string(&mut text)?;
             Ok(text)
         };
-        ask().ok().filter(|_| self.is_running(proxy))
+        query_socket().ok().filter(|_| self.is_running(proxy))
     }
 
     /// Starts a second process of the same name at the other address; later calls refer to the new process.
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -5,7 +5,7 @@
     missing_docs,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "names, function sizes and documentation of this crate are still being revised"
+    reason = "some items have no docs, and some functions are long"
 )]
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -15,10 +15,10 @@
 //!   `slow=2000` (bytes per second), `flap=500` (milliseconds up, then as many down) or, for streams, `reset` and
 //!   `half_open`.
 //! - `shared TEXT` adds settings to `fleet { ... }` of each proxy. `older` makes every second proxy run an earlier
-//!   build. `effects N over S [at WHO]` sends keyed lookups with N idempotency keys, each repeated at random proxies.
+//!   build. `effects N over S [at WHO]` sends keyed requests with N idempotency keys, each repeated at random proxies.
 //!   `purge [all]` and `drain CACHE [all]` are announced to the first proxy alone or to all proxies.
 //! - `expect leased WHO within S` and `expect unleased WHO within S`: proxies hold a relay's lease, or none.
-//! - `expect same [urgent] within S` (all proxies hold the same shared state, or the same purges, machines and
+//! - `expect same [urgent] within S` (all proxies hold the same shared state, or the same purges, endpoints and
 //!   effects), `expect vouching within S` (all can vote on effects), `expect once [N]` (at most N keys ran twice at the
 //!   origin), `expect purged` (no request accepted an older copy half a second after a purge, or 2.9 s with relays),
 //!   `expect drained CACHE`.
--- a/crates/fault-injection/src/serving.rs
+++ b/crates/fault-injection/src/serving.rs
@@ -1,5 +1,5 @@
-//! Clients that send lookups during the faults. Each client sends one lookup after the other to one proxy, and goes to
-//! another proxy when it gets no connection. Requests and responses are counted.
+//! Clients that send requests during the faults. Each client sends one request after the other to one proxy, and goes
+//! to another proxy when it gets no connection. Requests and responses are counted.
 
 use meadowrill_test_servers::{frame, request_frame};
 use std::io::{ErrorKind, Read, Write};
@@ -25,7 +25,7 @@
     pub connection_lost: AtomicU64,
     /// No complete response arrived within the client's time limit.
     pub timed_out: AtomicU64,
-    /// Responses that belong to no open lookup, such as a second response to one.
+    /// Responses that belong to no open request, such as a second response to one.
     pub unexpected: AtomicU64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Clients {
-    /// Starts clients that pause after each lookup for half to one and a half of `mean_pause`.
+    /// Starts clients that pause after each request for half to one and a half of `mean_pause`.
     pub fn start(client_count: usize, proxies: Vec<SocketAddr>, mean_pause: Duration) -> Clients {
         let (counts, stopping) = (Arc::<Counts>::default(), Arc::new(AtomicBool::new(false)));
         let threads = (0..client_count)
--- a/crates/fault-injection/src/shared.rs
+++ b/crates/fault-injection/src/shared.rs
@@ -553,7 +553,7 @@
             .is_none()
         {
             return Some(format!(
-                "seed {seed}: the replicas have not converged 5 s after the last lookup"
+                "seed {seed}: the replicas have not converged 5 s after the last request"
             ));
         }
     }
@@ -571,7 +571,7 @@
     pub pauses: bool,
 }
 
-/// Sends keyed lookups during random faults: each client sends four requests at random proxies, the second one within
+/// Sends keyed requests during random faults: each client sends four requests at random proxies, the second one within
 /// 200 ms of the first, the third 1 s later and the fourth another 6 s later.
 pub fn run_with_random_faults(
     scenario: FaultScenario,
--- a/crates/membership/src/view/schedule.rs
+++ b/crates/membership/src/view/schedule.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the member to probe now, and spreads the remaining members over the rest of the period.
-    fn take_next(&mut self, now: Micros, period: Micros) -> Option<String> {
+    fn pop_next(&mut self, now: Micros, period: Micros) -> Option<String> {
         let remaining = (self.round_started_at + period - now).max(1);
         self.next_at = now + remaining / self.pending.len().max(1) as Micros;
         self.pending.pop_front()
@@ -66,10 +66,7 @@
             self.schedule.begin_round(self.now);
             self.schedule_observed_members();
         }
-        if let Some(name) = self
-            .schedule
-            .take_next(self.now, self.settings.probe_period)
-        {
+        if let Some(name) = self.schedule.pop_next(self.now, self.settings.probe_period) {
             self.probe(&name, actions);
         }
     }
--- a/crates/membership/src/view/send.rs
+++ b/crates/membership/src/view/send.rs
@@ -33,7 +33,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.budget.refill(self.now);
-        let may_carry_rumors = record.is_none() && carries_rumors(payload.as_ref());
+        let piggyback_rumors = record.is_none() && can_piggyback_rumors(payload.as_ref());
         let kind = payload.as_ref().map_or(RUMORS_ONLY, Payload::name);
         let records = record.into_iter().collect();
         let mut packet = self.packet(self.claim_about(to.name), payload, records);
@@ -46,7 +46,7 @@
             packet.records.push(self.own.record_with_body());
         }
         // Rumors to a member that may be dead would be wasted.
-        if may_carry_rumors
+        if piggyback_rumors
             && self.budget.has_fraction(ESSENTIAL_FRACTION)
             && !self.is_unhealthy(to.name)
         {
@@ -146,7 +146,7 @@
     }
 }
 
-/// Whether messages of this kind carry rumors: probes and acks, which are frequent, and pushes.
-fn carries_rumors(payload: Option<&Payload>) -> bool {
+/// Whether rumors can be piggybacked on messages of this kind: probes and acks, which are frequent, and pushes.
+fn can_piggyback_rumors(payload: Option<&Payload>) -> bool {
     matches!(payload, None | Some(Payload::Ping(_) | Payload::Ack(_)))
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -169,7 +169,7 @@
     }
 
     /// Reads and validates the files again, as at the start.
-    pub(crate) fn read_again(&self) -> Result<Config, ConfigError> {
+    pub(crate) fn reload(&self) -> Result<Config, ConfigError> {
         Config::load(self.path.clone(), self.operator_path.clone())
     }
 
--- a/crates/proxy/src/frame.rs
+++ b/crates/proxy/src/frame.rs
@@ -125,16 +125,16 @@
     for _ in 0..*count {
         let (length, after) = rest.split_first().ok_or(FrameError::Truncated)?;
         rest = after;
-        let name = take_text(&mut rest, usize::from(*length))?;
+        let name = split_text(&mut rest, usize::from(*length))?;
         let (length, after) = rest.split_first_chunk::<2>().ok_or(FrameError::Truncated)?;
         rest = after;
-        let value = take_text(&mut rest, usize::from(u16::from_le_bytes(*length)))?;
+        let value = split_text(&mut rest, usize::from(u16::from_le_bytes(*length)))?;
         fields.push((name, value));
     }
     Ok((fields, rest))
 }
 
-fn take_text<'a>(rest: &mut &'a [u8], length: usize) -> Result<&'a str, FrameError> {
+fn split_text<'a>(rest: &mut &'a [u8], length: usize) -> Result<&'a str, FrameError> {
     let (text, after) = rest.split_at_checked(length).ok_or(FrameError::Truncated)?;
     *rest = after;
     std::str::from_utf8(text).map_err(|_| FrameError::Truncated)
--- a/crates/proxy/src/net/attempt_error.rs
+++ b/crates/proxy/src/net/attempt_error.rs
@@ -1,6 +1,7 @@
 //! Failed attempts: how far the attempt had progressed, why it failed, and whether the request may have run.
 //!
-//! Rule 2: a request is known not to have run only if it was not written completely.
+//! Rule 2 is that no effect happens twice. A request is therefore known not to have run only if it was not written
+//! completely.
 
 use crate::http::ResponseError;
 use meadowrill_routing::interface::AttemptOutcome;
--- a/crates/proxy/src/net/clients/closing.rs
+++ b/crates/proxy/src/net/clients/closing.rs
@@ -31,7 +31,7 @@
 impl Clients {
     /// Whether another connection may be accepted. At the limit the first connection in [`EvictionOrder`] is closed, so
     /// that clients that send nothing, or that keep a connection after a single request, do not block all others.
-    pub(crate) fn make_room(&mut self, now: Micros, poll: &mut Poll) -> bool {
+    pub(crate) fn evict_if_full(&mut self, now: Micros, poll: &mut Poll) -> bool {
         while self.connections.len() - self.draining.len() >= self.max_connections {
             let closable = self.connections.iter().filter_map(|(number, client)| {
                 client.eviction_order(now).map(|order| (order, *number))
--- a/crates/proxy/src/net/discovery/codec.rs
+++ b/crates/proxy/src/net/discovery/codec.rs
@@ -5,7 +5,7 @@
 //! | `tail N` | request for the events after N |
 //! | `pos` | position of an event |
 //! | `hosts`, `members` | endpoint list, endpoints |
-//! | `flavor`, `locality`, `size`, `up_since_ms` | machine kind, zone, weight, start of the process |
+//! | `flavor`, `locality`, `size`, `up_since_ms` | endpoint kind, zone, weight, start of the process |
 //! | `phase`: `SERVING`, `DRAINING`, `DELETED` | status: ready, draining, removed |
 //! | `expire`: `name`, `set`, `stamp` | invalidation: object, group, time of issue |
 
@@ -25,7 +25,7 @@
     /// None if a removed endpoint is listed without an address.
     pub address: Option<SocketAddr>,
     pub zone: String,
-    pub machine_kind: String,
+    pub endpoint_kind: String,
     pub cell: u16,
     pub status: EndpointStatus,
     pub weight: f64,
@@ -129,7 +129,7 @@
         id,
         address,
         zone: text("locality").to_string(),
-        machine_kind: text("flavor").to_string(),
+        endpoint_kind: text("flavor").to_string(),
         cell: cell.unwrap_or(0),
         status,
         weight: weight.unwrap_or(1.0),
--- a/crates/proxy/src/net/peers.rs
+++ b/crates/proxy/src/net/peers.rs
@@ -205,8 +205,9 @@
         self.replica.as_mut().map(|replica| step(replica, actions))
     }
 
-    /// Takes the actions of the replica for the event loop. Its messages to other members have already been sent.
-    pub(crate) fn take_replica_actions(&mut self) -> Vec<replica::Action> {
+    /// Removes and returns the pending actions of the replica for the event loop. Its messages to other members
+    /// have already been sent.
+    pub(crate) fn drain_replica_actions(&mut self) -> Vec<replica::Action> {
         std::mem::take(&mut self.replica_actions)
     }
 
--- a/crates/proxy/src/net/recorded.rs
+++ b/crates/proxy/src/net/recorded.rs
@@ -251,7 +251,7 @@
                     id,
                     address,
                     zone,
-                    machine_kind,
+                    endpoint_kind,
                     cell,
                     status,
                     weight,
@@ -259,7 +259,7 @@
                 } = endpoint;
                 write!(
                     text,
-                    "; {id} {address:?} {zone:?} {machine_kind:?} {cell} {status:?} {weight} {started_at}"
+                    "; {id} {address:?} {zone:?} {endpoint_kind:?} {cell} {status:?} {weight} {started_at}"
                 )
                 .unwrap();
             }
--- a/crates/proxy/src/proxy/downstream.rs
+++ b/crates/proxy/src/proxy/downstream.rs
@@ -24,7 +24,7 @@
     /// Accepts waiting connections up to the limit on client connections.
     pub(super) fn accept_clients(&mut self, now: Micros) {
         let downstream = &mut self.downstream;
-        while downstream.accept_pending && downstream.clients.make_room(now, &mut self.poll) {
+        while downstream.accept_pending && downstream.clients.evict_if_full(now, &mut self.poll) {
             let Some((listener, _)) = &downstream.listener else {
                 return;
             };
--- a/crates/proxy/src/proxy/endpoint_list.rs
+++ b/crates/proxy/src/proxy/endpoint_list.rs
@@ -128,12 +128,13 @@
         let address = self.endpoints.address(endpoint);
         // The router's log lines contain only the stable id of an endpoint; this line maps it to the id.
         info!(self.log, "endpoint updated"; "status" => ?record.status,
-            "address" => address.map(|address| address.host.as_str()), "id" => &record.id, "type" => &record.machine_kind,
+            "address" => address.map(|address| address.host.as_str()), "id" => &record.id,
+            "type" => &record.endpoint_kind,
             "zone" => &record.zone, "stable_id" => format!("{stable:012x}"));
         EndpointEntry {
             endpoint,
             stable_id: stable,
-            endpoint_kind: name_index(&self.config.endpoint_types, &record.machine_kind),
+            endpoint_kind: name_index(&self.config.endpoint_types, &record.endpoint_kind),
             started_at: record.started_at,
             zone: name_index(&self.config.zones, &record.zone),
             cell: record.cell,
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -11,7 +11,7 @@
 impl Proxy {
     /// Reads the configuration again. An invalid configuration changes nothing.
     pub(super) fn reload(&mut self, now: Micros) {
-        let new = match self.config.read_again() {
+        let new = match self.config.reload() {
             Ok(new) => new,
             Err(fault) => {
                 return error!(self.log, "new configuration rejected, keeping the current one"; "key" => &fault.key,
--- a/crates/proxy/src/proxy/routing.rs
+++ b/crates/proxy/src/proxy/routing.rs
@@ -168,16 +168,16 @@
     fn log_router_event(&self, event: LogEvent) {
         let endpoint = |stable_id: u64| format!("{stable_id:012x}");
         match event {
-            LogEvent::EndpointLimitCut { stable_id, limit } => {
+            LogEvent::EndpointLimitReduced { stable_id, limit } => {
                 info!(self.log, "concurrency limit of an endpoint reduced"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
-            LogEvent::ParentLimitCut { stable_id, limit } => {
+            LogEvent::ParentLimitReduced { stable_id, limit } => {
                 info!(self.log, "concurrency limit of a parent reduced"; "stable_id" => endpoint(stable_id), "limit" => limit)
             }
-            LogEvent::FillLimitCut { limit } => {
+            LogEvent::FillLimitReduced { limit } => {
                 info!(self.log, "limit on fills reduced"; "limit" => limit)
             }
-            LogEvent::FetchLimitCut { limit } => {
+            LogEvent::FetchLimitReduced { limit } => {
                 info!(self.log, "limit on fetches reduced"; "limit" => limit)
             }
             LogEvent::EndpointUnreachable { stable_id } => {
--- a/crates/proxy/src/proxy/shared_state.rs
+++ b/crates/proxy/src/proxy/shared_state.rs
@@ -24,7 +24,7 @@
             self.metrics
                 .observe_replication_lag(kind.name(), lag as f64 / 1e6);
         }
-        for action in peers.take_replica_actions() {
+        for action in peers.drain_replica_actions() {
             match action {
                 Action::Decision(decision) => self.apply_claim_decision(decision, now),
                 Action::Purge {
@@ -42,7 +42,7 @@
                     phase,
                     endpoint,
                 } => self.apply_shared_endpoint(&id, started_at, phase, &endpoint),
-                Action::UseObservations { subject } => self.apply_shared_estimate(&subject),
+                Action::UpdateSharedEstimate { subject } => self.apply_shared_estimate(&subject),
                 Action::Log(event) => self.handle_replica_event(event),
                 // The exchange with the other proxies has already sent these.
                 Action::SendDatagram { .. } | Action::SendStream { .. } => {}
@@ -124,7 +124,7 @@
             id: id.to_string(),
             address: info.address.parse().ok(),
             zone: info.locality.clone(),
-            machine_kind: info.flavor.clone(),
+            endpoint_kind: info.flavor.clone(),
             cell: info.cell as u16,
             status,
             weight: info.size,
@@ -151,7 +151,7 @@
         let info = records::EndpointInfo {
             address: record.address.map_or(String::new(), |at| at.to_string()),
             locality: record.zone.clone(),
-            flavor: record.machine_kind.clone(),
+            flavor: record.endpoint_kind.clone(),
             cell: u32::from(record.cell),
             size: record.weight,
         };
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -305,7 +305,7 @@
 
     /// Reads and validates the settings file again. Changes take effect only at the next start.
     fn reload(&mut self) {
-        match self.settings.read_again() {
+        match self.settings.reload() {
             Err(error) => {
                 error!(self.log, "new settings rejected, keeping the current ones"; "key" => &error.key,
                 "reason" => &error.problem)
--- a/crates/proxy/src/relay/settings.rs
+++ b/crates/proxy/src/relay/settings.rs
@@ -34,7 +34,7 @@
     }
 
     /// Reads and validates the settings file again.
-    pub(super) fn read_again(&self) -> Result<RelaySettings, ConfigError> {
+    pub(super) fn reload(&self) -> Result<RelaySettings, ConfigError> {
         RelaySettings::load(&self.path)
     }
 
--- a/crates/replication/src/ledger/claim_set.rs
+++ b/crates/replication/src/ledger/claim_set.rs
@@ -136,7 +136,8 @@
     sent_at
 }
 
-/// Whether a claim is not expected to be ended any more: its holder is gone or past the deadline.
+/// Whether a claim is not expected to be ended any more: its holder is not alive, or its deadline and the grace
+/// period after it have passed.
 pub(super) fn is_abandoned(claim: &Claim, voters: &Voters, now: Micros) -> bool {
     !voters.is_holder_alive(claim) || now > wire_time::from_wire(claim.deadline) + DEADLINE_GRACE
 }
--- a/crates/replication/src/ledger/request.rs
+++ b/crates/replication/src/ledger/request.rs
@@ -57,7 +57,7 @@
             KeyStatus::Unclaimed => self.request_claim(token, None, input, out),
             KeyStatus::InProgress { .. } => self.wait(token, input, out),
             KeyStatus::OutcomeLost { first_sent_at } => {
-                self.take_over(token, first_sent_at, input, out);
+                self.take_over_claim(token, first_sent_at, input, out);
             }
             KeyStatus::Completed {
                 current,
@@ -91,7 +91,7 @@
 
     /// Takes over from a claim with a lost outcome, if the origin still drops repeats of that claim's attempts. A new
     /// attempt then returns the outcome of the first one, or is the first to run.
-    fn take_over(
+    fn take_over_claim(
         &mut self,
         token: u64,
         first_sent_at: Micros,
--- a/crates/replication/src/replica/action.rs
+++ b/crates/replication/src/replica/action.rs
@@ -44,9 +44,9 @@
         /// Its other properties.
         endpoint: EndpointInfo,
     },
-    /// Use the observations of a subject by other proxies, which have changed. [`super::Replica::shared_estimate`]
-    /// combines them.
-    UseObservations {
+    /// Update the shared estimate for a subject, because other proxies' observations of it have changed.
+    /// [`super::Replica::shared_estimate`] combines the observations.
+    UpdateSharedEstimate {
         /// The subject, in the encoding that [`super::Subject::decode`] decodes.
         subject: Vec<u8>,
     },
--- a/crates/replication/src/replica/receive.rs
+++ b/crates/replication/src/replica/receive.rs
@@ -181,7 +181,7 @@
         }
         RecordType::Observation => {
             let (subject, _) = records::decode_observation(key, entry)?;
-            Some(Action::UseObservations { subject })
+            Some(Action::UpdateSharedEstimate { subject })
         }
         RecordType::Claim | RecordType::Usage => None,
     }
--- a/crates/replication/src/replica/usage.rs
+++ b/crates/replication/src/replica/usage.rs
@@ -33,7 +33,7 @@
     }
 
     /// The tenants whose usage has changed since the last call, each with its requests and kilobytes.
-    fn take_changed(&mut self) -> Vec<(String, Vec<f64>)> {
+    fn drain_changed(&mut self) -> Vec<(String, Vec<f64>)> {
         let mut changed = Vec::new();
         for (tenant, usage) in &mut self.tenants {
             if std::mem::take(&mut usage.changed) {
@@ -52,7 +52,7 @@
 
     /// Publishes the usage that has changed. Called once per period.
     pub(super) fn publish_usage(&mut self) {
-        for (tenant, values) in self.usage.take_changed() {
+        for (tenant, values) in self.usage.drain_changed() {
             self.publish_observation(self.now, RecordType::Usage, tenant.as_bytes(), values);
         }
     }
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether the first periods after the start are over and this proxy has compared its claims with all other voters.
-    /// While a voter is gone that was not compared, this proxy does not vote on the keys that both own.
+    /// While a voter that was not compared is absent, this proxy does not vote on the keys that both own.
     fn has_compared_with_all(&self) -> bool {
         let startup_end = self.voting.started_at + STARTUP_PERIODS * self.settings.period;
         if self.now < startup_end || self.catch_up.is_some() {
--- a/crates/replication/tests/receive.rs
+++ b/crates/replication/tests/receive.rs
@@ -238,8 +238,8 @@
     }
 }
 
-// Guards against a side effect that runs twice. If the time of a claim's first attempt is in the future, it is wrong, and
-// the origin's deduplication window may have ended long ago.
+// Guards against a side effect that runs twice. If the time of a claim's first attempt is in the future, it is wrong,
+// and the origin's deduplication window may have ended long ago.
 #[test]
 fn a_claim_that_was_sent_in_the_future_is_not_taken_over() {
     let claim = Claim {
--- a/crates/routing/src/fill_policy.rs
+++ b/crates/routing/src/fill_policy.rs
@@ -237,11 +237,11 @@
         let (fill_share, fetch_share) = (ended.attempt.fill_share, ended.attempt.fetch_share);
         if applies_to_fetches && self.fetches.record_outcome(now, relative_time, fetch_share) {
             let limit = self.fetches.limit();
-            actions.push(Action::Log(LogEvent::FetchLimitCut { limit }));
+            actions.push(Action::Log(LogEvent::FetchLimitReduced { limit }));
         }
         if applies_to_fills && self.fills.record_outcome(now, relative_time, fill_share) {
             let limit = self.fills.limit();
-            actions.push(Action::Log(LogEvent::FillLimitCut { limit }));
+            actions.push(Action::Log(LogEvent::FillLimitReduced { limit }));
         }
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -337,27 +337,27 @@
 /// An event that operators should see in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The concurrency limit of an endpoint was cut below its recent use.
-    EndpointLimitCut {
+    /// The concurrency limit of an endpoint was reduced below its recent use.
+    EndpointLimitReduced {
         /// Stable id of the endpoint.
         stable_id: u64,
         /// Attempts that may now be in flight.
         limit: f64,
     },
-    /// The limit on fills from a parent was cut below its recent use.
-    ParentLimitCut {
+    /// The limit on fills from a parent was reduced below its recent use.
+    ParentLimitReduced {
         /// Stable id of the parent.
         stable_id: u64,
         /// Fills that may now be in flight.
         limit: f64,
     },
-    /// The limit on fills of this proxy was cut below its recent use.
-    FillLimitCut {
+    /// The limit on fills of this proxy was reduced below its recent use.
+    FillLimitReduced {
         /// Fills that may now be in flight.
         limit: f64,
     },
-    /// The limit on fetches from the origin was cut below its recent use.
-    FetchLimitCut {
+    /// The limit on fetches from the origin was reduced below its recent use.
+    FetchLimitReduced {
         /// Fetches that may now be in flight.
         limit: f64,
     },
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -228,7 +228,10 @@
         endpoint.limit.end(now, 1.0);
         if relative_time.is_some_and(|time| endpoint.limit.record_outcome(now, time, 1.0)) {
             let limit = endpoint.limit.limit();
-            actions.push(Action::Log(LogEvent::EndpointLimitCut { stable_id, limit }));
+            actions.push(Action::Log(LogEvent::EndpointLimitReduced {
+                stable_id,
+                limit,
+            }));
         }
         endpoint
             .health
@@ -284,7 +287,10 @@
         parent.limit.end(now, share);
         if relative_time.is_some_and(|time| parent.limit.record_outcome(now, time, share)) {
             let (stable_id, limit) = (parent.stable_id, parent.limit.limit());
-            actions.push(Action::Log(LogEvent::ParentLimitCut { stable_id, limit }));
+            actions.push(Action::Log(LogEvent::ParentLimitReduced {
+                stable_id,
+                limit,
+            }));
         }
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 #![allow(
     clippy::too_many_lines,
-    reason = "functions that read all keys of a message, and a table of test cases"
+    reason = "some functions read all keys of a message, and a test has a long table of cases"
 )]
 
 mod events;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 #![allow(
     clippy::too_many_lines,
-    reason = "functions that match all record types"
+    reason = "some functions match all record types"
 )]
 
 mod codec;
@@ -55,14 +55,14 @@
 /// The text of a log event in the simulator's protocol.
 fn log_line(event: LogEvent) -> String {
     match event {
-        LogEvent::EndpointLimitCut { stable_id, limit } => {
+        LogEvent::EndpointLimitReduced { stable_id, limit } => {
             format!("concurrency limit of endpoint {stable_id:012x} cut to {limit:.0}")
         }
-        LogEvent::ParentLimitCut { stable_id, limit } => {
+        LogEvent::ParentLimitReduced { stable_id, limit } => {
             format!("concurrency limit of parent {stable_id:012x} cut to {limit:.1}")
         }
-        LogEvent::FillLimitCut { limit } => format!("limit on fills cut to {limit:.0}"),
-        LogEvent::FetchLimitCut { limit } => format!("limit on fetches cut to {limit:.0}"),
+        LogEvent::FillLimitReduced { limit } => format!("limit on fills cut to {limit:.0}"),
+        LogEvent::FetchLimitReduced { limit } => format!("limit on fetches cut to {limit:.0}"),
         LogEvent::EndpointUnreachable { stable_id } => {
             format!("endpoint {stable_id:012x} unreachable, treated as warming up")
         }
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -132,7 +132,7 @@
         self.read_frame().expect("a response")
     }
 
-    /// Sends a lookup and reads the next frame.
+    /// Sends a request and reads the next frame.
     #[track_caller]
     pub fn lookup(&mut self, stream: u32, verb: &str) -> Frame {
         self.write(&request_frame(stream, verb, &[], b""));
--- a/crates/test-servers/src/demo.rs
+++ b/crates/test-servers/src/demo.rs
@@ -8,7 +8,7 @@
 use crate::{Journal, Program};
 use std::time::{Duration, Instant};
 
-/// Workers per cache and service time of a lookup. Three caches together serve 600 lookups per second.
+/// Workers per cache and service time of a request. Three caches together serve 600 requests per second.
 const CACHES: (usize, Duration) = (4, Duration::from_millis(20));
 const PARENT_AND_ORIGIN: (usize, Duration) = (16, Duration::from_millis(5));
 const OBJECT_BYTES: usize = 4_000;
@@ -120,7 +120,7 @@
 /// Runs both loads, then prints the table. The proxy executable must be in the folder of the current executable.
 pub fn run(seconds: u64) -> Result<(), String> {
     println!(
-        "Three caches that serve 600 lookups per second, a parent and an origin, all on loopback."
+        "Three caches that serve 600 requests per second, a parent and an origin, all on loopback."
     );
     println!("The quiet hospital has one terminal. The loud one sends without pause on {LOUD_CONNECTIONS} connections.");
     let rows = [
--- a/crates/test-servers/src/load.rs
+++ b/crates/test-servers/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: clients that send lookups in a closed loop, with a fixed number of open lookups per connection, and counters
+//! Load: clients that send requests in a closed loop, with a fixed number of open requests per connection, and counters
 //! of the results.
 
 use crate::client::{request_frame, Frame};
@@ -12,7 +12,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Kind of a frame that responds to a lookup.
+/// Kind of a frame that responds to a request.
 const RESPONSE_FRAME: u8 = 66;
 
 /// What a client does after a rejection.
@@ -31,19 +31,19 @@
     pub from: IpAddr,
     pub connections: usize,
     pub retry_behavior: RetryBehavior,
-    /// Open lookups per connection; must be 1 with [`RetryBehavior::HonorsRetryAfter`].
+    /// Open requests per connection; must be 1 with [`RetryBehavior::HonorsRetryAfter`].
     pub pipelined: u32,
-    /// Time between a successful response and the next lookup.
+    /// Time between a successful response and the next request.
     pub think_time: Duration,
     /// A successful response within this time counts as [`Counts::within_budget`].
     pub latency_budget: Duration,
-    /// Time after which a client gives up, as sent in the lookup.
+    /// Time after which a client gives up, as sent in the request.
     pub deadline: Duration,
     /// Longest retry time that the proxy advises; this value means that the retry has no reservation.
     pub max_retry_after: Duration,
-    /// Maximum number of lookups per connection.
+    /// Maximum number of requests per connection.
     pub max_requests: u64,
-    /// Additional fields of each lookup; `{n}` in a value is replaced by a number that differs per lookup.
+    /// Additional fields of each request; `{n}` in a value is replaced by a number that differs per request.
     pub extra_fields: Vec<(String, String)>,
     /// Number of objects that are requested in turn, the first part of each.
     pub object_count: u32,
@@ -123,7 +123,7 @@
 }
 
 impl Load {
-    /// Sends lookups until [`RunningLoad::finish`].
+    /// Sends requests until [`RunningLoad::finish`].
     pub fn start(&self, to: SocketAddr) -> RunningLoad {
         let (counts, stop) = (
             Arc::new(Counts::default()),
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Encodes a lookup with the additional fields of this load.
-    fn lookup(&self, connection: usize, stream: u32) -> Vec<u8> {
+    /// Encodes a request with the additional fields of this load.
+    fn encode_request(&self, connection: usize, stream: u32) -> Vec<u8> {
         let object = stream.wrapping_add(connection as u32 * 37) % self.object_count;
         let item = format!(
             "{:016x}",
@@ -196,7 +196,7 @@
             while open_requests.len() < self.pipelined as usize {
                 stream += 1;
                 open_requests.insert(stream, Instant::now());
-                client.write(&self.lookup(connection, stream));
+                client.write(&self.encode_request(connection, stream));
                 counts.requests.fetch_add(1, Relaxed);
             }
             let response = client
@@ -205,7 +205,7 @@
             let Some((response, since)) =
                 response.and_then(|a| open_requests.remove(&a.stream).map(|since| (a, since)))
             else {
-                // The proxy closed the connection or asked for no further lookups: it may do so while none is open.
+                // The proxy closed the connection or asked for no further requests: it may do so while none is open.
                 counts.closed.fetch_add(1, Relaxed);
                 client = Client(connect_from(self.from, to));
                 open_requests.clear();
@@ -257,7 +257,7 @@
 }
 
 impl RunningLoad {
-    /// Stops the load; returns the counters and the response times of successful lookups, in microseconds.
+    /// Stops the load; returns the counters and the response times of successful requests, in microseconds.
     pub fn finish(self) -> (Arc<Counts>, Histogram<u64>) {
         self.stop.store(true, Relaxed);
         let mut merged = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
--- a/crates/test-servers/src/service.rs
+++ b/crates/test-servers/src/service.rs
@@ -1,5 +1,5 @@
-//! A cache, parent or origin with a limited capacity: a number of workers, a service time per lookup and a queue in the
-//! order of arrival. It caches objects whose request asks to retain them, and fills a miss from the source that the
+//! A cache, parent or origin with a limited capacity: a number of workers, a service time per request and a queue in
+//! the order of arrival. It caches objects whose request asks to retain them, and fills a miss from the source that the
 //! request names.
 
 use crate::header;
@@ -89,7 +89,7 @@
         Service { address, state }
     }
 
-    /// Sets the service time of the following lookups.
+    /// Sets the service time of the following requests.
     pub fn set_service_time(&self, service_time: Duration) {
         self.state
             .service_time_us
@@ -138,7 +138,7 @@
         self.state.outdated_copies_allowed.load(Relaxed)
     }
 
-    /// The maximum number of concurrent lookups since the last call.
+    /// The maximum number of concurrent requests since the last call.
     pub fn take_peak_concurrency(&self) -> usize {
         self.state.peak_in_progress.swap(0, Relaxed)
     }
